--- a/libraries/agent/src/bamboopier_agent/refusals.py
+++ b/libraries/agent/src/bamboopier_agent/refusals.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from bamboopier_decisions.admission.messages import Reject, RejectReason
-from bamboopier_decisions.claims.table import Verdict
+from bamboopier_decisions.claims.table import ClaimStatus
 from bamboopier_protocol import agent_pb2 as pb
 
 if TYPE_CHECKING:
@@ -32,9 +32,9 @@
 def make_claim_refusal(answer: Answer, outcome: ClaimOutcome) -> pb.ServeEvent:
     """Return the event for a key that was not granted."""
     standing = outcome.standing
-    if outcome.verdict is Verdict.FULL or standing is None:
+    if outcome.status is ClaimStatus.FULL or standing is None:
         return answer.make_not_run(pb.KEY_TABLE_FULL, FULL_RETRY_SECONDS)
-    if outcome.verdict is Verdict.REUSED:
+    if outcome.status is ClaimStatus.REUSED:
         return answer.make_not_run(pb.KEY_REUSED)
     return answer.make_not_run(
         pb.KEY_CLAIMED, claimed_by=standing.holder, claim_id=standing.claim_id
--- a/libraries/agent/src/bamboopier_agent/service.py
+++ b/libraries/agent/src/bamboopier_agent/service.py
@@ -11,7 +11,7 @@
 from result import Err
 
 from bamboopier_decisions.admission.messages import WorkArrived
-from bamboopier_decisions.claims.table import Verdict
+from bamboopier_decisions.claims.table import ClaimStatus
 from bamboopier_protocol import agent_pb2 as pb, agent_pb2_grpc
 
 from .answer import Answer
@@ -240,7 +240,7 @@
         if isinstance(claimed, Err):
             detail = str(claimed.err_value)
             refusal = answer.make_not_run(pb.PLATFORM_DOWN, 2.0, detail)
-        elif claimed.ok_value.verdict is not Verdict.GRANTED:
+        elif claimed.ok_value.status is not ClaimStatus.GRANTED:
             refusal = make_claim_refusal(answer, claimed.ok_value)
         else:
             refusal = None
--- a/libraries/agent/tests/test_claims.py
+++ b/libraries/agent/tests/test_claims.py
@@ -20,7 +20,7 @@
 from bamboopier_agent import claim_writer, claims
 from bamboopier_agent.claims import ClaimTable
 from bamboopier_configuration.model import Service
-from bamboopier_decisions.claims.table import ClaimOutcome, Verdict
+from bamboopier_decisions.claims.table import ClaimOutcome, ClaimStatus
 
 from .builders import DISPATCH, FakeObjects
 
@@ -63,7 +63,7 @@
         await self.wait_until_settled()
         self.objects.land_delayed()
         told.append(await self.claim(1))
-        granted = [o for o in told if o is not None and o.verdict is Verdict.GRANTED]
+        granted = [o for o in told if o is not None and o.status is ClaimStatus.GRANTED]
         self.assertEqual(len(granted), 1, told)
 
     async def test_a_claim_left_while_it_is_written_is_released(self) -> None:
@@ -75,7 +75,7 @@
         self.objects.may_write.set()
         await self.wait_until_settled()
         outcome = await self.claim(1)
-        self.assertEqual(outcome and outcome.verdict, Verdict.GRANTED)
+        self.assertEqual(outcome and outcome.status, ClaimStatus.GRANTED)
 
     async def test_a_claim_left_while_its_write_is_resent_is_released(self) -> None:
         # The write takes effect, its answer is lost, the message layer sends it again
@@ -89,7 +89,7 @@
         self.objects.may_write.set()
         await self.wait_until_settled()
         outcome = await self.claim(1)
-        self.assertEqual(outcome and outcome.verdict, Verdict.GRANTED)
+        self.assertEqual(outcome and outcome.status, ClaimStatus.GRANTED)
 
     async def test_a_slow_platform_is_refused_and_the_claim_released(self) -> None:
         self.objects.may_write.clear()
@@ -100,7 +100,7 @@
         self.objects.may_write.set()
         await self.wait_until_settled()
         outcome = await self.claim(1)
-        self.assertEqual(outcome and outcome.verdict, Verdict.GRANTED)
+        self.assertEqual(outcome and outcome.status, ClaimStatus.GRANTED)
 
     async def test_an_unused_grant_is_released_once_the_platform_answers(self) -> None:
         granted = await self.claim(0)
@@ -112,7 +112,7 @@
         self.assertTrue(self.agents[0].is_abandoned("fosse", "key"))
         await self.wait_until_settled()
         outcome = await self.claim(1)
-        self.assertEqual(outcome and outcome.verdict, Verdict.GRANTED)
+        self.assertEqual(outcome and outcome.status, ClaimStatus.GRANTED)
 
     async def test_a_released_claim_is_still_known_to_have_run_nothing(self) -> None:
         # Agent 1 has read the claim of agent 0, which then releases it. Asked about
@@ -158,7 +158,7 @@
         later = time.time() + 3600
         with mock.patch("bamboopier_agent.claim_writer.time.time", lambda: later):
             answer = await self.agents[1].claim(short, "fosse", "key", b"A46")
-        self.assertEqual(answer.unwrap().verdict, Verdict.HELD)
+        self.assertEqual(answer.unwrap().status, ClaimStatus.HELD)
 
     async def test_claims_of_one_partition_share_a_write(self) -> None:
         with mock.patch.object(claims, "PARTITIONS", 1):
@@ -172,10 +172,10 @@
 
     async def test_the_same_attempt_twice_is_granted_once(self) -> None:
         outcomes = await asyncio.gather(self.claim(0), self.claim(0))
-        verdicts = sorted(outcome.verdict for outcome in outcomes if outcome)
-        self.assertEqual(verdicts, [Verdict.GRANTED, Verdict.HELD])
+        statuses = sorted(outcome.status for outcome in outcomes if outcome)
+        self.assertEqual(statuses, [ClaimStatus.GRANTED, ClaimStatus.HELD])
 
     async def test_a_key_used_for_another_body_is_refused(self) -> None:
         await self.claim(0)
         outcome = await self.claim(1, b"M6")
-        self.assertEqual(outcome and outcome.verdict, Verdict.REUSED)
+        self.assertEqual(outcome and outcome.status, ClaimStatus.REUSED)
--- a/libraries/decisions/src/bamboopier_decisions/claims/partition.py
+++ b/libraries/decisions/src/bamboopier_decisions/claims/partition.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from .table import Claim, ClaimOutcome, Verdict, merge_claims
+from .table import Claim, ClaimOutcome, ClaimStatus, merge_claims
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -101,7 +101,7 @@
         granted = {
             outcome.standing.claim_id
             for outcome in outcomes
-            if outcome.verdict is Verdict.GRANTED and outcome.standing is not None
+            if outcome.status is ClaimStatus.GRANTED and outcome.standing is not None
         }
         self._in_flight = granted - self._list_standing()
         drops = len(kept) < len(self._claims)
--- a/libraries/decisions/src/bamboopier_decisions/claims/table.py
+++ b/libraries/decisions/src/bamboopier_decisions/claims/table.py
@@ -15,7 +15,7 @@
     from collections.abc import Sequence
 
 
-class Verdict(StrEnum):
+class ClaimStatus(StrEnum):
     """What became of a wish to run a key."""
 
     GRANTED = "granted"
@@ -43,7 +43,7 @@
 class ClaimOutcome:
     """The verdict and, unless full, the claim that stands under the key."""
 
-    verdict: Verdict
+    status: ClaimStatus
     standing: Claim | None = None
     # Version of the partition that shows it; 0 while that is not known.
     version: int = 0
@@ -70,11 +70,11 @@
     found = by_key.get(claim.key)
     if found is None:
         if len(by_key) >= capacity:
-            return ClaimOutcome(Verdict.FULL)
+            return ClaimOutcome(ClaimStatus.FULL)
         by_key[claim.key] = claim
-        return ClaimOutcome(Verdict.GRANTED, claim)
+        return ClaimOutcome(ClaimStatus.GRANTED, claim)
     if found.claim_id == claim.claim_id:
-        return ClaimOutcome(Verdict.GRANTED, found)
+        return ClaimOutcome(ClaimStatus.GRANTED, found)
     if found.fingerprint != claim.fingerprint:
-        return ClaimOutcome(Verdict.REUSED, found)
-    return ClaimOutcome(Verdict.HELD, found)
+        return ClaimOutcome(ClaimStatus.REUSED, found)
+    return ClaimOutcome(ClaimStatus.HELD, found)
--- a/libraries/decisions/tests/test_claims.py
+++ b/libraries/decisions/tests/test_claims.py
@@ -23,7 +23,7 @@
 )
 
 from bamboopier_decisions.claims.partition import ClaimPartition, ClaimPlan
-from bamboopier_decisions.claims.table import Claim, ClaimOutcome, Verdict
+from bamboopier_decisions.claims.table import Claim, ClaimOutcome, ClaimStatus
 
 LIFETIME = 1000.0
 AGENTS = 3
@@ -160,7 +160,7 @@
         # Whoever left or came while the write was under way has no outcome in it.
         waiting = {claim.claim_id: claim for claim in agent.waiting}
         for claim, outcome in zip(agent.planned, outcomes, strict=True):
-            if outcome.verdict is not Verdict.GRANTED:
+            if outcome.status is not ClaimStatus.GRANTED:
                 continue
             if waiting.pop(claim.claim_id, None) is not None:
                 agent.granted.append((claim, agent.partition.version))
@@ -286,20 +286,20 @@
         first = Claim(b"k", b"body", "c1", "agent-1", 0.0)
         again = Claim(b"k", b"body", "c2", "agent-2", 0.0)
         other = Claim(b"k", b"other", "c3", "agent-2", 0.0)
-        for now, claim, verdict in (
-            (LIFETIME - 1, again, Verdict.HELD),
-            (LIFETIME - 1, other, Verdict.REUSED),
-            (LIFETIME, again, Verdict.GRANTED),
+        for now, claim, status in (
+            (LIFETIME - 1, again, ClaimStatus.HELD),
+            (LIFETIME - 1, other, ClaimStatus.REUSED),
+            (LIFETIME, again, ClaimStatus.GRANTED),
         ):
             with self.subTest(now=now, claim=claim.claim_id):
                 partition = ClaimPartition(LIFETIME, capacity=8)
                 partition.observe(7, (first,))
                 plan = partition.plan([claim], now)
-                self.assertEqual(plan.outcomes[0].verdict, verdict)
+                self.assertEqual(plan.outcomes[0].status, status)
 
     def test_a_full_partition_refuses_what_it_could_not_remember(self) -> None:
         partition = ClaimPartition(LIFETIME, capacity=1)
         partition.observe(7, (Claim(b"k", b"body", "c1", "agent-1", 0.0),))
         plan = partition.plan([Claim(b"n", b"body", "c2", "agent-2", 0.0)], 1.0)
-        self.assertEqual(plan.outcomes[0].verdict, Verdict.FULL)
+        self.assertEqual(plan.outcomes[0].status, ClaimStatus.FULL)
         self.assertFalse(plan.needs_write)
--- a/tools/measure_claims.py
+++ b/tools/measure_claims.py
@@ -20,7 +20,7 @@
 from bamboopier_agent import claims
 from bamboopier_agent.claims import ClaimTable
 from bamboopier_configuration.model import Service
-from bamboopier_decisions.claims.table import Verdict
+from bamboopier_decisions.claims.table import ClaimStatus
 from bamboopier_objects.http_platform import HttpPlatform
 from bamboopier_standins.platform import PlatformStandIn
 
@@ -67,7 +67,7 @@
             answer = await table.claim(DISPATCH, "fosse", f"key-{number}", b"f" * 16)
             times.append(time.monotonic() - begun)
             return isinstance(answer, Ok) and (
-                answer.ok_value.verdict is Verdict.GRANTED
+                answer.ok_value.status is ClaimStatus.GRANTED
             )
 
         granted = sum(await asyncio.gather(*(claim(n) for n in range(count))))
