--- a/libraries/agent/src/bamboopier_agent/claims.py
+++ b/libraries/agent/src/bamboopier_agent/claims.py
@@ -101,7 +101,7 @@
         self, service: Service, granted: ClaimOutcome
     ) -> asyncio.Task[None] | None:
         """Give up a grant without waiting; the task ends once it is released."""
-        claim = granted.standing
+        claim = granted.current
         if claim is None:
             return None
         self._note_given_up(claim)
--- a/libraries/agent/src/bamboopier_agent/refusals.py
+++ b/libraries/agent/src/bamboopier_agent/refusals.py
@@ -31,11 +31,11 @@
 
 def make_claim_refusal(answer: Answer, outcome: ClaimOutcome) -> pb.ServeEvent:
     """Return the event for a key that was not granted."""
-    standing = outcome.standing
-    if outcome.status is ClaimStatus.FULL or standing is None:
+    current = outcome.current
+    if outcome.status is ClaimStatus.FULL or current is None:
         return answer.make_not_run(pb.KEY_TABLE_FULL, FULL_RETRY_SECONDS)
     if outcome.status is ClaimStatus.REUSED:
         return answer.make_not_run(pb.KEY_REUSED)
     return answer.make_not_run(
-        pb.KEY_CLAIMED, claimed_by=standing.holder, claim_id=standing.claim_id
+        pb.KEY_CLAIMED, claimed_by=current.holder, claim_id=current.claim_id
     )
--- a/libraries/agent/tests/test_claims.py
+++ b/libraries/agent/tests/test_claims.py
@@ -118,13 +118,13 @@
         # Agent 1 has read the claim of agent 0, which then releases it. Asked about
         # that claim, agent 0 must not seem to have lost the answer of a run.
         granted = await self.claim(0)
-        assert granted is not None and granted.standing is not None
+        assert granted is not None and granted.current is not None
         seen = await self.claim(1)
-        assert seen is not None and seen.standing is not None
+        assert seen is not None and seen.current is not None
         await self.agents[0].release(DISPATCH, granted)
         await self.wait_until_settled()
         self.assertFalse(self.agents[0].is_abandoned("fosse", "key"))
-        self.assertTrue(self.agents[0].has_given_up(seen.standing.claim_id))
+        self.assertTrue(self.agents[0].has_given_up(seen.current.claim_id))
 
     async def test_a_stop_waits_for_a_claim_left_as_its_grant_arrived(self) -> None:
         # In one turn of the event loop a claim is granted, its gateway leaves, and the
--- a/libraries/decisions/src/bamboopier_decisions/claims/partition.py
+++ b/libraries/decisions/src/bamboopier_decisions/claims/partition.py
@@ -99,9 +99,9 @@
             kept, wanted, now, self._lifetime, self._capacity
         )
         granted = {
-            outcome.standing.claim_id
+            outcome.current.claim_id
             for outcome in outcomes
-            if outcome.status is ClaimStatus.GRANTED and outcome.standing is not None
+            if outcome.status is ClaimStatus.GRANTED and outcome.current is not None
         }
         self._in_flight = granted - self._list_standing()
         drops = len(kept) < len(self._claims)
@@ -138,9 +138,9 @@
         if self._version <= self._uncertain:
             return
         self._may_land.clear()
-        standing = self._list_standing()
+        stored_ids = self._list_standing()
         for claim_id in list(self._abandoned):
-            if claim_id not in standing:
+            if claim_id not in stored_ids:
                 del self._abandoned[claim_id]
 
     def _list_standing(self) -> set[str]:
--- a/libraries/decisions/src/bamboopier_decisions/claims/table.py
+++ b/libraries/decisions/src/bamboopier_decisions/claims/table.py
@@ -44,13 +44,13 @@
     """The verdict and, unless full, the claim that stands under the key."""
 
     status: ClaimStatus
-    standing: Claim | None = None
+    current: Claim | None = None
     # Version of the partition that shows it; 0 while that is not known.
     version: int = 0
 
 
 def merge_claims(
-    standing: Sequence[Claim],
+    stored: Sequence[Claim],
     wanted: Sequence[Claim],
     now: float,
     lifetime: float,
@@ -61,7 +61,7 @@
     Claims older than ``lifetime`` seconds are dropped. A claim that already stands is
     granted again: its earlier write took effect although its answer was lost.
     """
-    by_key = {c.key: c for c in standing if now - c.created < lifetime}
+    by_key = {c.key: c for c in stored if now - c.created < lifetime}
     outcomes = [_merge_one(by_key, claim, capacity) for claim in wanted]
     return tuple(by_key.values()), outcomes
 
