--- a/libraries/agent/src/bamboopier_agent/claim_writer.py
+++ b/libraries/agent/src/bamboopier_agent/claim_writer.py
@@ -102,7 +102,7 @@
 
     async def _work(self) -> None:
         """Write until no claim waits and nothing given up is left."""
-        while self._waiting or not self._partition.settled:
+        while self._waiting or not self._partition.all_released:
             self._arrived.clear()
             batch, self._waiting = self._waiting, []
             answer = await self._commit(batch)
@@ -113,7 +113,7 @@
 
     async def _pause(self) -> None:
         """Wait before the next try, unless a new claim comes in."""
-        if self._waiting or self._partition.settled:
+        if self._waiting or self._partition.all_released:
             return
         waiting = asyncio.ensure_future(self._arrived.wait())
         await asyncio.wait({waiting}, timeout=RELEASE_RETRY_SECONDS)
--- a/libraries/decisions/src/bamboopier_decisions/claims/partition.py
+++ b/libraries/decisions/src/bamboopier_decisions/claims/partition.py
@@ -70,7 +70,7 @@
         return self._version
 
     @property
-    def settled(self) -> bool:
+    def all_released(self) -> bool:
         """Say whether no given-up claim stands or may still land."""
         return not self._abandoned
 
--- a/libraries/decisions/tests/test_claims.py
+++ b/libraries/decisions/tests/test_claims.py
@@ -214,7 +214,7 @@
                 break
             assert self.apply(plan)
             agent.partition.commit(plan, self.version)
-        assert agent.partition.settled
+        assert agent.partition.all_released
 
 
 ClaimMachine.TestCase.settings = settings(
@@ -262,7 +262,7 @@
     if middle == "restart partition":
         # Its writer had nothing left to do and was dropped; the grant lives on.
         agent = machine.agents[0]
-        if agent.granted and agent.partition.settled:
+        if agent.granted and agent.partition.all_released:
             agent.partition = machine.make_partition()
     machine.dispatch(0, end == "run")
     if resend:
