--- a/libraries/agent/src/bamboopier_agent/claim_writer.py
+++ b/libraries/agent/src/bamboopier_agent/claim_writer.py
@@ -152,7 +152,7 @@
                     self._partition.mark_uncertain(plan)
                     last = error
                 case Err(error):
-                    self._partition.reject()
+                    self._partition.abort()
                     return Err(error)
         return Err(last)
 
--- a/libraries/decisions/src/bamboopier_decisions/claims/partition.py
+++ b/libraries/decisions/src/bamboopier_decisions/claims/partition.py
@@ -117,7 +117,7 @@
         self._version, self._claims = version, plan.claims
         self._forget_settled()
 
-    def reject(self) -> None:
+    def abort(self) -> None:
         """Take in that the planned write certainly had no effect."""
         for claim_id in self._in_flight - self._may_land:
             self._abandoned.pop(claim_id, None)
--- a/libraries/decisions/tests/test_claims.py
+++ b/libraries/decisions/tests/test_claims.py
@@ -101,14 +101,14 @@
         if plan is None:
             return
         if fault is CallFault.DOWN:
-            agent.partition.reject()
+            agent.partition.abort()
             self.give_up(agent, agent.waiting)
         elif fault is CallFault.NONE:
             if self.apply(plan):
                 agent.partition.commit(plan, self.version)
                 self.tell(agent, plan.outcomes)
             else:
-                agent.partition.reject()
+                agent.partition.abort()
         else:
             if fault in (CallFault.LOST_AFTER_EFFECT, CallFault.RESENT):
                 self.apply(plan)
--- a/tools/safeguards/claims.py
+++ b/tools/safeguards/claims.py
@@ -99,7 +99,7 @@
         "a claim write with a lost answer is remembered",
         "libraries/agent/src/bamboopier_agent/claim_writer.py",
         "                    self._partition.mark_uncertain(plan)\n",
-        "                    self._partition.reject()\n",
+        "                    self._partition.abort()\n",
         "libraries/agent",
         "tests.test_claims.ClaimTableTests.test_at_most_one_is_granted_and_no_key_is_lost",
     ),
@@ -144,7 +144,7 @@
         "                ):\n",
         "                    VersionConflictError() as error\n"
         "                ):\n"
-        "                    self._partition.reject()\n"
+        "                    self._partition.abort()\n"
         "                    last = error\n"
         "                case Err(PlatformOutcomeUnknownError() as error):\n",
         "libraries/agent",
