--- a/libraries/agent/src/bamboopier_agent/claim_writer.py
+++ b/libraries/agent/src/bamboopier_agent/claim_writer.py
@@ -177,13 +177,13 @@
             return answer
         stored = answer.ok_value
         if stored is None:
-            self._partition.observe(ABSENT, ())
+            self._partition.apply_read(ABSENT, ())
             return Ok(None)
         try:
             claims = _decode(stored.value)
         except msgspec.MsgspecError as error:
             return Err(MalformedObjectError(f"{self.name}: {error}"))
-        self._partition.observe(stored.version, claims)
+        self._partition.apply_read(stored.version, claims)
         return Ok(None)
 
 
--- a/libraries/decisions/src/bamboopier_decisions/claims/partition.py
+++ b/libraries/decisions/src/bamboopier_decisions/claims/partition.py
@@ -129,7 +129,7 @@
         self._may_land |= self._in_flight
         self._in_flight.clear()
 
-    def observe(self, version: int, claims: tuple[Claim, ...]) -> None:
+    def apply_read(self, version: int, claims: tuple[Claim, ...]) -> None:
         """Take in what a read found, be it from a replica that lags."""
         self._version, self._claims = version, claims
         self._forget_settled()
--- a/libraries/decisions/tests/test_claims.py
+++ b/libraries/decisions/tests/test_claims.py
@@ -84,7 +84,7 @@
         agent = self.agents[number]
         if agent.plan is not None:
             return
-        agent.partition.observe(
+        agent.partition.apply_read(
             *(self.older if lagging else (self.version, self.stored))
         )
         agent.planned = list(agent.waiting)
@@ -208,7 +208,7 @@
     def settle(self, agent: Agent) -> None:
         self.give_up(agent, agent.waiting)
         for _ in range(3):
-            agent.partition.observe(self.version, self.stored)
+            agent.partition.apply_read(self.version, self.stored)
             plan = agent.partition.plan([], self.now)
             if not plan.needs_write:
                 break
@@ -293,13 +293,13 @@
         ):
             with self.subTest(now=now, claim=claim.claim_id):
                 partition = ClaimPartition(LIFETIME, capacity=8)
-                partition.observe(7, (first,))
+                partition.apply_read(7, (first,))
                 plan = partition.plan([claim], now)
                 self.assertEqual(plan.outcomes[0].status, status)
 
     def test_a_full_partition_refuses_what_it_could_not_remember(self) -> None:
         partition = ClaimPartition(LIFETIME, capacity=1)
-        partition.observe(7, (Claim(b"k", b"body", "c1", "agent-1", 0.0),))
+        partition.apply_read(7, (Claim(b"k", b"body", "c1", "agent-1", 0.0),))
         plan = partition.plan([Claim(b"n", b"body", "c2", "agent-2", 0.0)], 1.0)
         self.assertEqual(plan.outcomes[0].status, ClaimStatus.FULL)
         self.assertFalse(plan.needs_write)
