--- a/libraries/decisions/src/bamboopier_decisions/claims/partition.py
+++ b/libraries/decisions/src/bamboopier_decisions/claims/partition.py
@@ -44,10 +44,10 @@
         "_abandoned",
         "_capacity",
         "_claims",
-        "_in_flight",
+        "_in_flight_ids",
         "_lifetime",
-        "_may_land",
-        "_uncertain",
+        "_uncertain_ids",
+        "_uncertain_version",
         "_version",
     )
 
@@ -57,12 +57,12 @@
         self._version = 0
         self._claims: tuple[Claim, ...] = ()
         # Ids of the claims in the write under way, and in those with a lost answer.
-        self._in_flight: set[str] = set()
-        self._may_land: set[str] = set()
+        self._in_flight_ids: set[str] = set()
+        self._uncertain_ids: set[str] = set()
         # Claims of this agent under which nothing ran or will run, by id.
         self._abandoned: dict[str, Claim] = {}
         # Highest version that a write with a lost answer expected; -1 when none.
-        self._uncertain = -1
+        self._uncertain_version = -1
 
     @property
     def version(self) -> int:
@@ -87,61 +87,61 @@
         leave work behind for each of them.
         """
         claim_id = claim.claim_id
-        written = claim_id in self._in_flight or claim_id in self._may_land
-        if granted_at or written or claim_id in self._list_standing():
+        written = claim_id in self._in_flight_ids or claim_id in self._uncertain_ids
+        if granted_at or written or claim_id in self._list_stored_ids():
             self._abandoned[claim_id] = claim
-            self._uncertain = max(self._uncertain, granted_at - 1)
+            self._uncertain_version = max(self._uncertain_version, granted_at - 1)
 
-    def plan(self, wanted: Sequence[Claim], now: float) -> ClaimPlan:
-        """Return the update that claims ``wanted`` and drops what was given up."""
+    def plan(self, requested: Sequence[Claim], now: float) -> ClaimPlan:
+        """Return the update that claims ``requested`` and drops what was given up."""
         kept = [c for c in self._claims if c.claim_id not in self._abandoned]
         merged, outcomes = merge_claims(
-            kept, wanted, now, self._lifetime, self._capacity
+            kept, requested, now, self._lifetime, self._capacity
         )
         granted = {
             outcome.current.claim_id
             for outcome in outcomes
             if outcome.status is ClaimStatus.GRANTED and outcome.current is not None
         }
-        self._in_flight = granted - self._list_standing()
+        self._in_flight_ids = granted - self._list_stored_ids()
         drops = len(kept) < len(self._claims)
         # A write whose answer was lost can land as long as its expected version
         # stands. Moving the version on is what makes it impossible.
-        may_land = bool(self._abandoned) and self._version <= self._uncertain
-        needs_write = bool(self._in_flight) or drops or may_land
+        may_land = bool(self._abandoned) and self._version <= self._uncertain_version
+        needs_write = bool(self._in_flight_ids) or drops or may_land
         return ClaimPlan(merged, self._version, tuple(outcomes), needs_write)
 
     def commit(self, plan: ClaimPlan, version: int) -> None:
         """Take in that the planned write was answered with ``version``."""
-        self._in_flight.clear()
+        self._in_flight_ids.clear()
         self._version, self._claims = version, plan.claims
-        self._forget_settled()
+        self._drop_released()
 
     def abort(self) -> None:
         """Take in that the planned write certainly had no effect."""
-        for claim_id in self._in_flight - self._may_land:
+        for claim_id in self._in_flight_ids - self._uncertain_ids:
             self._abandoned.pop(claim_id, None)
-        self._in_flight.clear()
+        self._in_flight_ids.clear()
 
     def mark_uncertain(self, plan: ClaimPlan) -> None:
         """Take in that the planned write may have taken effect, or may yet."""
-        self._uncertain = max(self._uncertain, plan.expected_version)
-        self._may_land |= self._in_flight
-        self._in_flight.clear()
+        self._uncertain_version = max(self._uncertain_version, plan.expected_version)
+        self._uncertain_ids |= self._in_flight_ids
+        self._in_flight_ids.clear()
 
     def apply_read(self, version: int, claims: tuple[Claim, ...]) -> None:
         """Take in what a read found, be it from a replica that lags."""
         self._version, self._claims = version, claims
-        self._forget_settled()
+        self._drop_released()
 
-    def _forget_settled(self) -> None:
-        if self._version <= self._uncertain:
+    def _drop_released(self) -> None:
+        if self._version <= self._uncertain_version:
             return
-        self._may_land.clear()
-        stored_ids = self._list_standing()
+        self._uncertain_ids.clear()
+        stored_ids = self._list_stored_ids()
         for claim_id in list(self._abandoned):
             if claim_id not in stored_ids:
                 del self._abandoned[claim_id]
 
-    def _list_standing(self) -> set[str]:
+    def _list_stored_ids(self) -> set[str]:
         return {claim.claim_id for claim in self._claims}
--- a/libraries/decisions/src/bamboopier_decisions/claims/table.py
+++ b/libraries/decisions/src/bamboopier_decisions/claims/table.py
@@ -51,22 +51,22 @@
 
 def merge_claims(
     stored: Sequence[Claim],
-    wanted: Sequence[Claim],
+    requested: Sequence[Claim],
     now: float,
     lifetime: float,
     capacity: int,
 ) -> tuple[tuple[Claim, ...], list[ClaimOutcome]]:
-    """Return the partition after ``wanted`` and an outcome for each of them.
+    """Return the partition after ``requested`` and an outcome for each of them.
 
     Claims older than ``lifetime`` seconds are dropped. A claim that already stands is
     granted again: its earlier write took effect although its answer was lost.
     """
     by_key = {c.key: c for c in stored if now - c.created < lifetime}
-    outcomes = [_merge_one(by_key, claim, capacity) for claim in wanted]
+    outcomes = [_merge_claim(by_key, claim, capacity) for claim in requested]
     return tuple(by_key.values()), outcomes
 
 
-def _merge_one(by_key: dict[bytes, Claim], claim: Claim, capacity: int) -> ClaimOutcome:
+def _merge_claim(by_key: dict[bytes, Claim], claim: Claim, capacity: int) -> ClaimOutcome:
     found = by_key.get(claim.key)
     if found is None:
         if len(by_key) >= capacity:
--- a/tools/safeguards/claims.py
+++ b/tools/safeguards/claims.py
@@ -9,7 +9,7 @@
         "a delayed claim write is made impossible before its claim counts as released",
         "libraries/decisions/src/bamboopier_decisions/claims/partition.py",
         "        may_land = bool(self._abandoned) and self._version "
-        "<= self._uncertain\n",
+        "<= self._uncertain_version\n",
         "        may_land = False\n",
         "libraries/decisions",
         "tests.test_claims.ClaimCellTests",
@@ -17,10 +17,10 @@
     Mutation(
         "a given-up claim is remembered while its write may land",
         "libraries/decisions/src/bamboopier_decisions/claims/partition.py",
-        "        if self._version <= self._uncertain:\n"
+        "        if self._version <= self._uncertain_version:\n"
         "            return\n"
-        "        self._may_land.clear()",
-        "        self._may_land.clear()",
+        "        self._uncertain_ids.clear()",
+        "        self._uncertain_ids.clear()",
         "libraries/decisions",
         "tests.test_claims.ClaimCellTests",
     ),
@@ -44,7 +44,7 @@
     Mutation(
         "a claim given up during its write is released",
         "libraries/decisions/src/bamboopier_decisions/claims/partition.py",
-        "        written = claim_id in self._in_flight or claim_id in self._may_land\n",
+        "        written = claim_id in self._in_flight_ids or claim_id in self._uncertain_ids\n",
         "        written = False\n",
         "libraries/decisions",
         "tests.test_claims.ClaimCellTests",
@@ -60,7 +60,7 @@
     Mutation(
         "an older replica does not prove a granted claim gone",
         "libraries/decisions/src/bamboopier_decisions/claims/partition.py",
-        "            self._uncertain = max(self._uncertain, granted_at - 1)\n",
+        "            self._uncertain_version = max(self._uncertain_version, granted_at - 1)\n",
         "",
         "libraries/decisions",
         "tests.test_claims.ClaimCellTests",
@@ -114,7 +114,7 @@
     Mutation(
         "an outage leaves no claims to release",
         "libraries/decisions/src/bamboopier_decisions/claims/partition.py",
-        "        if granted_at or written or claim_id in self._list_standing():\n"
+        "        if granted_at or written or claim_id in self._list_stored_ids():\n"
         "            self._abandoned",
         "        if True:\n            self._abandoned",
         "libraries/agent",
