--- a/libraries/agent/src/bamboopier_agent/context.py
+++ b/libraries/agent/src/bamboopier_agent/context.py
@@ -13,7 +13,7 @@
 from bamboopier_decisions.context.blocks import derive_workspace_secret
 from bamboopier_decisions.context.fetch_choice import (
     FetchPlan,
-    FetchQuestion,
+    FetchConditions,
     FetchReason,
     choose_fetch,
     is_worth_keeping,
@@ -143,8 +143,8 @@
             if cached < len(keys):
                 self._resident.note_absent(keys[cached])
             self._resident.confirm(now, keys)
-            question = self._ask(request, 1)
-            worth = is_worth_keeping(question, self._link.view.cost_weights)
+            conditions = self._ask(request, 1)
+            worth = is_worth_keeping(conditions, self._link.view.cost_weights)
             self.exporter.offer(request, worth=worth)
 
     async def run(self) -> None:
@@ -176,10 +176,10 @@
             return FetchPlan(0, FetchReason.NO_STORE)
         return choose_fetch(self._ask(request, missing), view.cost_weights)
 
-    def _ask(self, request: ServeRequest, missing: int) -> FetchQuestion:
+    def _ask(self, request: ServeRequest, missing: int) -> FetchConditions:
         now = time.monotonic()
         block_tokens = self.find_block_tokens(request)
-        return FetchQuestion(
+        return FetchConditions(
             blocks=missing,
             block_bytes=self._link.estimate_block_bytes(block_tokens),
             block_tokens=block_tokens,
--- a/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FetchQuestion:
+class FetchConditions:
     """What is known when a request arrives whose engine lacks blocks."""
 
     # Missing blocks, a run of the prompt's chain.
@@ -70,41 +70,41 @@
     give_up_after: float = 0.0
 
 
-def choose_fetch(question: FetchQuestion, weights: CostWeights) -> FetchPlan:
+def choose_fetch(conditions: FetchConditions, weights: CostWeights) -> FetchPlan:
     """Return the split with the least weighted cost, the fewest blocks on a tie."""
-    costs = [_weigh(question, weights, count) for count in range(question.blocks + 1)]
+    costs = [_weigh(conditions, weights, count) for count in range(conditions.blocks + 1)]
     best = costs.index(min(costs))
     if best == 0:
         return FetchPlan(0, FetchReason.RECOMPUTE_IS_QUICKER)
-    predicted = expect_transfer(question, best)
-    saved = best * question.block_tokens / question.prefill_rate
+    predicted = expect_transfer(conditions, best)
+    saved = best * conditions.block_tokens / conditions.prefill_rate
     # However late the store is, the caller waits no longer for it than recomputing
     # the same blocks would have cost (as the preset weighs it).
     worth = saved * (1 + weights.recompute) / (1 + weights.link)
     patience = max(predicted * LATE_FACTOR, MIN_PATIENCE)
-    reason = FetchReason.FETCH if best == question.blocks else FetchReason.FETCH_PART
+    reason = FetchReason.FETCH if best == conditions.blocks else FetchReason.FETCH_PART
     return FetchPlan(best, reason, predicted, min(worth, patience))
 
 
-def is_worth_keeping(question: FetchQuestion, weights: CostWeights) -> bool:
+def is_worth_keeping(conditions: FetchConditions, weights: CostWeights) -> bool:
     """Say whether a block would be fetched again at the budget's lasting rate.
 
     Where recomputing is quicker, an export fills link and store for nobody.
     """
-    lasting = replace(question, blocks=1, free_bytes=0.0)
+    lasting = replace(conditions, blocks=1, free_bytes=0.0)
     return choose_fetch(lasting, weights).blocks == 1
 
 
-def expect_transfer(question: FetchQuestion, blocks: int) -> float:
+def expect_transfer(conditions: FetchConditions, blocks: int) -> float:
     """Return the seconds that fetching ``blocks`` blocks takes on the link now."""
-    size = blocks * question.block_bytes
-    on_link = size / question.link_rate
-    in_budget = (size - question.free_bytes) / question.budget_rate
+    size = blocks * conditions.block_bytes
+    on_link = size / conditions.link_rate
+    in_budget = (size - conditions.free_bytes) / conditions.budget_rate
     return max(on_link, in_budget)
 
 
-def _weigh(question: FetchQuestion, weights: CostWeights, fetched: int) -> float:
-    recomputed = (question.blocks - fetched) * question.block_tokens
-    prefill = recomputed / question.prefill_rate
-    transfer = expect_transfer(question, fetched) if fetched else 0.0
+def _weigh(conditions: FetchConditions, weights: CostWeights, fetched: int) -> float:
+    recomputed = (conditions.blocks - fetched) * conditions.block_tokens
+    prefill = recomputed / conditions.prefill_rate
+    transfer = expect_transfer(conditions, fetched) if fetched else 0.0
     return transfer * (1 + weights.link) + prefill * (1 + weights.recompute)
--- a/libraries/decisions/tests/test_fetch_choice.py
+++ b/libraries/decisions/tests/test_fetch_choice.py
@@ -8,7 +8,7 @@
 from bamboopier_decisions.context.fetch_choice import (
     FIRST_TOKEN,
     RECOMPUTE,
-    FetchQuestion,
+    FetchConditions,
     FetchReason,
     choose_fetch,
     expect_transfer,
@@ -16,7 +16,7 @@
 )
 
 # Ten blocks of 13 MB; recomputing one takes 0.25 s, fetching one 0.1 s.
-QUESTION = FetchQuestion(
+CONDITIONS = FetchConditions(
     blocks=10,
     block_bytes=12.5e6,
     block_tokens=2000,
@@ -48,23 +48,23 @@
         ]
         for name, change, first_token, recomputed in rows:
             with self.subTest(name):
-                question = replace(QUESTION, **change)
-                plan = choose_fetch(question, FIRST_TOKEN)
+                conditions = replace(CONDITIONS, **change)
+                plan = choose_fetch(conditions, FIRST_TOKEN)
                 self.assertIs(plan.reason, first_token)
-                self.assertIs(choose_fetch(question, RECOMPUTE).reason, recomputed)
+                self.assertIs(choose_fetch(conditions, RECOMPUTE).reason, recomputed)
 
     def test_each_preset_leans_to_what_it_weighs(self) -> None:
         # Over a range of link speeds Kaaspost's preset never recomputes more, and
         # Fosse's never predicts a later first token.
         leaned = 0
         for tenths in range(1, 40):
-            question = replace(QUESTION, link_rate=tenths * 5e6)
-            quick = choose_fetch(question, FIRST_TOKEN)
-            thrifty = choose_fetch(question, RECOMPUTE)
+            conditions = replace(CONDITIONS, link_rate=tenths * 5e6)
+            quick = choose_fetch(conditions, FIRST_TOKEN)
+            thrifty = choose_fetch(conditions, RECOMPUTE)
             self.assertGreaterEqual(thrifty.blocks, quick.blocks)
             self.assertLessEqual(
-                expect_first_token(question, quick.blocks),
-                expect_first_token(question, thrifty.blocks),
+                expect_first_token(conditions, quick.blocks),
+                expect_first_token(conditions, thrifty.blocks),
             )
             leaned += thrifty.blocks > quick.blocks
         self.assertGreater(leaned, 0)
@@ -72,25 +72,25 @@
     def test_blocks_that_nobody_would_fetch_are_not_kept(self) -> None:
         # At 41 MB/s Fosse recomputes what Kaaspost would fetch; a burst that happens to
         # be free does not count, a link busy just now neither.
-        slow = replace(QUESTION, budget_rate=41e6)
-        rows = [(QUESTION, True, True), (slow, False, True)]
-        rows.append((replace(QUESTION, free_bytes=-1e9), True, True))
-        rows.append((replace(QUESTION, link_rate=1e6), False, False))
-        for question, first_token, recompute in rows:
-            self.assertIs(is_worth_keeping(question, FIRST_TOKEN), first_token)
-            self.assertIs(is_worth_keeping(question, RECOMPUTE), recompute)
+        slow = replace(CONDITIONS, budget_rate=41e6)
+        rows = [(CONDITIONS, True, True), (slow, False, True)]
+        rows.append((replace(CONDITIONS, free_bytes=-1e9), True, True))
+        rows.append((replace(CONDITIONS, link_rate=1e6), False, False))
+        for conditions, first_token, recompute in rows:
+            self.assertIs(is_worth_keeping(conditions, FIRST_TOKEN), first_token)
+            self.assertIs(is_worth_keeping(conditions, RECOMPUTE), recompute)
 
     def test_no_caller_waits_longer_for_a_store_than_recomputing_costs(self) -> None:
         # A hung store answers nothing: what the caller loses is the plan's patience.
         for tenths in range(1, 400):
-            question = replace(QUESTION, link_rate=tenths * 1e7)
-            plan = choose_fetch(question, FIRST_TOKEN)
-            saved = plan.blocks * question.block_tokens / question.prefill_rate
+            conditions = replace(CONDITIONS, link_rate=tenths * 1e7)
+            plan = choose_fetch(conditions, FIRST_TOKEN)
+            saved = plan.blocks * conditions.block_tokens / conditions.prefill_rate
             self.assertLessEqual(plan.give_up_after, saved)
 
 
-def expect_first_token(question: FetchQuestion, fetched: int) -> float:
+def expect_first_token(conditions: FetchConditions, fetched: int) -> float:
     """Return the seconds that a split costs the caller."""
-    recomputed = (question.blocks - fetched) * question.block_tokens
-    transfer = expect_transfer(question, fetched) if fetched else 0.0
-    return transfer + recomputed / question.prefill_rate
+    recomputed = (conditions.blocks - fetched) * conditions.block_tokens
+    transfer = expect_transfer(conditions, fetched) if fetched else 0.0
+    return transfer + recomputed / conditions.prefill_rate
--- a/tools/bench_context/drive.py
+++ b/tools/bench_context/drive.py
@@ -14,7 +14,7 @@
 from bamboopier_decisions.context.export_choice import ExportItem, ReturnOdds
 from bamboopier_decisions.context.fetch_choice import (
     CostWeights,
-    FetchQuestion,
+    FetchConditions,
     choose_fetch,
     is_worth_keeping,
 )
@@ -149,8 +149,8 @@
         if not missing:
             return 0.0
         size = self.site.block_bytes
-        question = self._ask(now, engine, len(missing))
-        plan = choose_fetch(question, self.policy.weights)
+        conditions = self._ask(now, engine, len(missing))
+        plan = choose_fetch(conditions, self.policy.weights)
         seconds = 0.0
         fetched: list[bytes] = []
         for depth, key in enumerate(missing[: plan.blocks], resident):
@@ -176,8 +176,8 @@
         engine.remember(now, fetched)
         return seconds
 
-    def _ask(self, now: float, engine: Engine, missing: int) -> FetchQuestion:
-        return FetchQuestion(
+    def _ask(self, now: float, engine: Engine, missing: int) -> FetchConditions:
+        return FetchConditions(
             blocks=missing,
             block_bytes=self.site.block_bytes,
             block_tokens=BLOCK_TOKENS,
