--- a/libraries/agent/src/bamboopier_agent/context_view.py
+++ b/libraries/agent/src/bamboopier_agent/context_view.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from bamboopier_decisions.context.block_name import derive_workspace_tag
-from bamboopier_decisions.context.fetch_choice import FIRST_TOKEN, PRESETS, CostWeights
+from bamboopier_decisions.context.fetch_choice import FIRST_TOKEN_WEIGHTS, PRESETS, CostWeights
 from bamboopier_decisions.context.placement import StoreVm
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
     store_vms: tuple[StoreVm, ...] = ()
     replicas: int = 1
     data_centre: str = ""
-    cost_weights: CostWeights = FIRST_TOKEN
+    cost_weights: CostWeights = FIRST_TOKEN_WEIGHTS
     link_bytes_per_second: float = DEFAULT_LINK_BYTES_PER_SECOND
     # By model name.
     block_tokens: Mapping[str, int] = field(default_factory=dict)
--- a/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
@@ -36,11 +36,11 @@
 
 
 # Fosse's callers wait on a dark road: only the time to the first token counts.
-FIRST_TOKEN = CostWeights(recompute=0.0, link=0.0)
+FIRST_TOKEN_WEIGHTS = CostWeights(recompute=0.0, link=0.0)
 # Kaaspost's catalogues recur all day: a second of prefill is also taken from other
 # callers and counts twice; a second of link delays other fetches and counts a quarter.
-RECOMPUTE = CostWeights(recompute=1.0, link=0.25)
-PRESETS = {"first-token": FIRST_TOKEN, "recompute": RECOMPUTE}
+RECOMPUTE_WEIGHTS = CostWeights(recompute=1.0, link=0.25)
+PRESETS = {"first-token": FIRST_TOKEN_WEIGHTS, "recompute": RECOMPUTE_WEIGHTS}
 
 
 @dataclass(frozen=True, slots=True)
--- a/libraries/decisions/tests/test_fetch_choice.py
+++ b/libraries/decisions/tests/test_fetch_choice.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 
 from bamboopier_decisions.context.fetch_choice import (
-    FIRST_TOKEN,
-    RECOMPUTE,
+    FIRST_TOKEN_WEIGHTS,
+    RECOMPUTE_WEIGHTS,
     FetchConditions,
     FetchReason,
     choose_fetch,
@@ -49,9 +49,9 @@
         for name, change, first_token, recomputed in rows:
             with self.subTest(name):
                 conditions = replace(CONDITIONS, **change)
-                plan = choose_fetch(conditions, FIRST_TOKEN)
+                plan = choose_fetch(conditions, FIRST_TOKEN_WEIGHTS)
                 self.assertIs(plan.reason, first_token)
-                self.assertIs(choose_fetch(conditions, RECOMPUTE).reason, recomputed)
+                self.assertIs(choose_fetch(conditions, RECOMPUTE_WEIGHTS).reason, recomputed)
 
     def test_each_preset_leans_to_what_it_weighs(self) -> None:
         # Over a range of link speeds Kaaspost's preset never recomputes more, and
@@ -59,8 +59,8 @@
         leaned = 0
         for tenths in range(1, 40):
             conditions = replace(CONDITIONS, link_rate=tenths * 5e6)
-            quick = choose_fetch(conditions, FIRST_TOKEN)
-            thrifty = choose_fetch(conditions, RECOMPUTE)
+            quick = choose_fetch(conditions, FIRST_TOKEN_WEIGHTS)
+            thrifty = choose_fetch(conditions, RECOMPUTE_WEIGHTS)
             self.assertGreaterEqual(thrifty.blocks, quick.blocks)
             self.assertLessEqual(
                 expect_first_token(conditions, quick.blocks),
@@ -77,14 +77,14 @@
         rows.append((replace(CONDITIONS, free_bytes=-1e9), True, True))
         rows.append((replace(CONDITIONS, link_rate=1e6), False, False))
         for conditions, first_token, recompute in rows:
-            self.assertIs(is_worth_keeping(conditions, FIRST_TOKEN), first_token)
-            self.assertIs(is_worth_keeping(conditions, RECOMPUTE), recompute)
+            self.assertIs(is_worth_keeping(conditions, FIRST_TOKEN_WEIGHTS), first_token)
+            self.assertIs(is_worth_keeping(conditions, RECOMPUTE_WEIGHTS), recompute)
 
     def test_no_caller_waits_longer_for_a_store_than_recomputing_costs(self) -> None:
         # A hung store answers nothing: what the caller loses is the plan's patience.
         for tenths in range(1, 400):
             conditions = replace(CONDITIONS, link_rate=tenths * 1e7)
-            plan = choose_fetch(conditions, FIRST_TOKEN)
+            plan = choose_fetch(conditions, FIRST_TOKEN_WEIGHTS)
             saved = plan.blocks * conditions.block_tokens / conditions.prefill_rate
             self.assertLessEqual(plan.give_up_after, saved)
 
--- a/tools/bench_context/__main__.py
+++ b/tools/bench_context/__main__.py
@@ -7,7 +7,7 @@
 
 import fire
 
-from bamboopier_decisions.context.fetch_choice import FIRST_TOKEN, RECOMPUTE
+from bamboopier_decisions.context.fetch_choice import FIRST_TOKEN_WEIGHTS, RECOMPUTE_WEIGHTS
 from bamboopier_decisions.context.link_budget import BURST_SECONDS
 
 from .drive import Drive, Policy
@@ -26,12 +26,12 @@
 POLICIES = (
     Policy("round robin, no store", "round-robin"),
     Policy("least loaded, no store", "least-loaded"),
-    Policy("least loaded, store", "least-loaded", FIRST_TOKEN),
+    Policy("least loaded, store", "least-loaded", FIRST_TOKEN_WEIGHTS),
     Policy("affinity, no store", "affinity"),
-    Policy("first-token", "affinity", FIRST_TOKEN),
-    Policy("recompute", "affinity", RECOMPUTE),
-    Policy("first-token, narrow link", "affinity", FIRST_TOKEN),
-    Policy("recompute, narrow link", "affinity", RECOMPUTE),
+    Policy("first-token", "affinity", FIRST_TOKEN_WEIGHTS),
+    Policy("recompute", "affinity", RECOMPUTE_WEIGHTS),
+    Policy("first-token, narrow link", "affinity", FIRST_TOKEN_WEIGHTS),
+    Policy("recompute, narrow link", "affinity", RECOMPUTE_WEIGHTS),
 )
 BASELINES = 2
 OWN = 4
