--- a/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
@@ -76,7 +76,7 @@
     best = costs.index(min(costs))
     if best == 0:
         return FetchPlan(0, FetchReason.RECOMPUTE_IS_QUICKER)
-    predicted = expect_transfer(conditions, best)
+    predicted = predict_transfer_seconds(conditions, best)
     saved = best * conditions.block_tokens / conditions.prefill_rate
     # However late the store is, the caller waits no longer for it than recomputing
     # the same blocks would have cost (as the preset weighs it).
@@ -95,7 +95,7 @@
     return choose_fetch(lasting, weights).blocks == 1
 
 
-def expect_transfer(conditions: FetchConditions, blocks: int) -> float:
+def predict_transfer_seconds(conditions: FetchConditions, blocks: int) -> float:
     """Return the seconds that fetching ``blocks`` blocks takes on the link now."""
     size = blocks * conditions.block_bytes
     on_link = size / conditions.link_rate
@@ -106,5 +106,5 @@
 def _weigh(conditions: FetchConditions, weights: CostWeights, fetched: int) -> float:
     recomputed = (conditions.blocks - fetched) * conditions.block_tokens
     prefill = recomputed / conditions.prefill_rate
-    transfer = expect_transfer(conditions, fetched) if fetched else 0.0
+    transfer = predict_transfer_seconds(conditions, fetched) if fetched else 0.0
     return transfer * (1 + weights.link) + prefill * (1 + weights.recompute)
--- a/libraries/decisions/tests/test_fetch_choice.py
+++ b/libraries/decisions/tests/test_fetch_choice.py
@@ -11,7 +11,7 @@
     FetchConditions,
     FetchReason,
     choose_fetch,
-    expect_transfer,
+    predict_transfer_seconds,
     is_worth_keeping,
 )
 
@@ -92,5 +92,5 @@
 def expect_first_token(conditions: FetchConditions, fetched: int) -> float:
     """Return the seconds that a split costs the caller."""
     recomputed = (conditions.blocks - fetched) * conditions.block_tokens
-    transfer = expect_transfer(conditions, fetched) if fetched else 0.0
+    transfer = predict_transfer_seconds(conditions, fetched) if fetched else 0.0
     return transfer + recomputed / conditions.prefill_rate
