--- a/libraries/agent/src/bamboopier_agent/context.py
+++ b/libraries/agent/src/bamboopier_agent/context.py
@@ -16,7 +16,7 @@
     FetchConditions,
     FetchReason,
     choose_fetch,
-    is_worth_keeping,
+    is_worth_exporting,
 )
 from bamboopier_decisions.context.rates import MeasuredRate
 from bamboopier_decisions.context.resident import ResidentKeys
@@ -144,7 +144,7 @@
                 self._resident.note_absent(keys[cached])
             self._resident.confirm(now, keys)
             conditions = self._ask(request, 1)
-            worth = is_worth_keeping(conditions, self._link.view.cost_weights)
+            worth = is_worth_exporting(conditions, self._link.view.cost_weights)
             self.exporter.offer(request, worth=worth)
 
     async def run(self) -> None:
--- a/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
@@ -86,7 +86,7 @@
     return FetchPlan(best, reason, predicted, min(worth, patience))
 
 
-def is_worth_keeping(conditions: FetchConditions, weights: CostWeights) -> bool:
+def is_worth_exporting(conditions: FetchConditions, weights: CostWeights) -> bool:
     """Say whether a block would be fetched again at the budget's lasting rate.
 
     Where recomputing is quicker, an export fills link and store for nobody.
--- a/libraries/decisions/tests/test_fetch_choice.py
+++ b/libraries/decisions/tests/test_fetch_choice.py
@@ -12,7 +12,7 @@
     FetchReason,
     choose_fetch,
     predict_transfer_seconds,
-    is_worth_keeping,
+    is_worth_exporting,
 )
 
 # Ten blocks of 13 MB; recomputing one takes 0.25 s, fetching one 0.1 s.
@@ -77,8 +77,8 @@
         rows.append((replace(CONDITIONS, free_bytes=-1e9), True, True))
         rows.append((replace(CONDITIONS, link_rate=1e6), False, False))
         for conditions, first_token, recompute in rows:
-            self.assertIs(is_worth_keeping(conditions, FIRST_TOKEN_WEIGHTS), first_token)
-            self.assertIs(is_worth_keeping(conditions, RECOMPUTE_WEIGHTS), recompute)
+            self.assertIs(is_worth_exporting(conditions, FIRST_TOKEN_WEIGHTS), first_token)
+            self.assertIs(is_worth_exporting(conditions, RECOMPUTE_WEIGHTS), recompute)
 
     def test_no_caller_waits_longer_for_a_store_than_recomputing_costs(self) -> None:
         # A hung store answers nothing: what the caller loses is the plan's patience.
--- a/tools/bench_context/drive.py
+++ b/tools/bench_context/drive.py
@@ -16,7 +16,7 @@
     CostWeights,
     FetchConditions,
     choose_fetch,
-    is_worth_keeping,
+    is_worth_exporting,
 )
 from bamboopier_decisions.context.placement import StoreVm, list_sources, place_block
 from bamboopier_decisions.routing.messages import (
@@ -214,7 +214,7 @@
 
     def _offer(self, now: float, engine: Engine, prompt: Prompt) -> None:
         assert self.policy.weights is not None
-        worth = is_worth_keeping(self._ask(now, engine, 1), self.policy.weights)
+        worth = is_worth_exporting(self._ask(now, engine, 1), self.policy.weights)
         for depth, odds in enumerate(engine.sightings.note_prompt(prompt.keys)):
             key = prompt.keys[depth]
             if worth and key not in engine.known:
