--- a/libraries/agent/src/bamboopier_agent/context.py
+++ b/libraries/agent/src/bamboopier_agent/context.py
@@ -199,7 +199,7 @@
         started = time.monotonic()
         imported = 0
         size = 0
-        give_up_at = started + plan.give_up_after
+        give_up_at = started + plan.timeout
         failure: StoreError | None = None
         async with self._fetcher.open(
             names, secret, work.weight_version, give_up_at
--- a/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
@@ -67,7 +67,7 @@
     reason: FetchReason
     # Seconds.
     predicted: float = 0.0
-    give_up_after: float = 0.0
+    timeout: float = 0.0
 
 
 def choose_fetch(conditions: FetchConditions, weights: CostWeights) -> FetchPlan:
--- a/libraries/decisions/tests/test_fetch_choice.py
+++ b/libraries/decisions/tests/test_fetch_choice.py
@@ -86,7 +86,7 @@
             conditions = replace(CONDITIONS, link_rate=tenths * 1e7)
             plan = choose_fetch(conditions, FIRST_TOKEN_WEIGHTS)
             saved = plan.blocks * conditions.block_tokens / conditions.prefill_rate
-            self.assertLessEqual(plan.give_up_after, saved)
+            self.assertLessEqual(plan.timeout, saved)
 
 
 def expect_first_token(conditions: FetchConditions, fetched: int) -> float:
--- a/tools/bench_context/drive.py
+++ b/tools/bench_context/drive.py
@@ -160,11 +160,11 @@
             wait = engine.budget.take_fetch(now, size)
             speed = engine.read_link_speed(now)
             done = max(seconds, wait) + size / speed
-            if done > plan.give_up_after:
+            if done > plan.timeout:
                 engine.budget.settle_fetch(size, 0)
-                engine.rate.add_late(now, (len(fetched) + 1) * size, plan.give_up_after)
+                engine.rate.add_late(now, (len(fetched) + 1) * size, plan.timeout)
                 self.late_fetches += 1
-                seconds = plan.give_up_after
+                seconds = plan.timeout
                 break
             engine.transfers.append((now + wait, size))
             seconds = done
