--- a/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
@@ -12,9 +12,9 @@
 from enum import StrEnum
 
 # A fetch that takes this many times its prediction is on a link that has changed.
-LATE_FACTOR = 2.0
+TIMEOUT_FACTOR = 2.0
 # Least seconds before a fetch counts as late; below it is scheduling noise.
-MIN_PATIENCE = 0.05
+MIN_TIMEOUT_SECONDS = 0.05
 
 
 class FetchReason(StrEnum):
@@ -81,9 +81,9 @@
     # However late the store is, the caller waits no longer for it than recomputing
     # the same blocks would have cost (as the preset weighs it).
     worth = saved * (1 + weights.recompute) / (1 + weights.link)
-    patience = max(predicted * LATE_FACTOR, MIN_PATIENCE)
+    timeout = max(predicted * TIMEOUT_FACTOR, MIN_TIMEOUT_SECONDS)
     reason = FetchReason.FETCH if best == conditions.blocks else FetchReason.FETCH_PART
-    return FetchPlan(best, reason, predicted, min(worth, patience))
+    return FetchPlan(best, reason, predicted, min(worth, timeout))
 
 
 def is_worth_exporting(conditions: FetchConditions, weights: CostWeights) -> bool:
