--- a/libraries/agent/src/bamboopier_agent/store_link.py
+++ b/libraries/agent/src/bamboopier_agent/store_link.py
@@ -92,7 +92,7 @@
 
     def note_late(self, now: float, size: float, seconds: float) -> None:
         """Learn from a fetch of ``size`` bytes that was given up."""
-        self._rate.add_late(now, size, seconds)
+        self._rate.record_timeout(now, size, seconds)
 
     def list_owners(self, key: bytes) -> list[StoreVm]:
         """Return the VMs a block is written to."""
--- a/libraries/agent/tests/context_builders.py
+++ b/libraries/agent/tests/context_builders.py
@@ -83,7 +83,7 @@
     def add(self, now: float, amount: float, seconds: float) -> None:
         """Ignore a measurement."""
 
-    def add_late(self, now: float, amount: float, seconds: float) -> None:
+    def record_timeout(self, now: float, amount: float, seconds: float) -> None:
         """Ignore a late one."""
 
     def estimate(self, now: float) -> float:
--- a/libraries/decisions/src/bamboopier_decisions/context/rates.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/rates.py
@@ -27,7 +27,7 @@
         """Take a finished piece of work of ``amount`` units."""
         ...
 
-    def add_late(self, now: float, amount: float, seconds: float) -> None:
+    def record_timeout(self, now: float, amount: float, seconds: float) -> None:
         """Take work that was given up after ``seconds`` with ``amount`` expected."""
         ...
 
@@ -55,7 +55,7 @@
         self._rate = current + SMOOTHING * (amount / seconds - current)
         self._measured_at = now
 
-    def add_late(self, now: float, amount: float, seconds: float) -> None:
+    def record_timeout(self, now: float, amount: float, seconds: float) -> None:
         """Take work that was given up after ``seconds`` with ``amount`` expected."""
         if seconds <= 0:
             return
--- a/libraries/decisions/tests/test_rates.py
+++ b/libraries/decisions/tests/test_rates.py
@@ -11,7 +11,7 @@
     def test_late_transfers_cut_a_rate_and_idle_time_restores_it(self) -> None:
         rate = MeasuredRate(100.0, 100.0)
         for now in range(4):
-            rate.add_late(float(now), 50.0, 1.0)
+            rate.record_timeout(float(now), 50.0, 1.0)
         low = rate.estimate(3.0)
         self.assertLess(low, 10.0)
         self.assertAlmostEqual(rate.estimate(3.0 + RECOVERY_SECONDS), 2 * low)
--- a/tools/bench_context/drive.py
+++ b/tools/bench_context/drive.py
@@ -162,7 +162,7 @@
             done = max(seconds, wait) + size / speed
             if done > plan.timeout:
                 engine.budget.settle_fetch(size, 0)
-                engine.rate.add_late(now, (len(fetched) + 1) * size, plan.timeout)
+                engine.rate.record_timeout(now, (len(fetched) + 1) * size, plan.timeout)
                 self.late_fetches += 1
                 seconds = plan.timeout
                 break
