--- a/libraries/agent/src/bamboopier_agent/context.py
+++ b/libraries/agent/src/bamboopier_agent/context.py
@@ -137,7 +137,7 @@
         # its time says nothing about prefill.
         streamed = request.model.stream
         if streamed and new_tokens >= self.find_block_tokens(request):
-            self._rates.prefill.add(now, new_tokens, seconds)
+            self._rates.prefill.record(now, new_tokens, seconds)
         if cached_tokens + new_tokens > 0:
             cached = cached_tokens // self.find_block_tokens(request)
             if cached < len(keys):
--- a/libraries/agent/src/bamboopier_agent/store_link.py
+++ b/libraries/agent/src/bamboopier_agent/store_link.py
@@ -88,7 +88,7 @@
 
     def note_transfer(self, now: float, size: float, seconds: float) -> None:
         """Learn from a fetch that came in time."""
-        self._rate.add(now, size, seconds)
+        self._rate.record(now, size, seconds)
 
     def note_late(self, now: float, size: float, seconds: float) -> None:
         """Learn from a fetch of ``size`` bytes that was given up."""
--- a/libraries/decisions/src/bamboopier_decisions/context/rates.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/rates.py
@@ -23,7 +23,7 @@
 class Rate(Protocol):
     """A speed in units a second."""
 
-    def add(self, now: float, amount: float, seconds: float) -> None:
+    def record(self, now: float, amount: float, seconds: float) -> None:
         """Take a finished piece of work of ``amount`` units."""
         ...
 
@@ -47,7 +47,7 @@
         self._ceiling = ceiling
         self._measured_at = 0.0
 
-    def add(self, now: float, amount: float, seconds: float) -> None:
+    def record(self, now: float, amount: float, seconds: float) -> None:
         """Take a finished piece of work of ``amount`` units."""
         if amount <= 0 or seconds <= 0:
             return
--- a/libraries/decisions/tests/test_rates.py
+++ b/libraries/decisions/tests/test_rates.py
@@ -20,5 +20,5 @@
     def test_a_rate_follows_its_measurements(self) -> None:
         rate = MeasuredRate(100.0, 100.0)
         for now in range(20):
-            rate.add(float(now), 400.0, 1.0)
+            rate.record(float(now), 400.0, 1.0)
         self.assertGreater(rate.estimate(20.0), 390.0)
--- a/tools/bench_context/drive.py
+++ b/tools/bench_context/drive.py
@@ -170,7 +170,7 @@
             seconds = done
             fetched.append(key)
         else:
-            engine.rate.add(now, len(fetched) * size, seconds)
+            engine.rate.record(now, len(fetched) * size, seconds)
         self.fetched_bytes += len(fetched) * size
         engine.known.update(fetched)
         engine.remember(now, fetched)
