--- a/libraries/decisions/src/bamboopier_decisions/context/rates.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/rates.py
@@ -12,7 +12,7 @@
 # Weight of a new measurement: the last handful of transfers decide.
 SMOOTHING = 0.3
 # A transfer that ran late shows only an upper bound of the speed; half of it is taken.
-LATE_FACTOR = 0.5
+TIMEOUT_RATE_FACTOR = 0.5
 # Seconds in which an unmeasured speed doubles again. Without it a link judged too slow
 # would never be used, and so never be measured again.
 RECOVERY_SECONDS = 5.0
@@ -41,8 +41,8 @@
 
     __slots__ = ("_ceiling", "_measured_at", "_rate")
 
-    def __init__(self, first: float, ceiling: float) -> None:
-        self._rate = first
+    def __init__(self, initial: float, ceiling: float) -> None:
+        self._rate = initial
         # The rate never recovers above this by idling; a measurement may exceed it.
         self._ceiling = ceiling
         self._measured_at = 0.0
@@ -60,7 +60,7 @@
         if seconds <= 0:
             return
         bound = amount / seconds
-        self._rate = min(self.estimate(now), bound) * LATE_FACTOR
+        self._rate = min(self.estimate(now), bound) * TIMEOUT_RATE_FACTOR
         self._measured_at = now
 
     def estimate(self, now: float) -> float:
