--- a/libraries/agent/src/bamboopier_agent/block_exporter.py
+++ b/libraries/agent/src/bamboopier_agent/block_exporter.py
@@ -17,7 +17,7 @@
 from bamboopier_decisions.context.export_choice import (
     ExportItem,
     ExportQueue,
-    ReturnOdds,
+    ReuseLikelihood,
     Sightings,
 )
 
@@ -85,7 +85,7 @@
         """
         work = request.model
         keys = tuple(work.block_keys)
-        for depth, odds in enumerate(self._sightings.note_prompt(keys)):
+        for depth, likelihood in enumerate(self._sightings.note_prompt(keys)):
             if keys[depth] in self._stored:
                 continue
             item = ExportItem(
@@ -97,11 +97,11 @@
                 depth,
             )
             if not worth:
-                self._report(item, odds, ExportOutcome.NOT_WORTH_IT, [])
+                self._report(item, likelihood, ExportOutcome.NOT_WORTH_IT, [])
                 continue
-            dropped = self._queue.push(odds, item)
+            dropped = self._queue.push(likelihood, item)
             if dropped is not None:
-                self._report(dropped, odds, ExportOutcome.QUEUE_FULL, [])
+                self._report(dropped, likelihood, ExportOutcome.QUEUE_FULL, [])
         self._arrived.set()
 
     def note_stored(self, key: bytes) -> None:
@@ -127,12 +127,12 @@
     async def drain(self) -> None:
         """Export everything that is queued now."""
         while (queued := self._queue.pop()) is not None:
-            odds, item = queued
-            outcome, vms = await self._export(odds, item)
-            self._report(item, odds, outcome, vms)
+            likelihood, item = queued
+            outcome, vms = await self._export(likelihood, item)
+            self._report(item, likelihood, outcome, vms)
 
     async def _export(
-        self, odds: ReturnOdds, item: ExportItem
+        self, likelihood: ReuseLikelihood, item: ExportItem
     ) -> tuple[ExportOutcome, list[StoreVm]]:
         if item.key in self._stored:
             return ExportOutcome.STORED_ALREADY, []
@@ -152,7 +152,7 @@
         self._link.note_size(len(sealed))
         tag = find_tag(self._block_secret, item.workspace)
         name = BlockName(tag, item.depth, item.key)
-        return await self._place(odds, name, sealed, owners)
+        return await self._place(likelihood, name, sealed, owners)
 
     def _list_usable_owners(self, key: bytes) -> list[StoreVm]:
         now = time.monotonic()
@@ -161,14 +161,14 @@
         return [vm for vm in owners if not health.is_paused(now, vm.name)]
 
     async def _place(
-        self, odds: ReturnOdds, name: BlockName, sealed: bytes, owners: list[StoreVm]
+        self, likelihood: ReuseLikelihood, name: BlockName, sealed: bytes, owners: list[StoreVm]
     ) -> tuple[ExportOutcome, list[StoreVm]]:
         written: list[StoreVm] = []
         outcome = ExportOutcome.STORED_ALREADY
         for vm in owners:
             if await self._is_stored(vm, name, len(sealed)):
                 continue
-            if not await self._wait_for_link(odds, len(sealed)):
+            if not await self._wait_for_link(likelihood, len(sealed)):
                 return ExportOutcome.LINK_SHORT, written
             outcome = await self._write(vm, name, sealed)
             if outcome is ExportOutcome.WRITTEN:
@@ -191,10 +191,10 @@
         answer = await self._link.store.measure(vm.address, str(name))
         return isinstance(answer, Ok) and answer.ok_value == size
 
-    async def _wait_for_link(self, odds: ReturnOdds, size: int) -> bool:
+    async def _wait_for_link(self, likelihood: ReuseLikelihood, size: int) -> bool:
         waited = 0.0
         while (wait := self._link.budget.take_export(time.monotonic(), size)) > 0:
-            if odds is ReturnOdds.NEW and waited + wait > SHORT_LINK_SECONDS:
+            if likelihood is ReuseLikelihood.NEW and waited + wait > SHORT_LINK_SECONDS:
                 return False
             await asyncio.sleep(wait)
             waited += wait
@@ -216,7 +216,7 @@
     def _report(
         self,
         item: ExportItem,
-        odds: ReturnOdds,
+        likelihood: ReuseLikelihood,
         outcome: ExportOutcome,
         vms: list[StoreVm],
     ) -> None:
@@ -226,7 +226,7 @@
             request_id=item.request_id,
             workspace=item.workspace,
             depth=item.depth,
-            odds=odds.name.lower(),
+            odds=likelihood.name.lower(),
             outcome=outcome,
             store_vms=[vm.name for vm in vms],
         )
--- a/libraries/decisions/src/bamboopier_decisions/context/export_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/export_choice.py
@@ -18,7 +18,7 @@
 MAX_SIGHTED = 65_536
 
 
-class ReturnOdds(IntEnum):
+class ReuseLikelihood(IntEnum):
     """How likely a block returns, the likeliest first."""
 
     SHARED = 0
@@ -47,14 +47,14 @@
     def __init__(self) -> None:
         self._seen: OrderedDict[bytes, tuple[int, bytes, bool]] = OrderedDict()
 
-    def note_prompt(self, keys: tuple[bytes, ...]) -> list[ReturnOdds]:
+    def note_prompt(self, keys: tuple[bytes, ...]) -> list[ReuseLikelihood]:
         """Count one prompt; return the odds of each of its blocks."""
         return [
             self._note(key, depth, keys[depth + 1] if depth + 1 < len(keys) else b"")
             for depth, key in enumerate(keys)
         ]
 
-    def _note(self, key: bytes, depth: int, successor: bytes) -> ReturnOdds:
+    def _note(self, key: bytes, depth: int, successor: bytes) -> ReuseLikelihood:
         count, before, forked = self._seen.get(key, (0, b"", False))
         # The same block before two different successors belongs to two prompts.
         forked = forked or bool(before and successor and before != successor)
@@ -63,10 +63,10 @@
         if len(self._seen) > MAX_SIGHTED:
             self._seen.popitem(last=False)
         if forked:
-            return ReturnOdds.SHARED
+            return ReuseLikelihood.SHARED
         if count:
-            return ReturnOdds.RETURNED
-        return ReturnOdds.OPENING if depth < OPENING_BLOCKS else ReturnOdds.NEW
+            return ReuseLikelihood.RETURNED
+        return ReuseLikelihood.OPENING if depth < OPENING_BLOCKS else ReuseLikelihood.NEW
 
 
 class ExportQueue:
@@ -83,12 +83,12 @@
     def __len__(self) -> int:
         return len(self._heap)
 
-    def push(self, odds: ReturnOdds, item: ExportItem) -> ExportItem | None:
+    def push(self, likelihood: ReuseLikelihood, item: ExportItem) -> ExportItem | None:
         """Queue a block once; return the one dropped for it, if any."""
         if item.key in self._queued:
             return None
         self._sequence += 1
-        heapq.heappush(self._heap, (odds, self._sequence, item))
+        heapq.heappush(self._heap, (likelihood, self._sequence, item))
         self._queued.add(item.key)
         if len(self._heap) <= self._limit:
             return None
@@ -98,10 +98,10 @@
         self._queued.discard(worst[2].key)
         return worst[2]
 
-    def pop(self) -> tuple[ReturnOdds, ExportItem] | None:
+    def pop(self) -> tuple[ReuseLikelihood, ExportItem] | None:
         """Take the likeliest block."""
         if not self._heap:
             return None
-        odds, _, item = heapq.heappop(self._heap)
+        likelihood, _, item = heapq.heappop(self._heap)
         self._queued.discard(item.key)
-        return ReturnOdds(odds), item
+        return ReuseLikelihood(likelihood), item
--- a/libraries/decisions/tests/test_export_choice.py
+++ b/libraries/decisions/tests/test_export_choice.py
@@ -7,7 +7,7 @@
 from bamboopier_decisions.context.export_choice import (
     ExportItem,
     ExportQueue,
-    ReturnOdds,
+    ReuseLikelihood,
     Sightings,
 )
 
@@ -19,8 +19,8 @@
 class ExportChoiceTests(unittest.TestCase):
     def test_odds_follow_what_was_seen(self) -> None:
         sightings = Sightings()
-        new, opening = ReturnOdds.NEW, ReturnOdds.OPENING
-        returned, shared = ReturnOdds.RETURNED, ReturnOdds.SHARED
+        new, opening = ReuseLikelihood.NEW, ReuseLikelihood.OPENING
+        returned, shared = ReuseLikelihood.RETURNED, ReuseLikelihood.SHARED
         rows = [
             ((b"a", b"b", b"c"), [opening, opening, new]),
             # The conversation returns, longer by a turn.
@@ -28,15 +28,15 @@
             # Another question about the same catalogue.
             ((b"a", b"b", b"x"), [returned, shared, new]),
         ]
-        for keys, odds in rows:
-            self.assertEqual(sightings.note_prompt(keys), odds, keys)
+        for keys, likelihood in rows:
+            self.assertEqual(sightings.note_prompt(keys), likelihood, keys)
 
     def test_the_likeliest_go_first_and_the_least_likely_are_dropped(self) -> None:
         queue = ExportQueue(2)
-        queue.push(ReturnOdds.NEW, build_item(b"n"))
-        queue.push(ReturnOdds.SHARED, build_item(b"s"))
-        self.assertIsNone(queue.push(ReturnOdds.SHARED, build_item(b"s")))
-        dropped = queue.push(ReturnOdds.RETURNED, build_item(b"r"))
+        queue.push(ReuseLikelihood.NEW, build_item(b"n"))
+        queue.push(ReuseLikelihood.SHARED, build_item(b"s"))
+        self.assertIsNone(queue.push(ReuseLikelihood.SHARED, build_item(b"s")))
+        dropped = queue.push(ReuseLikelihood.RETURNED, build_item(b"r"))
         self.assertEqual(dropped, build_item(b"n"))
         popped = [entry[1].key for entry in (queue.pop(), queue.pop()) if entry]
         self.assertEqual(popped, [b"s", b"r"])
--- a/tools/bench_context/drive.py
+++ b/tools/bench_context/drive.py
@@ -11,7 +11,7 @@
 from hdrh.histogram import HdrHistogram
 
 from bamboopier_decisions.context.block_name import BlockName, derive_workspace_tag
-from bamboopier_decisions.context.export_choice import ExportItem, ReturnOdds
+from bamboopier_decisions.context.export_choice import ExportItem, ReuseLikelihood
 from bamboopier_decisions.context.fetch_choice import (
     CostWeights,
     FetchConditions,
@@ -215,11 +215,11 @@
     def _offer(self, now: float, engine: Engine, prompt: Prompt) -> None:
         assert self.policy.weights is not None
         worth = is_worth_exporting(self._ask(now, engine, 1), self.policy.weights)
-        for depth, odds in enumerate(engine.sightings.note_prompt(prompt.keys)):
+        for depth, likelihood in enumerate(engine.sightings.note_prompt(prompt.keys)):
             key = prompt.keys[depth]
             if worth and key not in engine.known:
                 item = ExportItem("", prompt.workspace, "", "", key, depth)
-                engine.exports.push(odds, item)
+                engine.exports.push(likelihood, item)
         if not engine.exporting:
             engine.exporting = True
             self._export_next(now, engine)
@@ -234,7 +234,7 @@
         self,
         now: float,
         engine: Engine,
-        odds: ReturnOdds,
+        likelihood: ReuseLikelihood,
         item: ExportItem,
         waited: float,
     ) -> None:
@@ -250,8 +250,8 @@
             self.exported_bytes += size
             store.write(name, self.shares)
             engine.known.add(item.key)
-        elif odds is not ReturnOdds.NEW or waited + wait <= SHORT_LINK_SECONDS:
-            again = (engine, odds, item, waited + wait)
+        elif likelihood is not ReuseLikelihood.NEW or waited + wait <= SHORT_LINK_SECONDS:
+            again = (engine, likelihood, item, waited + wait)
             self._at(now + max(wait, 1e-3), lambda at: self._export(at, *again))
             return
         self._export_next(now, engine)
