--- a/libraries/agent/src/bamboopier_agent/block_exporter.py
+++ b/libraries/agent/src/bamboopier_agent/block_exporter.py
@@ -18,7 +18,7 @@
     ExportItem,
     ExportQueue,
     ReuseLikelihood,
-    Sightings,
+    ReuseTracker,
 )
 
 from .context_view import find_tag
@@ -71,7 +71,7 @@
         self._block_secret = block_secret
         self._metrics = metrics
         self._evictor = StoreEvictor(link)
-        self._sightings = Sightings()
+        self._reuse_tracker = ReuseTracker()
         self._queue = ExportQueue(MAX_WAITING)
         self._arrived = asyncio.Event()
         self._stored: OrderedDict[bytes, None] = OrderedDict()
@@ -85,7 +85,7 @@
         """
         work = request.model
         keys = tuple(work.block_keys)
-        for depth, likelihood in enumerate(self._sightings.note_prompt(keys)):
+        for depth, likelihood in enumerate(self._reuse_tracker.note_prompt(keys)):
             if keys[depth] in self._stored:
                 continue
             item = ExportItem(
--- a/libraries/decisions/src/bamboopier_decisions/context/export_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/export_choice.py
@@ -39,7 +39,7 @@
     depth: int
 
 
-class Sightings:
+class ReuseTracker:
     """Counts in how many prompts each block was seen, and before which successor."""
 
     __slots__ = ("_seen",)
--- a/libraries/decisions/tests/test_export_choice.py
+++ b/libraries/decisions/tests/test_export_choice.py
@@ -8,7 +8,7 @@
     ExportItem,
     ExportQueue,
     ReuseLikelihood,
-    Sightings,
+    ReuseTracker,
 )
 
 
@@ -18,7 +18,7 @@
 
 class ExportChoiceTests(unittest.TestCase):
     def test_odds_follow_what_was_seen(self) -> None:
-        sightings = Sightings()
+        reuse_tracker = ReuseTracker()
         new, opening = ReuseLikelihood.NEW, ReuseLikelihood.OPENING
         returned, shared = ReuseLikelihood.RETURNED, ReuseLikelihood.SHARED
         rows = [
@@ -29,7 +29,7 @@
             ((b"a", b"b", b"x"), [returned, shared, new]),
         ]
         for keys, likelihood in rows:
-            self.assertEqual(sightings.note_prompt(keys), likelihood, keys)
+            self.assertEqual(reuse_tracker.note_prompt(keys), likelihood, keys)
 
     def test_the_likeliest_go_first_and_the_least_likely_are_dropped(self) -> None:
         queue = ExportQueue(2)
--- a/tools/bench_context/fleet.py
+++ b/tools/bench_context/fleet.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from bamboopier_decisions.context.eviction import choose_evictions
-from bamboopier_decisions.context.export_choice import ExportQueue, Sightings
+from bamboopier_decisions.context.export_choice import ExportQueue, ReuseTracker
 from bamboopier_decisions.context.link_budget import LinkBudget
 from bamboopier_decisions.context.rates import MeasuredRate
 from bamboopier_decisions.context.resident import ResidentKeys
@@ -61,7 +61,7 @@
         self.resident = ResidentKeys()
         self.budget = LinkBudget(0.0, site.link_budget)
         self.rate = MeasuredRate(site.link_budget, site.link_budget)
-        self.sightings = Sightings()
+        self.reuse_tracker = ReuseTracker()
         self.exports = ExportQueue(MAX_WAITING_EXPORTS)
         self.exporting = False
         self.known: set[bytes] = set()
