--- a/libraries/agent/src/bamboopier_agent/block_exporter.py
+++ b/libraries/agent/src/bamboopier_agent/block_exporter.py
@@ -85,7 +85,7 @@
         """
         work = request.model
         keys = tuple(work.block_keys)
-        for depth, likelihood in enumerate(self._reuse_tracker.note_prompt(keys)):
+        for depth, likelihood in enumerate(self._reuse_tracker.record_prompt(keys)):
             if keys[depth] in self._stored:
                 continue
             item = ExportItem(
--- a/libraries/decisions/src/bamboopier_decisions/context/export_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/export_choice.py
@@ -47,7 +47,7 @@
     def __init__(self) -> None:
         self._seen: OrderedDict[bytes, tuple[int, bytes, bool]] = OrderedDict()
 
-    def note_prompt(self, keys: tuple[bytes, ...]) -> list[ReuseLikelihood]:
+    def record_prompt(self, keys: tuple[bytes, ...]) -> list[ReuseLikelihood]:
         """Count one prompt; return the odds of each of its blocks."""
         return [
             self._note(key, depth, keys[depth + 1] if depth + 1 < len(keys) else b"")
--- a/libraries/decisions/tests/test_export_choice.py
+++ b/libraries/decisions/tests/test_export_choice.py
@@ -29,7 +29,7 @@
             ((b"a", b"b", b"x"), [returned, shared, new]),
         ]
         for keys, likelihood in rows:
-            self.assertEqual(reuse_tracker.note_prompt(keys), likelihood, keys)
+            self.assertEqual(reuse_tracker.record_prompt(keys), likelihood, keys)
 
     def test_the_likeliest_go_first_and_the_least_likely_are_dropped(self) -> None:
         queue = ExportQueue(2)
--- a/tools/bench_context/drive.py
+++ b/tools/bench_context/drive.py
@@ -215,7 +215,7 @@
     def _offer(self, now: float, engine: Engine, prompt: Prompt) -> None:
         assert self.policy.weights is not None
         worth = is_worth_exporting(self._ask(now, engine, 1), self.policy.weights)
-        for depth, likelihood in enumerate(engine.reuse_tracker.note_prompt(prompt.keys)):
+        for depth, likelihood in enumerate(engine.reuse_tracker.record_prompt(prompt.keys)):
             key = prompt.keys[depth]
             if worth and key not in engine.known:
                 item = ExportItem("", prompt.workspace, "", "", key, depth)
