--- a/libraries/decisions/src/bamboopier_decisions/context/export_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/export_choice.py
@@ -15,7 +15,7 @@
 # Leading blocks of a prompt: without them the others are no use.
 OPENING_BLOCKS = 2
 # Keys whose sightings are counted; the least recent are forgotten.
-MAX_SIGHTED = 65_536
+MAX_TRACKED_KEYS = 65_536
 
 
 class ReuseLikelihood(IntEnum):
@@ -42,26 +42,26 @@
 class ReuseTracker:
     """Counts in how many prompts each block was seen, and before which successor."""
 
-    __slots__ = ("_seen",)
+    __slots__ = ("_entries",)
 
     def __init__(self) -> None:
-        self._seen: OrderedDict[bytes, tuple[int, bytes, bool]] = OrderedDict()
+        self._entries: OrderedDict[bytes, tuple[int, bytes, bool]] = OrderedDict()
 
     def record_prompt(self, keys: tuple[bytes, ...]) -> list[ReuseLikelihood]:
         """Count one prompt; return the odds of each of its blocks."""
         return [
-            self._note(key, depth, keys[depth + 1] if depth + 1 < len(keys) else b"")
+            self._record(key, depth, keys[depth + 1] if depth + 1 < len(keys) else b"")
             for depth, key in enumerate(keys)
         ]
 
-    def _note(self, key: bytes, depth: int, successor: bytes) -> ReuseLikelihood:
-        count, before, forked = self._seen.get(key, (0, b"", False))
+    def _record(self, key: bytes, depth: int, successor: bytes) -> ReuseLikelihood:
+        count, previous_successor, forked = self._entries.get(key, (0, b"", False))
         # The same block before two different successors belongs to two prompts.
-        forked = forked or bool(before and successor and before != successor)
-        self._seen[key] = (count + 1, successor or before, forked)
-        self._seen.move_to_end(key)
-        if len(self._seen) > MAX_SIGHTED:
-            self._seen.popitem(last=False)
+        forked = forked or bool(previous_successor and successor and previous_successor != successor)
+        self._entries[key] = (count + 1, successor or previous_successor, forked)
+        self._entries.move_to_end(key)
+        if len(self._entries) > MAX_TRACKED_KEYS:
+            self._entries.popitem(last=False)
         if forked:
             return ReuseLikelihood.SHARED
         if count:
