--- a/libraries/agent/src/bamboopier_agent/store_link.py
+++ b/libraries/agent/src/bamboopier_agent/store_link.py
@@ -179,7 +179,7 @@
         expected = int(self._block_bytes)
         used = 0
         started = time.monotonic()
-        wait = self.budget.take_fetch(started, expected)
+        wait = self.budget.reserve_fetch(started, expected)
         try:
             if wait >= timeout:
                 error = StoreLateError("the link's budget is spent")
--- a/libraries/decisions/src/bamboopier_decisions/context/link_budget.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/link_budget.py
@@ -51,7 +51,7 @@
         self._all.refill(now)
         return self._all.tokens
 
-    def take_fetch(self, now: float, size: int) -> float:
+    def reserve_fetch(self, now: float, size: int) -> float:
         """Reserve ``size`` bytes; return the seconds to wait before they may go."""
         self._all.refill(now)
         wait = max(0.0, (size - self._all.tokens) / self._all.rate)
--- a/libraries/decisions/tests/test_link_budget.py
+++ b/libraries/decisions/tests/test_link_budget.py
@@ -36,15 +36,15 @@
                 if budget.take_export(now, size) == 0:
                     started.append((now, size))
             else:
-                started.append((now + budget.take_fetch(now, size), size))
+                started.append((now + budget.reserve_fetch(now, size), size))
         return started
 
     def test_an_export_lets_waiting_fetches_go_first(self) -> None:
         budget = LinkBudget(0.0, RATE, BURST)
-        budget.take_fetch(0.0, 500)
+        budget.reserve_fetch(0.0, 500)
         self.assertGreater(budget.take_export(0.0, 100), 0)
         # The export that waited has reserved nothing in front of the next fetch.
-        self.assertAlmostEqual(budget.take_fetch(0.0, 100), 0.35)
+        self.assertAlmostEqual(budget.reserve_fetch(0.0, 100), 0.35)
 
     def test_exports_alone_get_their_share_only(self) -> None:
         budget = LinkBudget(0.0, RATE, BURST)
@@ -57,10 +57,10 @@
     def test_a_block_larger_than_the_burst_still_goes(self) -> None:
         budget = LinkBudget(0.0, RATE, BURST)
         self.assertEqual(budget.take_export(0.0, 600), 0)
-        self.assertAlmostEqual(budget.take_fetch(0.0, 600), 0.95)
+        self.assertAlmostEqual(budget.reserve_fetch(0.0, 600), 0.95)
 
     def test_what_was_not_sent_is_given_back(self) -> None:
         budget = LinkBudget(0.0, RATE, BURST)
-        budget.take_fetch(0.0, 200)
+        budget.reserve_fetch(0.0, 200)
         budget.settle_fetch(200, 0)
         self.assertEqual(budget.read_free_bytes(0.0), BURST)
--- a/tools/bench_context/drive.py
+++ b/tools/bench_context/drive.py
@@ -157,7 +157,7 @@
             if not self._is_stored(engine, prompt, key, depth):
                 engine.known.difference_update(prompt.keys[depth:])
                 break
-            wait = engine.budget.take_fetch(now, size)
+            wait = engine.budget.reserve_fetch(now, size)
             speed = engine.read_link_speed(now)
             done = max(seconds, wait) + size / speed
             if done > plan.timeout:
