--- a/libraries/decisions/src/bamboopier_decisions/context/link_budget.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/link_budget.py
@@ -62,7 +62,7 @@
         """Correct a reservation by what really went over the link."""
         self._all.tokens = min(self._all.burst, self._all.tokens + reserved - used)
 
-    def take_export(self, now: float, size: int) -> float:
+    def try_export(self, now: float, size: int) -> float:
         """Take ``size`` bytes if they may go now; else return the seconds to wait.
 
         Nothing is reserved for an export that has to wait, so that a fetch which comes
--- a/libraries/decisions/tests/test_link_budget.py
+++ b/libraries/decisions/tests/test_link_budget.py
@@ -33,7 +33,7 @@
             now += rng.expovariate(10.0)
             size = rng.randrange(1, int(BURST))
             if rng.random() < exports:
-                if budget.take_export(now, size) == 0:
+                if budget.try_export(now, size) == 0:
                     started.append((now, size))
             else:
                 started.append((now + budget.reserve_fetch(now, size), size))
@@ -42,21 +42,21 @@
     def test_an_export_lets_waiting_fetches_go_first(self) -> None:
         budget = LinkBudget(0.0, RATE, BURST)
         budget.reserve_fetch(0.0, 500)
-        self.assertGreater(budget.take_export(0.0, 100), 0)
+        self.assertGreater(budget.try_export(0.0, 100), 0)
         # The export that waited has reserved nothing in front of the next fetch.
         self.assertAlmostEqual(budget.reserve_fetch(0.0, 100), 0.35)
 
     def test_exports_alone_get_their_share_only(self) -> None:
         budget = LinkBudget(0.0, RATE, BURST)
         sent = sum(
-            100 for tick in range(10_000) if budget.take_export(tick / 100, 100) == 0
+            100 for tick in range(10_000) if budget.try_export(tick / 100, 100) == 0
         )
         self.assertLessEqual(sent, RATE * EXPORT_SHARE * 100 + BURST)
         self.assertGreater(sent, RATE * EXPORT_SHARE * 90)
 
     def test_a_block_larger_than_the_burst_still_goes(self) -> None:
         budget = LinkBudget(0.0, RATE, BURST)
-        self.assertEqual(budget.take_export(0.0, 600), 0)
+        self.assertEqual(budget.try_export(0.0, 600), 0)
         self.assertAlmostEqual(budget.reserve_fetch(0.0, 600), 0.95)
 
     def test_what_was_not_sent_is_given_back(self) -> None:
--- a/tools/bench_context/drive.py
+++ b/tools/bench_context/drive.py
@@ -244,7 +244,7 @@
         if str(name) in store.names or item.key not in engine.cache:
             self._export_next(now, engine)
             return
-        wait = engine.budget.take_export(now, size)
+        wait = engine.budget.try_export(now, size)
         if wait <= 0:
             engine.transfers.append((now, size))
             self.exported_bytes += size
