--- a/libraries/agent/src/bamboopier_agent/store_link.py
+++ b/libraries/agent/src/bamboopier_agent/store_link.py
@@ -194,7 +194,7 @@
             if isinstance(answer, Err) and isinstance(answer.err_value, StoreLateError):
                 used = expected
         finally:
-            self.budget.settle_fetch(expected, used)
+            self.budget.adjust_fetch(expected, used)
         self._metrics.link_bytes.labels("fetch").inc(used)
         self._note_answer(vm, answer)
         return answer
--- a/libraries/decisions/src/bamboopier_decisions/context/link_budget.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/link_budget.py
@@ -58,7 +58,7 @@
         self._all.tokens -= size
         return wait
 
-    def settle_fetch(self, reserved: int, used: int) -> None:
+    def adjust_fetch(self, reserved: int, used: int) -> None:
         """Correct a reservation by what really went over the link."""
         self._all.tokens = min(self._all.burst, self._all.tokens + reserved - used)
 
--- a/libraries/decisions/tests/test_link_budget.py
+++ b/libraries/decisions/tests/test_link_budget.py
@@ -62,5 +62,5 @@
     def test_what_was_not_sent_is_given_back(self) -> None:
         budget = LinkBudget(0.0, RATE, BURST)
         budget.reserve_fetch(0.0, 200)
-        budget.settle_fetch(200, 0)
+        budget.adjust_fetch(200, 0)
         self.assertEqual(budget.read_free_bytes(0.0), BURST)
--- a/tools/bench_context/drive.py
+++ b/tools/bench_context/drive.py
@@ -161,7 +161,7 @@
             speed = engine.read_link_speed(now)
             done = max(seconds, wait) + size / speed
             if done > plan.timeout:
-                engine.budget.settle_fetch(size, 0)
+                engine.budget.adjust_fetch(size, 0)
                 engine.rate.record_timeout(now, (len(fetched) + 1) * size, plan.timeout)
                 self.late_fetches += 1
                 seconds = plan.timeout
