--- a/libraries/agent/src/bamboopier_agent/context.py
+++ b/libraries/agent/src/bamboopier_agent/context.py
@@ -185,7 +185,7 @@
             block_tokens=block_tokens,
             prefill_rate=self._rates.prefill.estimate(now),
             link_rate=self._link.estimate_rate(now),
-            free_bytes=self._link.budget.read_free_bytes(now),
+            available_bytes=self._link.budget.get_available_bytes(now),
             budget_rate=self._link.view.link_bytes_per_second,
         )
 
--- a/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
@@ -55,7 +55,7 @@
     prefill_rate: float
     link_rate: float
     # Bytes the budget lets go at once (negative: others wait), and its rate.
-    free_bytes: float
+    available_bytes: float
     budget_rate: float
 
 
@@ -91,7 +91,7 @@
 
     Where recomputing is quicker, an export fills link and store for nobody.
     """
-    lasting = replace(conditions, blocks=1, free_bytes=0.0)
+    lasting = replace(conditions, blocks=1, available_bytes=0.0)
     return choose_fetch(lasting, weights).blocks == 1
 
 
@@ -99,7 +99,7 @@
     """Return the seconds that fetching ``blocks`` blocks takes on the link now."""
     size = blocks * conditions.block_bytes
     on_link = size / conditions.link_rate
-    in_budget = (size - conditions.free_bytes) / conditions.budget_rate
+    in_budget = (size - conditions.available_bytes) / conditions.budget_rate
     return max(on_link, in_budget)
 
 
--- a/libraries/decisions/src/bamboopier_decisions/context/link_budget.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/link_budget.py
@@ -46,7 +46,7 @@
         self._all = _Bucket(now, bytes_per_second, size)
         self._exports = _Bucket(now, bytes_per_second * EXPORT_SHARE, size)
 
-    def read_free_bytes(self, now: float) -> float:
+    def get_available_bytes(self, now: float) -> float:
         """Return the bytes that may go at once; negative while others wait."""
         self._all.refill(now)
         return self._all.tokens
--- a/libraries/decisions/tests/test_fetch_choice.py
+++ b/libraries/decisions/tests/test_fetch_choice.py
@@ -22,7 +22,7 @@
     block_tokens=2000,
     prefill_rate=8000.0,
     link_rate=125e6,
-    free_bytes=125e6,
+    available_bytes=125e6,
     budget_rate=125e6,
 )
 
@@ -74,7 +74,7 @@
         # be free does not count, a link busy just now neither.
         slow = replace(CONDITIONS, budget_rate=41e6)
         rows = [(CONDITIONS, True, True), (slow, False, True)]
-        rows.append((replace(CONDITIONS, free_bytes=-1e9), True, True))
+        rows.append((replace(CONDITIONS, available_bytes=-1e9), True, True))
         rows.append((replace(CONDITIONS, link_rate=1e6), False, False))
         for conditions, first_token, recompute in rows:
             self.assertIs(is_worth_exporting(conditions, FIRST_TOKEN_WEIGHTS), first_token)
--- a/libraries/decisions/tests/test_link_budget.py
+++ b/libraries/decisions/tests/test_link_budget.py
@@ -63,4 +63,4 @@
         budget = LinkBudget(0.0, RATE, BURST)
         budget.reserve_fetch(0.0, 200)
         budget.adjust_fetch(200, 0)
-        self.assertEqual(budget.read_free_bytes(0.0), BURST)
+        self.assertEqual(budget.get_available_bytes(0.0), BURST)
--- a/tools/bench_context/drive.py
+++ b/tools/bench_context/drive.py
@@ -183,7 +183,7 @@
             block_tokens=BLOCK_TOKENS,
             prefill_rate=self.site.prefill_rate,
             link_rate=engine.rate.estimate(now),
-            free_bytes=engine.budget.read_free_bytes(now),
+            available_bytes=engine.budget.get_available_bytes(now),
             budget_rate=self.site.link_budget,
         )
 
