--- a/libraries/decisions/src/bamboopier_decisions/context/link_budget.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/link_budget.py
@@ -14,7 +14,7 @@
 EXPORT_SHARE = 0.5
 
 
-class _Bucket:
+class _TokenBucket:
     """A token bucket in bytes; it may go into debt, which is a queue in time."""
 
     __slots__ = ("burst", "rate", "tokens", "updated")
@@ -43,8 +43,8 @@
     ) -> None:
         self.rate = bytes_per_second
         size = burst if burst is not None else bytes_per_second * BURST_SECONDS
-        self._all = _Bucket(now, bytes_per_second, size)
-        self._exports = _Bucket(now, bytes_per_second * EXPORT_SHARE, size)
+        self._all = _TokenBucket(now, bytes_per_second, size)
+        self._exports = _TokenBucket(now, bytes_per_second * EXPORT_SHARE, size)
 
     def get_available_bytes(self, now: float) -> float:
         """Return the bytes that may go at once; negative while others wait."""
@@ -77,7 +77,7 @@
         return wait
 
 
-def _wait_for(bucket: _Bucket, size: int) -> float:
+def _wait_for(bucket: _TokenBucket, size: int) -> float:
     # A block larger than the burst goes when the bucket is full and leaves a debt;
     # waiting for more than the bucket can hold would never end.
     needed = min(float(size), bucket.burst)
