--- a/libraries/agent/src/bamboopier_agent/context.py
+++ b/libraries/agent/src/bamboopier_agent/context.py
@@ -141,7 +141,7 @@
         if cached_tokens + new_tokens > 0:
             cached = cached_tokens // self.find_block_tokens(request)
             if cached < len(keys):
-                self._resident.note_absent(keys[cached])
+                self._resident.record_miss(keys[cached])
             self._resident.confirm(now, keys)
             conditions = self._ask(request, 1)
             worth = is_worth_exporting(conditions, self._link.view.cost_weights)
--- a/libraries/decisions/src/bamboopier_decisions/context/resident.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/resident.py
@@ -47,7 +47,7 @@
         """The engine says that a block left its cache."""
         self._confirmed.pop(key, None)
 
-    def note_absent(self, key: bytes) -> None:
+    def record_miss(self, key: bytes) -> None:
         """The engine had to compute a block that was believed resident.
 
         An event was lost. Engines drop the least recently used blocks first, so what
--- a/libraries/decisions/tests/test_resident.py
+++ b/libraries/decisions/tests/test_resident.py
@@ -22,6 +22,6 @@
         resident = ResidentKeys()
         for now, key in enumerate((b"old", b"gone", b"new")):
             resident.confirm(float(now), [key])
-        resident.note_absent(b"gone")
+        resident.record_miss(b"gone")
         self.assertEqual(len(resident), 1)
         self.assertEqual(resident.count_prefix(3.0, [b"new"]), 1)
