--- a/libraries/decisions/src/bamboopier_decisions/context/resident.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/resident.py
@@ -43,7 +43,7 @@
         while len(self._confirmed) > MAX_KEYS:
             self._confirmed.popitem(last=False)
 
-    def forget(self, key: bytes) -> None:
+    def remove(self, key: bytes) -> None:
         """The engine says that a block left its cache."""
         self._confirmed.pop(key, None)
 
--- a/libraries/decisions/tests/test_resident.py
+++ b/libraries/decisions/tests/test_resident.py
@@ -12,7 +12,7 @@
         resident = ResidentKeys()
         resident.confirm(0.0, [b"a", b"b", b"c"])
         resident.confirm(10.0, [b"a"])
-        resident.forget(b"c")
+        resident.remove(b"c")
         keys = [b"a", b"b", b"c"]
         self.assertEqual(resident.count_prefix(1.0, keys), 2)
         self.assertEqual(resident.count_prefix(BELIEF_SECONDS + 1, keys), 1)
--- a/tools/bench_context/fleet.py
+++ b/tools/bench_context/fleet.py
@@ -84,7 +84,7 @@
         self.resident.confirm(now, keys)
         while len(self.cache) > self.site.engine_blocks:
             key, _ = self.cache.popitem(last=False)
-            self.resident.forget(key)
+            self.resident.remove(key)
 
     def read_link_speed(self, now: float) -> float:
         """Return the bytes a second that the link really carries."""
