--- a/libraries/decisions/src/bamboopier_decisions/context/resident.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/resident.py
@@ -21,31 +21,31 @@
 # tokens corrects wrong ones, so this is only the last bound. Five minutes were tried:
 # blocks that were still resident were then fetched again, which tripled the median
 # first token of returning prompts (docs/CONTEXT.md).
-BELIEF_SECONDS = 6 * 3600.0
+RESIDENT_TTL_SECONDS = 6 * 3600.0
 
 
 class ResidentKeys:
     """Keys believed resident, least recently confirmed first."""
 
-    __slots__ = ("_confirmed",)
+    __slots__ = ("_confirmed_at",)
 
     def __init__(self) -> None:
-        self._confirmed: OrderedDict[bytes, float] = OrderedDict()
+        self._confirmed_at: OrderedDict[bytes, float] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._confirmed)
+        return len(self._confirmed_at)
 
     def confirm(self, now: float, keys: Sequence[bytes]) -> None:
         """Believe that ``keys`` are resident as of ``now`` (seconds)."""
         for key in keys:
-            self._confirmed[key] = now
-            self._confirmed.move_to_end(key)
-        while len(self._confirmed) > MAX_KEYS:
-            self._confirmed.popitem(last=False)
+            self._confirmed_at[key] = now
+            self._confirmed_at.move_to_end(key)
+        while len(self._confirmed_at) > MAX_KEYS:
+            self._confirmed_at.popitem(last=False)
 
     def remove(self, key: bytes) -> None:
         """The engine says that a block left its cache."""
-        self._confirmed.pop(key, None)
+        self._confirmed_at.pop(key, None)
 
     def record_miss(self, key: bytes) -> None:
         """The engine had to compute a block that was believed resident.
@@ -53,15 +53,15 @@
         An event was lost. Engines drop the least recently used blocks first, so what
         was confirmed no later than this one is gone as well.
         """
-        confirmed = self._confirmed.get(key)
-        if confirmed is None:
+        confirmed_at = self._confirmed_at.get(key)
+        if confirmed_at is None:
             return
-        while self._confirmed and next(iter(self._confirmed.values())) <= confirmed:
-            self._confirmed.popitem(last=False)
+        while self._confirmed_at and next(iter(self._confirmed_at.values())) <= confirmed_at:
+            self._confirmed_at.popitem(last=False)
 
     def clear(self) -> None:
         """The engine started anew, or its events have a gap."""
-        self._confirmed.clear()
+        self._confirmed_at.clear()
 
     def count_prefix(self, now: float, keys: Sequence[bytes]) -> int:
         """Return how many leading ``keys`` are believed resident.
@@ -69,7 +69,7 @@
         Blocks behind the first missing one are no use to a prefix cache.
         """
         for position, key in enumerate(keys):
-            confirmed = self._confirmed.get(key)
-            if confirmed is None or now - confirmed > BELIEF_SECONDS:
+            confirmed_at = self._confirmed_at.get(key)
+            if confirmed_at is None or now - confirmed_at > RESIDENT_TTL_SECONDS:
                 return position
         return len(keys)
--- a/libraries/decisions/tests/test_resident.py
+++ b/libraries/decisions/tests/test_resident.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from bamboopier_decisions.context.resident import BELIEF_SECONDS, ResidentKeys
+from bamboopier_decisions.context.resident import RESIDENT_TTL_SECONDS, ResidentKeys
 
 
 class ResidentKeysTests(unittest.TestCase):
@@ -15,8 +15,8 @@
         resident.remove(b"c")
         keys = [b"a", b"b", b"c"]
         self.assertEqual(resident.count_prefix(1.0, keys), 2)
-        self.assertEqual(resident.count_prefix(BELIEF_SECONDS + 1, keys), 1)
-        self.assertEqual(resident.count_prefix(BELIEF_SECONDS + 11, keys), 0)
+        self.assertEqual(resident.count_prefix(RESIDENT_TTL_SECONDS + 1, keys), 1)
+        self.assertEqual(resident.count_prefix(RESIDENT_TTL_SECONDS + 11, keys), 0)
 
     def test_an_absent_block_ends_the_belief_in_all_older_ones(self) -> None:
         resident = ResidentKeys()
