--- a/libraries/decisions/tests/test_store_health.py
+++ b/libraries/decisions/tests/test_store_health.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from bamboopier_decisions.context.store_health import MAX_PAUSE, StoreHealth
+from bamboopier_decisions.context.store_vm_health import MAX_PAUSE, StoreHealth
 
 
 class StoreHealthTests(unittest.TestCase):
