--- a/libraries/agent/src/bamboopier_agent/store_link.py
+++ b/libraries/agent/src/bamboopier_agent/store_link.py
@@ -11,7 +11,7 @@
 from bamboopier_decisions.context.envelope import open_block
 from bamboopier_decisions.context.link_budget import LinkBudget
 from bamboopier_decisions.context.placement import list_sources, place_block
-from bamboopier_decisions.context.store_vm_health import StoreHealth
+from bamboopier_decisions.context.store_vm_health import StoreVmHealth
 
 from .context_view import DEFAULT_BLOCK_TOKENS, ContextView
 from .store_errors import (
@@ -53,7 +53,7 @@
         self.store = store
         self.view = ContextView()
         self.budget = LinkBudget(time.monotonic(), self.view.link_bytes_per_second)
-        self.health = StoreHealth()
+        self.health = StoreVmHealth()
         self._metrics = metrics
         self._rate = rate
         self._block_bytes = 0.0
--- a/libraries/decisions/src/bamboopier_decisions/context/store_vm_health.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/store_vm_health.py
@@ -10,7 +10,7 @@
 MAX_PAUSE = 30.0
 
 
-class StoreHealth:
+class StoreVmHealth:
     """Pauses per store VM in seconds, doubled with each further failure."""
 
     __slots__ = ("_pauses",)
--- a/libraries/decisions/tests/test_store_vm_health.py
+++ b/libraries/decisions/tests/test_store_vm_health.py
@@ -4,12 +4,12 @@
 
 import unittest
 
-from bamboopier_decisions.context.store_vm_health import MAX_PAUSE, StoreHealth
+from bamboopier_decisions.context.store_vm_health import MAX_PAUSE, StoreVmHealth
 
 
-class StoreHealthTests(unittest.TestCase):
+class StoreVmHealthTests(unittest.TestCase):
     def test_pauses_double_up_to_a_bound_and_end_with_an_answer(self) -> None:
-        health = StoreHealth()
+        health = StoreVmHealth()
         now = 0.0
         for _ in range(10):
             health.add_failure(now, "s")
