--- a/libraries/agent/src/bamboopier_agent/block_exporter.py
+++ b/libraries/agent/src/bamboopier_agent/block_exporter.py
@@ -158,7 +158,7 @@
         now = time.monotonic()
         health = self._link.health
         owners = self._link.list_owners(key)
-        return [vm for vm in owners if not health.is_paused(now, vm.name)]
+        return [vm for vm in owners if not health.is_backing_off(now, vm.name)]
 
     async def _place(
         self, likelihood: ReuseLikelihood, name: BlockName, sealed: bytes, owners: list[StoreVm]
--- a/libraries/agent/src/bamboopier_agent/store_link.py
+++ b/libraries/agent/src/bamboopier_agent/store_link.py
@@ -141,9 +141,9 @@
     def note_call(self, vm: StoreVm, error: StoreError | None) -> None:
         """Learn the VM's health from a call; count its failure."""
         if isinstance(error, StoreHungError | StoreUnreachableError):
-            self.health.add_failure(time.monotonic(), vm.name)
+            self.health.record_failure(time.monotonic(), vm.name)
         elif not isinstance(error, StoreLateError):
-            self.health.add_answer(vm.name)
+            self.health.record_response(vm.name)
         if error is not None:
             self._count_failure(error)
 
@@ -154,7 +154,7 @@
         sources = list_sources(
             key, view.store_vms, former, view.replicas, view.data_centre
         )
-        return [vm for vm in sources if not self.health.is_paused(now, vm.name)]
+        return [vm for vm in sources if not self.health.is_backing_off(now, vm.name)]
 
     async def _read_in_turn(
         self, vm: StoreVm, name: BlockName, timeout: float
--- a/libraries/decisions/src/bamboopier_decisions/context/store_vm_health.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/store_vm_health.py
@@ -19,7 +19,7 @@
         # Length of the last pause and its end, by VM name.
         self._pauses: dict[str, tuple[float, float]] = {}
 
-    def add_failure(self, now: float, vm: str) -> None:
+    def record_failure(self, now: float, vm: str) -> None:
         """A store VM hung or could not be reached."""
         last, until = self._pauses.get(vm, (0.0, 0.0))
         if now < until:
@@ -27,10 +27,10 @@
         pause = min(MAX_PAUSE, max(FIRST_PAUSE, last * 2))
         self._pauses[vm] = (pause, now + pause)
 
-    def add_answer(self, vm: str) -> None:
+    def record_response(self, vm: str) -> None:
         """A store VM answered, whatever it said."""
         self._pauses.pop(vm, None)
 
-    def is_paused(self, now: float, vm: str) -> bool:
+    def is_backing_off(self, now: float, vm: str) -> bool:
         """Say whether the VM is passed over now."""
         return now < self._pauses.get(vm, (0.0, 0.0))[1]
--- a/libraries/decisions/tests/test_store_vm_health.py
+++ b/libraries/decisions/tests/test_store_vm_health.py
@@ -12,11 +12,11 @@
         health = StoreVmHealth()
         now = 0.0
         for _ in range(10):
-            health.add_failure(now, "s")
+            health.record_failure(now, "s")
             start = now
-            while health.is_paused(now, "s"):
+            while health.is_backing_off(now, "s"):
                 now += 0.5
         self.assertEqual(now - start, MAX_PAUSE)
-        health.add_failure(now, "s")
-        health.add_answer("s")
-        self.assertFalse(health.is_paused(now, "s"))
+        health.record_failure(now, "s")
+        health.record_response("s")
+        self.assertFalse(health.is_backing_off(now, "s"))
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -83,7 +83,7 @@
     Mutation(
         "a hung store VM is passed over",
         "libraries/agent/src/bamboopier_agent/store_link.py",
-        "self.health.add_failure(time.monotonic(), vm.name)",
+        "self.health.record_failure(time.monotonic(), vm.name)",
         "pass",
         "libraries/agent",
         "tests.test_context.StoreFailureTests.test_a_store_that_hangs_is_given_up_and_then_passed_over",
