--- a/libraries/decisions/tests/test_store_vm_health.py
+++ b/libraries/decisions/tests/test_store_vm_health.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from bamboopier_decisions.context.store_vm_health import MAX_PAUSE, StoreVmHealth
+from bamboopier_decisions.context.store_vm_health import MAX_BACKOFF_SECONDS, StoreVmHealth
 
 
 class StoreVmHealthTests(unittest.TestCase):
@@ -16,7 +16,7 @@
             start = now
             while health.is_backing_off(now, "s"):
                 now += 0.5
-        self.assertEqual(now - start, MAX_PAUSE)
+        self.assertEqual(now - start, MAX_BACKOFF_SECONDS)
         health.record_failure(now, "s")
         health.record_response("s")
         self.assertFalse(health.is_backing_off(now, "s"))
