--- a/libraries/decisions/src/bamboopier_decisions/context/eviction.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/eviction.py
@@ -21,10 +21,10 @@
 # A tag that the configuration does not name: a removed workspace, or one newer than
 # this agent's generation. It may keep a tenth of a share, so that the leavings of
 # removed workspaces go first and a new workspace loses little in its first seconds.
-UNKNOWN_WEIGHT = 0.1
+UNKNOWN_TAG_WEIGHT = 0.1
 # Only the oldest part of a workspace's blocks may go, deepest first: a prompt without
 # its first block is lost whole, one without its last loses a block.
-OLD_SHARE = 0.25
+EVICTABLE_SHARE = 0.25
 
 
 def choose_evictions(
@@ -35,24 +35,24 @@
     ``names`` is the store VM's list, oldest first; ``weights`` has the share of each
     workspace tag; ``writer`` is the tag that wants the space.
     """
-    by_tag, foreign = _group(names)
+    by_tag, foreign = _group_by_tag(names)
     victims = foreign[:count]
-    queues = {tag: _order(blocks) for tag, blocks in by_tag.items()}
+    queues = {tag: _order_for_eviction(blocks) for tag, blocks in by_tag.items()}
     held = {tag: len(blocks) for tag, blocks in queues.items()}
     held.setdefault(writer, 0)
-    heap = [(-_measure(held[tag], weights, tag), tag) for tag in held]
+    heap = [(-_compute_usage(held[tag], weights, tag), tag) for tag in held]
     heapq.heapify(heap)
     while len(victims) < count:
         # Each place is refilled by the writer, which counts for its share at once:
         # it may not empty the store of others with one list.
         held[writer] += 1
-        heapq.heappush(heap, (-_measure(held[writer], weights, writer), writer))
+        heapq.heappush(heap, (-_compute_usage(held[writer], weights, writer), writer))
         tag = _pop_largest(heap, held, weights)
         if not queues.get(tag):
             break
         victims.append(str(queues[tag].pop()))
         held[tag] -= 1
-        heapq.heappush(heap, (-_measure(held[tag], weights, tag), tag))
+        heapq.heappush(heap, (-_compute_usage(held[tag], weights, tag), tag))
     return victims
 
 
@@ -61,12 +61,12 @@
 ) -> str:
     """Return the tag that holds the most for its weight, passing outdated entries."""
     while True:
-        measure, tag = heapq.heappop(heap)
-        if -measure == _measure(held[tag], weights, tag):
+        usage, tag = heapq.heappop(heap)
+        if -usage == _compute_usage(held[tag], weights, tag):
             return tag
 
 
-def _group(names: Iterable[str]) -> tuple[dict[str, list[BlockName]], list[str]]:
+def _group_by_tag(names: Iterable[str]) -> tuple[dict[str, list[BlockName]], list[str]]:
     by_tag: dict[str, list[BlockName]] = {}
     foreign: list[str] = []
     for text in names:
@@ -78,9 +78,9 @@
     return by_tag, foreign
 
 
-def _order(blocks: list[BlockName]) -> list[BlockName]:
+def _order_for_eviction(blocks: list[BlockName]) -> list[BlockName]:
     """Return one workspace's blocks, the first to go last."""
-    old = max(1, int(len(blocks) * OLD_SHARE))
+    old = max(1, int(len(blocks) * EVICTABLE_SHARE))
     oldest = blocks[:old]
     # Among equal depths the oldest comes last, and so goes first.
     oldest.reverse()
@@ -88,5 +88,5 @@
     return [*reversed(blocks[old:]), *oldest]
 
 
-def _measure(held: int, weights: Mapping[str, float], tag: str) -> float:
-    return held / weights.get(tag, UNKNOWN_WEIGHT)
+def _compute_usage(held: int, weights: Mapping[str, float], tag: str) -> float:
+    return held / weights.get(tag, UNKNOWN_TAG_WEIGHT)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -107,7 +107,7 @@
     Mutation(
         "eviction takes from who holds most for its weight",
         "libraries/decisions/src/bamboopier_decisions/context/eviction.py",
-        "    by_tag, foreign = _group(names)\n",
+        "    by_tag, foreign = _group_by_tag(names)\n",
         "    return list(names)[:count]\n",
         "libraries/agent",
         "tests.test_context.WorkspaceTests.test_a_workspace_that_fills_the_store_evicts_only_itself",
