--- a/libraries/agent/src/bamboopier_agent/store_link.py
+++ b/libraries/agent/src/bamboopier_agent/store_link.py
@@ -10,7 +10,7 @@
 
 from bamboopier_decisions.context.envelope import open_block
 from bamboopier_decisions.context.link_budget import LinkBudget
-from bamboopier_decisions.context.placement import list_sources, place_block
+from bamboopier_decisions.context.placement import list_read_vms, place_block
 from bamboopier_decisions.context.store_vm_health import StoreVmHealth
 
 from .context_view import DEFAULT_BLOCK_TOKENS, ContextView
@@ -151,7 +151,7 @@
         now = time.monotonic()
         view = self.view
         former = self._former_vms if now - self._changed_at < FORMER_SECONDS else ()
-        sources = list_sources(
+        sources = list_read_vms(
             key, view.store_vms, former, view.replicas, view.data_centre
         )
         return [vm for vm in sources if not self.health.is_backing_off(now, vm.name)]
--- a/libraries/decisions/src/bamboopier_decisions/context/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/placement.py
@@ -39,7 +39,7 @@
     return chosen[:replicas]
 
 
-def list_sources(
+def list_read_vms(
     key: bytes,
     vms: Sequence[StoreVm],
     former_vms: Sequence[StoreVm],
--- a/libraries/decisions/tests/test_placement.py
+++ b/libraries/decisions/tests/test_placement.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from bamboopier_decisions.context.placement import StoreVm, list_sources, place_block
+from bamboopier_decisions.context.placement import StoreVm, list_read_vms, place_block
 
 VMS = [StoreVm(f"store-{n}", f"10.0.0.{n}:1", f"dc-{n % 3}") for n in range(6)]
 KEYS = [bytes([n % 256, n >> 8]) * 16 for n in range(300)]
@@ -21,7 +21,7 @@
 
     def test_the_nearest_replica_is_read_first(self) -> None:
         for key in KEYS:
-            sources = list_sources(key, VMS, (), 3, "dc-2")
+            sources = list_read_vms(key, VMS, (), 3, "dc-2")
             self.assertEqual(sources[0].data_centre, "dc-2")
 
     def test_a_leaving_vm_moves_its_share_and_a_new_one_finds_the_former(self) -> None:
@@ -32,5 +32,5 @@
             moved += before != after
             self.assertTrue(before == after or before == [VMS[0]])
             # store-0 comes back empty: the block still lies with ``after``.
-            self.assertIn(after[0], list_sources(key, VMS, rest, 1, "dc-0"))
+            self.assertIn(after[0], list_read_vms(key, VMS, rest, 1, "dc-0"))
         self.assertLess(moved, len(KEYS) / 3)
--- a/tools/bench_context/drive.py
+++ b/tools/bench_context/drive.py
@@ -18,7 +18,7 @@
     choose_fetch,
     is_worth_exporting,
 )
-from bamboopier_decisions.context.placement import StoreVm, list_sources, place_block
+from bamboopier_decisions.context.placement import StoreVm, list_read_vms, place_block
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
     Distance,
@@ -191,7 +191,7 @@
         self, engine: Engine, prompt: Prompt, key: bytes, depth: int
     ) -> bool:
         name = str(BlockName(self.tags[prompt.workspace], depth, key))
-        sources = list_sources(key, self.vms, (), 1, engine.data_centre)
+        sources = list_read_vms(key, self.vms, (), 1, engine.data_centre)
         return any(name in self.stores[vm.name].names for vm in sources)
 
     def _prefill(
