--- a/libraries/decisions/tests/test_fetch_choice.py
+++ b/libraries/decisions/tests/test_fetch_choice.py
@@ -40,11 +40,11 @@
             # The budget has room for four blocks, the others go at its slow rate.
             (
                 "a spent budget",
-                {"free_bytes": 50e6, "budget_rate": 20e6},
+                {"available_bytes": 50e6, "budget_rate": 20e6},
                 part,
                 part,
             ),
-            ("others wait", {"free_bytes": -1e9}, recompute, recompute),
+            ("others wait", {"available_bytes": -1e9}, recompute, recompute),
         ]
         for name, change, first_token, recomputed in rows:
             with self.subTest(name):
