--- a/libraries/agent/src/bamboopier_agent/weights.py
+++ b/libraries/agent/src/bamboopier_agent/weights.py
@@ -9,7 +9,7 @@
 import structlog
 from result import Err
 
-from bamboopier_decisions.membership.lease import TakeOver
+from bamboopier_decisions.membership.lease import TakeoverPolicy
 from bamboopier_decisions.membership.load_slots import count_slots
 
 from .errors import OrderFailedError, OrderRefusedError
@@ -94,8 +94,8 @@
         if service is None or service.kind != "model":
             return False
         checks = service.targets_check_fencing
-        self._lease.lease.take_over = (
-            TakeOver.AT_ONCE if checks else TakeOver.AFTER_WAIT
+        self._lease.lease.takeover = (
+            TakeoverPolicy.AT_ONCE if checks else TakeoverPolicy.AFTER_WAIT
         )
         return True
 
--- a/libraries/decisions/src/bamboopier_decisions/membership/lease.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/lease.py
@@ -51,7 +51,7 @@
     expected_version: int
 
 
-class TakeOver(StrEnum):
+class TakeoverPolicy(StrEnum):
     """When another holder's lease may be taken."""
 
     AFTER_WAIT = "after-wait"
@@ -71,7 +71,7 @@
         "_sent",
         "_serial",
         "duration",
-        "take_over",
+        "takeover",
     )
 
     def __init__(
@@ -79,12 +79,12 @@
         holder: str,
         place: str,
         duration: float,
-        take_over: TakeOver = TakeOver.AFTER_WAIT,
+        takeover: TakeoverPolicy = TakeoverPolicy.AFTER_WAIT,
     ) -> None:
         self._holder = holder
         self._place = place
         self.duration = duration
-        self.take_over = take_over
+        self.takeover = takeover
         self._seen = SeenLease(0, None)
         # When this version was first seen here.
         self._seen_since = float("-inf")
@@ -134,7 +134,7 @@
         if record.place == self._place:
             # Only one process can listen there: the former holder has ended.
             return 0.0
-        if self.take_over is TakeOver.AT_ONCE and not self._had:
+        if self.takeover is TakeoverPolicy.AT_ONCE and not self._had:
             # The newest process wins; the one it replaced waits, or the two would take
             # the lease from each other for ever.
             return 0.0
--- a/libraries/decisions/tests/membership/test_lease.py
+++ b/libraries/decisions/tests/membership/test_lease.py
@@ -11,7 +11,7 @@
     Lease,
     LeaseRecord,
     SeenLease,
-    TakeOver,
+    TakeoverPolicy,
     WriteLease,
 )
 
@@ -130,7 +130,7 @@
         self.assertEqual(lease.find_wait(210.0), 0.0)
 
     def test_no_wait_where_the_predecessor_cannot_harm(self) -> None:
-        fenced = Lease("me", "here", DURATION, TakeOver.AT_ONCE)
+        fenced = Lease("me", "here", DURATION, TakeoverPolicy.AT_ONCE)
         self.see_holder(fenced)
         restarted = Lease("me", "here", DURATION)
         self.see_holder(restarted, place="here")
--- a/tools/safeguards/orders.py
+++ b/tools/safeguards/orders.py
@@ -226,8 +226,8 @@
     Mutation(
         "a target that ignores fencing numbers is waited for",
         "libraries/agent/src/bamboopier_agent/weights.py",
-        "            TakeOver.AT_ONCE if checks else TakeOver.AFTER_WAIT\n",
-        "            TakeOver.AT_ONCE\n",
+        "            TakeoverPolicy.AT_ONCE if checks else TakeoverPolicy.AFTER_WAIT\n",
+        "            TakeoverPolicy.AT_ONCE\n",
         "libraries/agent",
         "tests.test_weights.WeightsTests.test_a_second_agent_waits_out_the_first",
     ),
