--- a/libraries/agent/src/bamboopier_agent/lease.py
+++ b/libraries/agent/src/bamboopier_agent/lease.py
@@ -9,7 +9,7 @@
 from result import Err, Ok
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.membership.lease import Lease, LeaseRecord, SeenLease
+from bamboopier_decisions.membership.lease import Lease, LeaseRecord, ObservedLease
 
 if TYPE_CHECKING:
     import random
@@ -58,7 +58,7 @@
         except msgspec.MsgspecError:
             # Not written by this program: it is taken over like a released lease.
             record = None
-        self.lease.see(read_clock(), SeenLease(stored.version, record))
+        self.lease.see(read_clock(), ObservedLease(stored.version, record))
 
     async def claim(self) -> bool:
         """Take or renew the lease if it may be; say whether it is held afterwards."""
@@ -103,6 +103,6 @@
         value = msgspec.json.encode(write.record)
         answer = await self._objects.write(self.key, value, write.expected_version)
         if isinstance(answer, Ok):
-            self.lease.see(read_clock(), SeenLease(answer.ok_value, write.record))
+            self.lease.see(read_clock(), ObservedLease(answer.ok_value, write.record))
         else:
             await self.observe()
--- a/libraries/decisions/src/bamboopier_decisions/membership/lease.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/lease.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SeenLease:
+class ObservedLease:
     """A record as it was read, with the object's version; 0 when there is none."""
 
     version: int
@@ -85,7 +85,7 @@
         self._place = place
         self.duration = duration
         self.takeover = takeover
-        self._seen = SeenLease(0, None)
+        self._seen = ObservedLease(0, None)
         # When this version was first seen here.
         self._seen_since = float("-inf")
         self._serial = 0
@@ -113,7 +113,7 @@
             1 - CLOCK_RATE_ERROR
         )
 
-    def see(self, now: float, seen: SeenLease) -> None:
+    def see(self, now: float, seen: ObservedLease) -> None:
         """Take what a read showed; ``now`` is after the read's answer.
 
         A lower version than one already seen comes from a replica that lags.
--- a/libraries/decisions/tests/membership/test_lease.py
+++ b/libraries/decisions/tests/membership/test_lease.py
@@ -10,7 +10,7 @@
 from bamboopier_decisions.membership.lease import (
     Lease,
     LeaseRecord,
-    SeenLease,
+    ObservedLease,
     TakeoverPolicy,
     WriteLease,
 )
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.time = 0.0
-        self.past: list[SeenLease] = [SeenLease(0, None)]
+        self.past: list[ObservedLease] = [ObservedLease(0, None)]
         self.held_writes: list[WriteLease] = []
         self.leases = [
             Lease(f"agent-{n}", f"place-{n}", DURATION) for n in range(HOLDERS)
@@ -46,7 +46,7 @@
     def apply(self, write: WriteLease) -> bool:
         if write.expected_version != self.past[-1].version:
             return False
-        self.past.append(SeenLease(self.past[-1].version + 1, write.record))
+        self.past.append(ObservedLease(self.past[-1].version + 1, write.record))
         return True
 
     @rule(seconds=st.sampled_from([0.1, 29.8, 59.2, 61.0]))
@@ -117,15 +117,15 @@
 class LeaseTests(unittest.TestCase):
     def see_holder(self, lease: Lease, place: str = "elsewhere") -> None:
         record = LeaseRecord("other", place, 7, DURATION, 1)
-        lease.see(100.0, SeenLease(3, record))
+        lease.see(100.0, ObservedLease(3, record))
 
     def test_a_predecessor_is_waited_out_from_its_last_sign(self) -> None:
         lease = Lease("me", "here", DURATION)
         self.see_holder(lease)
         self.assertEqual(lease.find_wait(130.0), 30.0)
-        lease.see(150.0, SeenLease(4, LeaseRecord("other", "there", 7, DURATION, 2)))
+        lease.see(150.0, ObservedLease(4, LeaseRecord("other", "there", 7, DURATION, 2)))
         # A replica that lags shows the earlier renewal again.
-        lease.see(155.0, SeenLease(3, LeaseRecord("other", "there", 7, DURATION, 1)))
+        lease.see(155.0, ObservedLease(3, LeaseRecord("other", "there", 7, DURATION, 1)))
         self.assertEqual(lease.find_wait(160.0), 50.0)
         self.assertEqual(lease.find_wait(210.0), 0.0)
 
@@ -142,9 +142,9 @@
         """Both count 60 s from the same write, one of them on a clock 1% fast."""
         holder = Lease("me", "here", DURATION)
         write = holder.claim(0.0)
-        holder.see(0.0, SeenLease(1, write.record))
+        holder.see(0.0, ObservedLease(1, write.record))
         other = Lease("other", "there", DURATION)
-        other.see(0.0, SeenLease(1, write.record))
+        other.see(0.0, ObservedLease(1, write.record))
         begins = DURATION / 1.01
         self.assertEqual(other.find_wait(begins * 1.01), 0.0)
         self.assertFalse(holder.is_held(begins))
@@ -157,6 +157,6 @@
         lease = Lease("me", "here", DURATION)
         first = lease.claim(0.0)
         lease.claim(50.0)
-        lease.see(51.0, SeenLease(1, first.record))
+        lease.see(51.0, ObservedLease(1, first.record))
         self.assertTrue(lease.is_held(59.0))
         self.assertFalse(lease.is_held(60.0))
