--- a/libraries/agent/src/bamboopier_agent/lease.py
+++ b/libraries/agent/src/bamboopier_agent/lease.py
@@ -58,7 +58,7 @@
         except msgspec.MsgspecError:
             # Not written by this program: it is taken over like a released lease.
             record = None
-        self.lease.see(read_clock(), ObservedLease(stored.version, record))
+        self.lease.observe(read_clock(), ObservedLease(stored.version, record))
 
     async def claim(self) -> bool:
         """Take or renew the lease if it may be; say whether it is held afterwards."""
@@ -103,6 +103,6 @@
         value = msgspec.json.encode(write.record)
         answer = await self._objects.write(self.key, value, write.expected_version)
         if isinstance(answer, Ok):
-            self.lease.see(read_clock(), ObservedLease(answer.ok_value, write.record))
+            self.lease.observe(read_clock(), ObservedLease(answer.ok_value, write.record))
         else:
             await self.observe()
--- a/libraries/decisions/src/bamboopier_decisions/membership/lease.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/lease.py
@@ -113,7 +113,7 @@
             1 - CLOCK_RATE_ERROR
         )
 
-    def see(self, now: float, seen: ObservedLease) -> None:
+    def observe(self, now: float, seen: ObservedLease) -> None:
         """Take what a read showed; ``now`` is after the read's answer.
 
         A lower version than one already seen comes from a replica that lags.
--- a/libraries/decisions/tests/membership/test_lease.py
+++ b/libraries/decisions/tests/membership/test_lease.py
@@ -56,7 +56,7 @@
     @rule(holder=holders, lag=st.integers(0, 2))
     def read(self, holder: int, lag: int) -> None:
         seen = self.past[max(0, len(self.past) - 1 - lag)]
-        self.leases[holder].see(self.read_clock(holder), seen)
+        self.leases[holder].observe(self.read_clock(holder), seen)
 
     @rule(
         holder=holders,
@@ -74,14 +74,14 @@
         if fault == "hold":
             self.held_writes.append(write)
         elif fault != "drop" and self.apply(write) and not fault:
-            lease.see(self.read_clock(holder), self.past[-1])
+            lease.observe(self.read_clock(holder), self.past[-1])
 
     @rule(holder=holders)
     def release(self, holder: int) -> None:
         lease = self.leases[holder]
         write = lease.release(self.read_clock(holder))
         if write is not None and self.apply(write):
-            lease.see(self.read_clock(holder), self.past[-1])
+            lease.observe(self.read_clock(holder), self.past[-1])
 
     @rule()
     def land_delayed_writes(self) -> None:
@@ -115,25 +115,25 @@
 
 
 class LeaseTests(unittest.TestCase):
-    def see_holder(self, lease: Lease, place: str = "elsewhere") -> None:
+    def observe_holder(self, lease: Lease, place: str = "elsewhere") -> None:
         record = LeaseRecord("other", place, 7, DURATION, 1)
-        lease.see(100.0, ObservedLease(3, record))
+        lease.observe(100.0, ObservedLease(3, record))
 
     def test_a_predecessor_is_waited_out_from_its_last_sign(self) -> None:
         lease = Lease("me", "here", DURATION)
-        self.see_holder(lease)
+        self.observe_holder(lease)
         self.assertEqual(lease.find_wait(130.0), 30.0)
-        lease.see(150.0, ObservedLease(4, LeaseRecord("other", "there", 7, DURATION, 2)))
+        lease.observe(150.0, ObservedLease(4, LeaseRecord("other", "there", 7, DURATION, 2)))
         # A replica that lags shows the earlier renewal again.
-        lease.see(155.0, ObservedLease(3, LeaseRecord("other", "there", 7, DURATION, 1)))
+        lease.observe(155.0, ObservedLease(3, LeaseRecord("other", "there", 7, DURATION, 1)))
         self.assertEqual(lease.find_wait(160.0), 50.0)
         self.assertEqual(lease.find_wait(210.0), 0.0)
 
     def test_no_wait_where_the_predecessor_cannot_harm(self) -> None:
         fenced = Lease("me", "here", DURATION, TakeoverPolicy.AT_ONCE)
-        self.see_holder(fenced)
+        self.observe_holder(fenced)
         restarted = Lease("me", "here", DURATION)
-        self.see_holder(restarted, place="here")
+        self.observe_holder(restarted, place="here")
         for lease in (fenced, restarted):
             self.assertEqual(lease.find_wait(100.0), 0.0)
             self.assertEqual(lease.claim(100.0).record.fence, 8)
@@ -142,9 +142,9 @@
         """Both count 60 s from the same write, one of them on a clock 1% fast."""
         holder = Lease("me", "here", DURATION)
         write = holder.claim(0.0)
-        holder.see(0.0, ObservedLease(1, write.record))
+        holder.observe(0.0, ObservedLease(1, write.record))
         other = Lease("other", "there", DURATION)
-        other.see(0.0, ObservedLease(1, write.record))
+        other.observe(0.0, ObservedLease(1, write.record))
         begins = DURATION / 1.01
         self.assertEqual(other.find_wait(begins * 1.01), 0.0)
         self.assertFalse(holder.is_held(begins))
@@ -157,6 +157,6 @@
         lease = Lease("me", "here", DURATION)
         first = lease.claim(0.0)
         lease.claim(50.0)
-        lease.see(51.0, ObservedLease(1, first.record))
+        lease.observe(51.0, ObservedLease(1, first.record))
         self.assertTrue(lease.is_held(59.0))
         self.assertFalse(lease.is_held(60.0))
