--- a/libraries/agent/src/bamboopier_agent/lease.py
+++ b/libraries/agent/src/bamboopier_agent/lease.py
@@ -15,7 +15,7 @@
     import random
     from collections.abc import Callable
 
-    from bamboopier_decisions.membership.lease import WriteLease
+    from bamboopier_decisions.membership.lease import LeaseWrite
     from bamboopier_objects.objects import ObjectStore, StoredObject
 
 # 730 agents that renew every 20 s write 37 times a second, a tenth of what the platform
@@ -94,7 +94,7 @@
             await self.observe()
         return self.lease.find_wait(read_clock()) == 0.0
 
-    async def _write(self, write: WriteLease) -> None:
+    async def _write(self, write: LeaseWrite) -> None:
         """Write and learn what stands in the object afterwards.
 
         After a lost answer or a conflict the object is read: the HTTP library may have
--- a/libraries/decisions/src/bamboopier_decisions/membership/lease.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/lease.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WriteLease:
+class LeaseWrite:
     """Write ``record`` if the object still has ``expected_version``."""
 
     record: LeaseRecord
@@ -140,7 +140,7 @@
             return 0.0
         return max(0.0, self._seen_since + record.duration - now)
 
-    def claim(self, now: float) -> WriteLease:
+    def claim(self, now: float) -> LeaseWrite:
         """Return the write that takes or renews the lease; send it after ``now``.
 
         The fencing number grows whenever others could have held the lease in between.
@@ -149,14 +149,14 @@
         record = LeaseRecord(
             self._holder, self._place, fence, self.duration, self._next(now)
         )
-        return WriteLease(record, self._seen.version)
+        return LeaseWrite(record, self._seen.version)
 
-    def release(self, now: float) -> WriteLease | None:
+    def release(self, now: float) -> LeaseWrite | None:
         """Return the write that gives the lease up, or None when it is not held."""
         if not self.is_held(now) or self._seen.record is None:
             return None
         record = replace(self._seen.record, released=True, serial=self._next(now))
-        return WriteLease(record, self._seen.version)
+        return LeaseWrite(record, self._seen.version)
 
     def _next(self, now: float) -> int:
         self._serial += 1
--- a/libraries/decisions/tests/membership/test_lease.py
+++ b/libraries/decisions/tests/membership/test_lease.py
@@ -12,7 +12,7 @@
     LeaseRecord,
     ObservedLease,
     TakeoverPolicy,
-    WriteLease,
+    LeaseWrite,
 )
 
 DURATION = 60.0
@@ -32,7 +32,7 @@
         super().__init__()
         self.time = 0.0
         self.past: list[ObservedLease] = [ObservedLease(0, None)]
-        self.held_writes: list[WriteLease] = []
+        self.held_writes: list[LeaseWrite] = []
         self.leases = [
             Lease(f"agent-{n}", f"place-{n}", DURATION) for n in range(HOLDERS)
         ]
@@ -43,7 +43,7 @@
         offset, rate = self.clocks[holder]
         return offset + self.time * rate
 
-    def apply(self, write: WriteLease) -> bool:
+    def apply(self, write: LeaseWrite) -> bool:
         if write.expected_version != self.past[-1].version:
             return False
         self.past.append(ObservedLease(self.past[-1].version + 1, write.record))
