--- a/libraries/agent/src/bamboopier_agent/lease.py
+++ b/libraries/agent/src/bamboopier_agent/lease.py
@@ -60,11 +60,11 @@
             record = None
         self.lease.observe(read_clock(), ObservedLease(stored.version, record))
 
-    async def claim(self) -> bool:
+    async def acquire(self) -> bool:
         """Take or renew the lease if it may be; say whether it is held afterwards."""
         if not await self._refresh_wait():
             return False
-        await self._write(self.lease.claim(read_clock()))
+        await self._write(self.lease.acquire(read_clock()))
         return self.held
 
     async def release(self) -> None:
@@ -81,7 +81,7 @@
                 continue
             if self.lease.fence == 0:
                 await self.observe()
-            held = await self.claim()
+            held = await self.acquire()
             seconds = RENEW_SECONDS if held else OBSERVE_SECONDS
             wait = self.lease.find_wait(read_clock())
             if not held and 0 < wait < seconds:
--- a/libraries/agent/src/bamboopier_agent/load_slots.py
+++ b/libraries/agent/src/bamboopier_agent/load_slots.py
@@ -81,7 +81,7 @@
         leases = {n: self._keepers[n].lease for n in range(count)}
         order = self._random.sample(range(count), count)
         number = choose_slot(read_clock(), leases, order)
-        if number is None or not await self._keepers[number].claim():
+        if number is None or not await self._keepers[number].acquire():
             return None
         return self._keepers[number]
 
@@ -97,4 +97,4 @@
 async def _renew(keeper: LeaseKeeper) -> None:
     while True:
         await asyncio.sleep(RENEW_SECONDS)
-        await keeper.claim()
+        await keeper.acquire()
--- a/libraries/agent/src/bamboopier_agent/weights.py
+++ b/libraries/agent/src/bamboopier_agent/weights.py
@@ -136,7 +136,7 @@
         try:
             # The write shows at once whether another process has taken the lease while
             # this one, or its whole machine, stood still.
-            if not await self._lease.claim():
+            if not await self._lease.acquire():
                 return LoadOutcome.NO_LEASE
             if not slot.held or not self._lease.held:
                 return LoadOutcome.NO_LEASE
--- a/libraries/agent/tests/order_builders.py
+++ b/libraries/agent/tests/order_builders.py
@@ -180,7 +180,7 @@
     async def take_lease(self) -> bool:
         self.weights.needs_lease()
         await self.lease.observe()
-        return await self.lease.claim()
+        return await self.lease.acquire()
 
 
 def build_settings(name: str) -> AgentSettings:
--- a/libraries/decisions/src/bamboopier_decisions/membership/lease.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/lease.py
@@ -140,7 +140,7 @@
             return 0.0
         return max(0.0, self._seen_since + record.duration - now)
 
-    def claim(self, now: float) -> LeaseWrite:
+    def acquire(self, now: float) -> LeaseWrite:
         """Return the write that takes or renews the lease; send it after ``now``.
 
         The fencing number grows whenever others could have held the lease in between.
--- a/libraries/decisions/tests/membership/test_lease.py
+++ b/libraries/decisions/tests/membership/test_lease.py
@@ -63,14 +63,14 @@
         looks=st.booleans(),
         fault=st.sampled_from(["", "", "lose", "drop", "hold"]),
     )
-    def claim(self, holder: int, looks: bool, fault: str) -> None:
+    def acquire(self, holder: int, looks: bool, fault: str) -> None:
         if looks:
             self.read(holder, 0)
         lease = self.leases[holder]
         now = self.read_clock(holder)
         if lease.find_wait(now) > 0:
             return
-        write = lease.claim(now)
+        write = lease.acquire(now)
         if fault == "hold":
             self.held_writes.append(write)
         elif fault != "drop" and self.apply(write) and not fault:
@@ -136,12 +136,12 @@
         self.observe_holder(restarted, place="here")
         for lease in (fenced, restarted):
             self.assertEqual(lease.find_wait(100.0), 0.0)
-            self.assertEqual(lease.claim(100.0).record.fence, 8)
+            self.assertEqual(lease.acquire(100.0).record.fence, 8)
 
     def test_a_holder_ends_before_a_faster_clock_lets_another_begin(self) -> None:
         """Both count 60 s from the same write, one of them on a clock 1% fast."""
         holder = Lease("me", "here", DURATION)
-        write = holder.claim(0.0)
+        write = holder.acquire(0.0)
         holder.observe(0.0, ObservedLease(1, write.record))
         other = Lease("other", "there", DURATION)
         other.observe(0.0, ObservedLease(1, write.record))
@@ -155,8 +155,8 @@
         Counted from the second, the holder would go on after others may take over.
         """
         lease = Lease("me", "here", DURATION)
-        first = lease.claim(0.0)
-        lease.claim(50.0)
+        first = lease.acquire(0.0)
+        lease.acquire(50.0)
         lease.observe(51.0, ObservedLease(1, first.record))
         self.assertTrue(lease.is_held(59.0))
         self.assertFalse(lease.is_held(60.0))
--- a/libraries/proxy/src/bamboopier_proxy/weight_roller.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_roller.py
@@ -187,7 +187,7 @@
         return None
 
     async def _load(self, wanted: tuple[str, int], slot: LeaseKeeper) -> None:
-        if not await self._lease.claim():
+        if not await self._lease.acquire():
             log.info("no lease", key=self._lease.key)
             return
         model, version = wanted
--- a/tools/safeguards/orders.py
+++ b/tools/safeguards/orders.py
@@ -140,7 +140,7 @@
     Mutation(
         "the lease is renewed just before an order",
         "libraries/agent/src/bamboopier_agent/weights.py",
-        "            if not await self._lease.claim():\n"
+        "            if not await self._lease.acquire():\n"
         "                return LoadOutcome.NO_LEASE\n",
         "",
         "libraries/agent",
