--- a/libraries/decisions/src/bamboopier_decisions/membership/lease.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/lease.py
@@ -65,10 +65,10 @@
     __slots__ = (
         "_holder",
         "_place",
-        "_seen",
-        "_seen_since",
-        "_had",
-        "_sent",
+        "_observed",
+        "_observed_at",
+        "_was_held",
+        "_sent_at",
         "_serial",
         "duration",
         "takeover",
@@ -85,19 +85,19 @@
         self._place = place
         self.duration = duration
         self.takeover = takeover
-        self._seen = ObservedLease(0, None)
+        self._observed = ObservedLease(0, None)
         # When this version was first seen here.
-        self._seen_since = float("-inf")
+        self._observed_at = float("-inf")
         self._serial = 0
         # Whether this process has ever held it.
-        self._had = False
+        self._was_held = False
         # When each of this process's writes was sent, by serial.
-        self._sent: dict[int, float] = {}
+        self._sent_at: dict[int, float] = {}
 
     @property
     def fence(self) -> int:
         """Return the fencing number of the record last seen."""
-        return self._seen.record.fence if self._seen.record is not None else 0
+        return self._observed.record.fence if self._observed.record is not None else 0
 
     def is_held(self, now: float) -> bool:
         """Say whether orders may be given at ``now``; ask immediately before each.
@@ -105,40 +105,40 @@
         A holder that was paused finds here that its time has passed, since the steady
         clock ran on.
         """
-        record = self._seen.record
+        record = self._observed.record
         if record is None or record.holder != self._holder or record.released:
             return False
-        sent = self._sent.get(record.serial)
+        sent = self._sent_at.get(record.serial)
         return sent is not None and now < sent + record.duration * (
             1 - CLOCK_RATE_ERROR
         )
 
-    def observe(self, now: float, seen: ObservedLease) -> None:
+    def observe(self, now: float, observed: ObservedLease) -> None:
         """Take what a read showed; ``now`` is after the read's answer.
 
         A lower version than one already seen comes from a replica that lags.
         """
-        if seen.version > self._seen.version:
-            self._seen = seen
-            self._seen_since = now
-            own = seen.record is not None and seen.record.holder == self._holder
-            self._had |= own
-            kept = seen.record.serial if own and seen.record is not None else 0
-            self._sent = {s: at for s, at in self._sent.items() if s >= kept}
+        if observed.version > self._observed.version:
+            self._observed = observed
+            self._observed_at = now
+            own = observed.record is not None and observed.record.holder == self._holder
+            self._was_held |= own
+            kept = observed.record.serial if own and observed.record is not None else 0
+            self._sent_at = {s: at for s, at in self._sent_at.items() if s >= kept}
 
     def find_wait(self, now: float) -> float:
         """Return the seconds until the lease may be taken or renewed; 0 is now."""
-        record = self._seen.record
+        record = self._observed.record
         if record is None or record.released or record.holder == self._holder:
             return 0.0
         if record.place == self._place:
             # Only one process can listen there: the former holder has ended.
             return 0.0
-        if self.takeover is TakeoverPolicy.AT_ONCE and not self._had:
+        if self.takeover is TakeoverPolicy.AT_ONCE and not self._was_held:
             # The newest process wins; the one it replaced waits, or the two would take
             # the lease from each other for ever.
             return 0.0
-        return max(0.0, self._seen_since + record.duration - now)
+        return max(0.0, self._observed_at + record.duration - now)
 
     def acquire(self, now: float) -> LeaseWrite:
         """Return the write that takes or renews the lease; send it after ``now``.
@@ -147,18 +147,18 @@
         """
         fence = self.fence if self.is_held(now) else self.fence + 1
         record = LeaseRecord(
-            self._holder, self._place, fence, self.duration, self._next(now)
+            self._holder, self._place, fence, self.duration, self._issue_serial(now)
         )
-        return LeaseWrite(record, self._seen.version)
+        return LeaseWrite(record, self._observed.version)
 
     def release(self, now: float) -> LeaseWrite | None:
         """Return the write that gives the lease up, or None when it is not held."""
-        if not self.is_held(now) or self._seen.record is None:
+        if not self.is_held(now) or self._observed.record is None:
             return None
-        record = replace(self._seen.record, released=True, serial=self._next(now))
-        return LeaseWrite(record, self._seen.version)
+        record = replace(self._observed.record, released=True, serial=self._issue_serial(now))
+        return LeaseWrite(record, self._observed.version)
 
-    def _next(self, now: float) -> int:
+    def _issue_serial(self, now: float) -> int:
         self._serial += 1
-        self._sent[self._serial] = now
+        self._sent_at[self._serial] = now
         return self._serial
--- a/libraries/decisions/tests/membership/test_lease.py
+++ b/libraries/decisions/tests/membership/test_lease.py
@@ -55,8 +55,8 @@
 
     @rule(holder=holders, lag=st.integers(0, 2))
     def read(self, holder: int, lag: int) -> None:
-        seen = self.past[max(0, len(self.past) - 1 - lag)]
-        self.leases[holder].observe(self.read_clock(holder), seen)
+        observed = self.past[max(0, len(self.past) - 1 - lag)]
+        self.leases[holder].observe(self.read_clock(holder), observed)
 
     @rule(
         holder=holders,
@@ -100,7 +100,7 @@
 
     @invariant()
     def fencing_numbers_never_fall_and_differ_between_holders(self) -> None:
-        records = [seen.record for seen in self.past if seen.record is not None]
+        records = [observed.record for observed in self.past if observed.record is not None]
         fences = [record.fence for record in records]
         assert fences == sorted(fences)
         by_fence: dict[int, str] = {}
--- a/tools/safeguards/orders.py
+++ b/tools/safeguards/orders.py
@@ -8,21 +8,21 @@
     Mutation(
         "a lease is waited out whole",
         "libraries/decisions/src/bamboopier_decisions/membership/lease.py",
-        "        return max(0.0, self._seen_since + record.duration - now)\n",
-        "        return max(0.0, self._seen_since + record.duration / 2 - now)\n",
+        "        return max(0.0, self._observed_at + record.duration - now)\n",
+        "        return max(0.0, self._observed_at + record.duration / 2 - now)\n",
         "libraries/decisions",
         "tests.membership.test_lease.LeaseMachineTests",
     ),
     Mutation(
         "the wait starts anew with each renewal",
         "libraries/decisions/src/bamboopier_decisions/membership/lease.py",
-        "        if seen.version > self._seen.version:\n"
-        "            self._seen = seen\n"
-        "            self._seen_since = now\n",
-        "        if seen.version > self._seen.version:\n"
-        "            self._seen = seen\n"
-        "            self._seen_since = now if self._seen_since < 0 "
-        "else self._seen_since\n",
+        "        if observed.version > self._observed.version:\n"
+        "            self._observed = observed\n"
+        "            self._observed_at = now\n",
+        "        if observed.version > self._observed.version:\n"
+        "            self._observed = observed\n"
+        "            self._observed_at = now if self._observed_at < 0 "
+        "else self._observed_at\n",
         "libraries/decisions",
         "tests.membership.test_lease.LeaseTests."
         "test_a_predecessor_is_waited_out_from_its_last_sign",
@@ -49,8 +49,8 @@
     Mutation(
         "a lease counts from the write that took effect",
         "libraries/decisions/src/bamboopier_decisions/membership/lease.py",
-        "        sent = self._sent.get(record.serial)\n",
-        "        sent = max(self._sent.values(), default=None)\n",
+        "        sent = self._sent_at.get(record.serial)\n",
+        "        sent = max(self._sent_at.values(), default=None)\n",
         "libraries/decisions",
         "tests.membership.test_lease.LeaseTests."
         "test_a_renewal_that_landed_late_counts_from_when_it_was_sent",
@@ -66,10 +66,10 @@
     Mutation(
         "a lagging read does not restart the wait",
         "libraries/decisions/src/bamboopier_decisions/membership/lease.py",
-        "        if seen.version > self._seen.version:\n"
-        "            self._seen = seen\n",
-        "        if seen.version != self._seen.version:\n"
-        "            self._seen = seen\n",
+        "        if observed.version > self._observed.version:\n"
+        "            self._observed = observed\n",
+        "        if observed.version != self._observed.version:\n"
+        "            self._observed = observed\n",
         "libraries/decisions",
         "tests.membership.test_lease.LeaseTests."
         "test_a_predecessor_is_waited_out_from_its_last_sign",
