--- a/libraries/agent/src/bamboopier_agent/standing.py
+++ b/libraries/agent/src/bamboopier_agent/standing.py
@@ -8,7 +8,7 @@
 import structlog
 
 from bamboopier_decisions.admission.messages import ResumeRequested, StopRequested
-from bamboopier_decisions.membership.fleet_view import DrainedPlaces
+from bamboopier_decisions.membership.fleet_view import DrainedSet
 from bamboopier_decisions.membership.leaving import LeavingVms
 from bamboopier_decisions.membership.standing import Obstacle, Standing
 
@@ -42,7 +42,7 @@
     def apply_configuration(self, directory: Directory) -> None:
         """Take the drains of a new generation."""
         drains = directory.configuration.drains
-        places = DrainedPlaces(
+        places = DrainedSet(
             frozenset(drains.data_centres), frozenset(drains.targets)
         )
         self._drained = places.hold(self._settings.target, self._settings.data_centre)
--- a/libraries/decisions/src/bamboopier_decisions/membership/fleet_view.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/fleet_view.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DrainedPlaces:
+class DrainedSet:
     """What operators have taken out of service."""
 
     data_centres: frozenset[str] = frozenset()
@@ -46,7 +46,7 @@
         self._leaving = LeavingVms()
 
     def select(
-        self, now: float, listed: Iterable[ListedTarget], drained: DrainedPlaces
+        self, now: float, listed: Iterable[ListedTarget], drained: DrainedSet
     ) -> frozenset[str]:
         """Return the names of the targets that may be sent new work."""
         targets = list(listed)
--- a/libraries/decisions/tests/membership/test_fleet_view.py
+++ b/libraries/decisions/tests/membership/test_fleet_view.py
@@ -6,7 +6,7 @@
 import unittest
 
 from bamboopier_decisions.membership.fleet_view import (
-    DrainedPlaces,
+    DrainedSet,
     FleetView,
     ListedTarget,
 )
@@ -27,7 +27,7 @@
 class FleetViewTests(unittest.TestCase):
     def select(self, view: FleetView, now: float, leaving: bool) -> bool:
         listed = [ListedTarget("desk-1", "dc-east", leaving)]
-        return bool(view.select(now, listed, DrainedPlaces()))
+        return bool(view.select(now, listed, DrainedSet()))
 
     def test_a_leaving_vm_stays_out_while_the_list_wavers(self) -> None:
         """Replicas of the VM list answer in turn: leaving, live, leaving.
@@ -50,10 +50,10 @@
             ListedTarget("desk-2", "dc-west", False),
         ]
         cases = [
-            (DrainedPlaces(), {"desk-1", "desk-2"}),
-            (DrainedPlaces(frozenset({"dc-east"})), {"desk-2"}),
-            (DrainedPlaces(targets=frozenset({"desk-2"})), {"desk-1"}),
-            (DrainedPlaces(), {"desk-1", "desk-2"}),
+            (DrainedSet(), {"desk-1", "desk-2"}),
+            (DrainedSet(frozenset({"dc-east"})), {"desk-2"}),
+            (DrainedSet(targets=frozenset({"desk-2"})), {"desk-1"}),
+            (DrainedSet(), {"desk-1", "desk-2"}),
         ]
         for drained, expected in cases:
             self.assertEqual(view.select(0.0, listed, drained), expected)
--- a/libraries/gateway/src/bamboopier_gateway/fleet.py
+++ b/libraries/gateway/src/bamboopier_gateway/fleet.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from bamboopier_decisions.membership.fleet_view import (
-    DrainedPlaces,
+    DrainedSet,
     FleetView,
     ListedTarget,
 )
@@ -92,7 +92,7 @@
         self._addresses = {vm.name: vm.address for vm in targets}
         self._agents.keep_only(set(self._addresses.values()))
         drains = self._directory.configuration.drains
-        drained = DrainedPlaces(
+        drained = DrainedSet(
             frozenset(drains.data_centres), frozenset(drains.targets)
         )
         now = time.monotonic()
