--- a/libraries/agent/src/bamboopier_agent/standing.py
+++ b/libraries/agent/src/bamboopier_agent/standing.py
@@ -42,10 +42,10 @@
     def apply_configuration(self, directory: Directory) -> None:
         """Take the drains of a new generation."""
         drains = directory.configuration.drains
-        places = DrainedSet(
+        drained_set = DrainedSet(
             frozenset(drains.data_centres), frozenset(drains.targets)
         )
-        self._drained = places.hold(self._settings.target, self._settings.data_centre)
+        self._drained = drained_set.contains(self._settings.target, self._settings.data_centre)
         self._review()
 
     def apply_vms(self, board: VmBoard) -> None:
--- a/libraries/decisions/src/bamboopier_decisions/membership/fleet_view.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/fleet_view.py
@@ -32,7 +32,7 @@
     data_centres: frozenset[str] = frozenset()
     targets: frozenset[str] = frozenset()
 
-    def hold(self, target: str, data_centre: str) -> bool:
+    def contains(self, target: str, data_centre: str) -> bool:
         """Say whether the target is out."""
         return target in self.targets or data_centre in self.data_centres
 
@@ -55,5 +55,5 @@
             target.name
             for target in targets
             if target.name not in leaving
-            and not drained.hold(target.name, target.data_centre)
+            and not drained.contains(target.name, target.data_centre)
         )
--- a/tools/safeguards/places.py
+++ b/tools/safeguards/places.py
@@ -27,7 +27,7 @@
     Mutation(
         "the agent of a drained target refuses by itself",
         "libraries/agent/src/bamboopier_agent/standing.py",
-        "        self._drained = places.hold(self._settings.target, "
+        "        self._drained = drained_set.contains(self._settings.target, "
         "self._settings.data_centre)\n",
         "        self._drained = False\n",
         ".",
