--- a/libraries/agent/src/bamboopier_agent/standing.py
+++ b/libraries/agent/src/bamboopier_agent/standing.py
@@ -9,7 +9,7 @@
 
 from bamboopier_decisions.admission.messages import ResumeRequested, StopRequested
 from bamboopier_decisions.membership.fleet_view import DrainedSet
-from bamboopier_decisions.membership.leaving import LeavingVms
+from bamboopier_decisions.membership.leaving import LeavingVmTracker
 from bamboopier_decisions.membership.standing import Obstacle, Standing
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
     def __init__(self, settings: AgentSettings, gate: AdmissionGate) -> None:
         self._settings = settings
         self._gate = gate
-        self._leaving_vms = LeavingVms()
+        self._leaving_vms = LeavingVmTracker()
         self._shutting_down = False
         self._drained = False
         self._leaving = False
--- a/libraries/decisions/src/bamboopier_decisions/membership/fleet_view.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/fleet_view.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from .leaving import LeavingVms
+from .leaving import LeavingVmTracker
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -43,7 +43,7 @@
     __slots__ = ("_leaving",)
 
     def __init__(self) -> None:
-        self._leaving = LeavingVms()
+        self._leaving = LeavingVmTracker()
 
     def select(
         self, now: float, listed: Iterable[ListedTarget], drained: DrainedSet
--- a/libraries/decisions/src/bamboopier_decisions/membership/leaving.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/leaving.py
@@ -17,7 +17,7 @@
 LIVE_AGAIN_SECONDS = 30.0
 
 
-class LeavingVms:
+class LeavingVmTracker:
     """The VMs that are leaving, from successive lists."""
 
     __slots__ = ("_live_since",)
