--- a/libraries/decisions/src/bamboopier_decisions/membership/leaving.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/leaving.py
@@ -14,7 +14,7 @@
 
 # A VM counts as live again once it has been listed so for this long without a break;
 # several times the lag of a few seconds that the brief gives the list.
-LIVE_AGAIN_SECONDS = 30.0
+LIVE_CONFIRMATION_SECONDS = 30.0
 
 
 class LeavingVmTracker:
@@ -34,12 +34,12 @@
             if leaves:
                 self._live_since[name] = None
             elif name in self._live_since:
-                self._note_live(now, name)
+                self._record_live(now, name)
         return frozenset(self._live_since)
 
-    def _note_live(self, now: float, name: str) -> None:
+    def _record_live(self, now: float, name: str) -> None:
         since = self._live_since[name]
         if since is None:
             self._live_since[name] = now
-        elif now - since >= LIVE_AGAIN_SECONDS:
+        elif now - since >= LIVE_CONFIRMATION_SECONDS:
             del self._live_since[name]
--- a/tools/safeguards/places.py
+++ b/tools/safeguards/places.py
@@ -9,7 +9,7 @@
         "a leaving VM stays out while the list wavers",
         "libraries/decisions/src/bamboopier_decisions/membership/leaving.py",
         "            elif name in self._live_since:\n"
-        "                self._note_live(now, name)\n",
+        "                self._record_live(now, name)\n",
         "            else:\n                self._live_since.pop(name, None)\n",
         "libraries/decisions",
         "tests.membership.test_fleet_view.FleetViewTests."
