--- a/libraries/agent/src/bamboopier_agent/standing.py
+++ b/libraries/agent/src/bamboopier_agent/standing.py
@@ -10,7 +10,7 @@
 from bamboopier_decisions.admission.messages import ResumeRequested, StopRequested
 from bamboopier_decisions.membership.fleet_view import DrainedSet
 from bamboopier_decisions.membership.leaving import LeavingVmTracker
-from bamboopier_decisions.membership.standing import Obstacle, Standing
+from bamboopier_decisions.membership.availability import Obstacle, Standing
 
 if TYPE_CHECKING:
     from bamboopier_configuration.directory import Directory
--- a/libraries/agent/tests/test_weights.py
+++ b/libraries/agent/tests/test_weights.py
@@ -11,7 +11,7 @@
 
 from bamboopier_agent.load_slots import SLOT_LEASE_SECONDS
 from bamboopier_agent.weights import LoadOutcome
-from bamboopier_decisions.membership.standing import Obstacle
+from bamboopier_decisions.membership.availability import Obstacle
 
 from .order_builders import DURATION, Agent, Clock, Engine, Objects
 
