--- a/libraries/agent/src/bamboopier_agent/standing.py
+++ b/libraries/agent/src/bamboopier_agent/standing.py
@@ -10,7 +10,7 @@
 from bamboopier_decisions.admission.messages import ResumeRequested, StopRequested
 from bamboopier_decisions.membership.fleet_view import DrainedSet
 from bamboopier_decisions.membership.leaving import LeavingVmTracker
-from bamboopier_decisions.membership.availability import Obstacle, Standing
+from bamboopier_decisions.membership.availability import UnavailableReason, TargetAvailability
 
 if TYPE_CHECKING:
     from bamboopier_configuration.directory import Directory
@@ -37,7 +37,7 @@
         self._drained = False
         self._leaving = False
         self._loading = False
-        self.obstacle: Obstacle | None = None
+        self.obstacle: UnavailableReason | None = None
 
     def apply_configuration(self, directory: Directory) -> None:
         """Take the drains of a new generation."""
@@ -67,10 +67,10 @@
         self._review()
 
     def _review(self) -> None:
-        standing = Standing(
+        standing = TargetAvailability(
             self._shutting_down, self._drained, self._leaving, self._loading
         )
-        obstacle = standing.find_obstacle()
+        obstacle = standing.find_unavailable_reason()
         if obstacle == self.obstacle:
             return
         self.obstacle = obstacle
--- a/libraries/agent/tests/test_weights.py
+++ b/libraries/agent/tests/test_weights.py
@@ -11,7 +11,7 @@
 
 from bamboopier_agent.load_slots import SLOT_LEASE_SECONDS
 from bamboopier_agent.weights import LoadOutcome
-from bamboopier_decisions.membership.availability import Obstacle
+from bamboopier_decisions.membership.availability import UnavailableReason
 
 from .order_builders import DURATION, Agent, Clock, Engine, Objects
 
@@ -217,7 +217,7 @@
         agent = Agent(self.objects, Engine(late_reports=3))
         await agent.take_lease()
         task = await self.start_loading(agent)
-        self.assertIs(agent.standing.obstacle, Obstacle.LOADING)
+        self.assertIs(agent.standing.obstacle, UnavailableReason.LOADING)
         agent.engine.finish.set()
         await agent.watch.refreshed.wait()
         self.assertEqual((agent.engine.version, agent.watch.version), ("v2", "v1"))
--- a/libraries/decisions/src/bamboopier_decisions/membership/availability.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/availability.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 
 
-class Obstacle(StrEnum):
+class UnavailableReason(StrEnum):
     """Why a target takes no new work."""
 
     SHUTTING_DOWN = "shutting-down"
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class TargetAvailability:
     """What an agent knows that may keep new work from its target.
 
     The agent is the only way to its target, so a gateway that has not heard of a drain
@@ -29,12 +29,12 @@
     # Weights are being swapped.
     loading: bool = False
 
-    def find_obstacle(self) -> Obstacle | None:
+    def find_unavailable_reason(self) -> UnavailableReason | None:
         """Return the first reason against new work, or None."""
-        obstacles = (
-            (self.shutting_down, Obstacle.SHUTTING_DOWN),
-            (self.drained, Obstacle.DRAINED),
-            (self.leaving, Obstacle.LEAVING),
-            (self.loading, Obstacle.LOADING),
+        reasons = (
+            (self.shutting_down, UnavailableReason.SHUTTING_DOWN),
+            (self.drained, UnavailableReason.DRAINED),
+            (self.leaving, UnavailableReason.LEAVING),
+            (self.loading, UnavailableReason.LOADING),
         )
-        return next((obstacle for holds, obstacle in obstacles if holds), None)
+        return next((reason for holds, reason in reasons if holds), None)
