--- a/libraries/decisions/src/bamboopier_decisions/membership/versions.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/versions.py
@@ -55,13 +55,13 @@
         self,
         now: float,
         reported: Iterable[str],
-        unheard: int,
+        unreported: int,
         loads_at_once: int,
         random: random.Random,
     ) -> str:
         """Return the version for a request that arrives now.
 
-        ``reported`` gives the version of each usable target, ``unheard`` the number of
+        ``reported`` gives the version of each usable target, ``unreported`` the number of
         targets that have never said theirs. Requests are shared between the two
         versions as targets are, as long as more targets have the old one than may
         vanish into a load at any moment.
@@ -72,7 +72,7 @@
         new = versions.count(self.configured)
         old = versions.count(self._previous)
         if not new and not old:
-            return self._guess(versions, unheard)
+            return self._guess(versions, unreported)
         if not new:
             return self._previous
         if old <= loads_at_once:
@@ -80,7 +80,7 @@
         share = new / (new + old)
         return self.configured if random.random() < share else self._previous
 
-    def _guess(self, versions: Sequence[str], unheard: int) -> str:
+    def _guess(self, versions: Sequence[str], unreported: int) -> str:
         """Return the version to ask for where none has the new or the former one."""
         # Roll-outs that overtake each other leave targets at a version in between.
         # Passed over, they idle while those with the former one load, and callers get
@@ -92,4 +92,4 @@
         # the new one, which none has loaded so soon: each refuses, and the caller gets
         # 503 beside idle targets. The first target heard of, by an answer or when
         # asked, decides from then on.
-        return self._previous if self._previous and unheard else self.configured
+        return self._previous if self._previous and unreported else self.configured
--- a/libraries/gateway/src/bamboopier_gateway/fleet.py
+++ b/libraries/gateway/src/bamboopier_gateway/fleet.py
@@ -76,10 +76,10 @@
             return model.version
         services = _list_services(self._directory, model)
         reported = self._list_reported(services)
-        unheard = sum(self.reports.count_unheard(s.name) for s in services)
+        unreported = sum(self.reports.count_unheard(s.name) for s in services)
         at_once = max((service.loads_at_once for service in services), default=1)
         now = time.monotonic()
-        return versions.choose(now, reported, unheard, at_once, self._random)
+        return versions.choose(now, reported, unreported, at_once, self._random)
 
     def _list_reported(self, services: Iterable[Service]) -> list[str]:
         """Return the weight version of each target that takes work."""
--- a/tools/safeguards/orders.py
+++ b/tools/safeguards/orders.py
@@ -94,7 +94,7 @@
     Mutation(
         "targets not heard of yet are taken to have the old version",
         "libraries/decisions/src/bamboopier_decisions/membership/versions.py",
-        "self._previous if self._previous and unheard else self.configured",
+        "self._previous if self._previous and unreported else self.configured",
         "self.configured",
         "libraries/gateway",
         "tests.test_fleet.VersionTests."
