--- a/libraries/decisions/src/bamboopier_decisions/membership/versions.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/versions.py
@@ -18,13 +18,13 @@
 # Requests may be made for the version before the configured one for this long. At 41
 # targets a model, two loads at once and a second or two for each, a roll-out takes
 # under a minute; slow loads get ten times that before the old version is given up.
-ROLL_OUT_SECONDS = 600.0
+ROLLOUT_SECONDS = 600.0
 
 
 class ModelVersions:
     """The versions in use of one model, from the configuration and from targets."""
 
-    __slots__ = ("_changed", "_previous", "configured")
+    __slots__ = ("_changed_at", "_previous", "configured")
 
     def __init__(self, now: float, configured: str) -> None:
         self.configured = configured
@@ -32,7 +32,7 @@
         # A process that starts cannot tell how long the version has been configured.
         # Were it taken for long ago, a gateway started in a roll-out would ask all
         # targets for a version that none has loaded yet, and refuse every caller.
-        self._changed = now
+        self._changed_at = now
 
     def configure(self, now: float, version: str, reported: Iterable[str]) -> None:
         """Take the version of a new configuration; ``reported`` as in ``choose``.
@@ -48,7 +48,7 @@
         others = Counter(other for other in reported if other not in ("", version))
         in_use = others.most_common(1)
         self._previous = in_use[0][0] if in_use else self.configured
-        self._changed = now
+        self._changed_at = now
         self.configured = version
 
     def choose(
@@ -66,13 +66,13 @@
         versions as targets are, as long as more targets have the old one than may
         vanish into a load at any moment.
         """
-        if now >= self._changed + ROLL_OUT_SECONDS:
+        if now >= self._changed_at + ROLLOUT_SECONDS:
             return self.configured
         versions = [version for version in reported if version]
         new = versions.count(self.configured)
         old = versions.count(self._previous)
         if not new and not old:
-            return self._guess(versions, unreported)
+            return self._choose_fallback(versions, unreported)
         if not new:
             return self._previous
         if old <= loads_at_once:
@@ -80,7 +80,7 @@
         share = new / (new + old)
         return self.configured if random.random() < share else self._previous
 
-    def _guess(self, versions: Sequence[str], unreported: int) -> str:
+    def _choose_fallback(self, versions: Sequence[str], unreported: int) -> str:
         """Return the version to ask for where none has the new or the former one."""
         # Roll-outs that overtake each other leave targets at a version in between.
         # Passed over, they idle while those with the former one load, and callers get
--- a/libraries/decisions/tests/membership/test_fleet_view.py
+++ b/libraries/decisions/tests/membership/test_fleet_view.py
@@ -11,7 +11,7 @@
     ListedTarget,
 )
 from bamboopier_decisions.membership.load_slots import count_slots
-from bamboopier_decisions.membership.versions import ROLL_OUT_SECONDS, ModelVersions
+from bamboopier_decisions.membership.versions import ROLLOUT_SECONDS, ModelVersions
 from bamboopier_decisions.routing.messages import (
     Distance,
     FleetChanged,
@@ -77,7 +77,7 @@
         self.assertEqual(count_new(1.5, 0, 2), 0)
         self.assertTrue(150 < count_new(2.0, 2, 8) < 250)
         self.assertEqual(count_new(9.0, 8, 2), 1000)
-        self.assertEqual(count_new(ROLL_OUT_SECONDS, 2, 8), 1000)
+        self.assertEqual(count_new(ROLLOUT_SECONDS, 2, 8), 1000)
 
     def test_a_request_goes_to_a_target_of_its_version(self) -> None:
         """Half of the targets have v2; a request for it must not be tried at others."""
--- a/tools/safeguards/orders.py
+++ b/tools/safeguards/orders.py
@@ -130,7 +130,7 @@
     Mutation(
         "the old version ends in any case",
         "libraries/decisions/src/bamboopier_decisions/membership/versions.py",
-        "        if now >= self._changed + ROLL_OUT_SECONDS:\n"
+        "        if now >= self._changed_at + ROLLOUT_SECONDS:\n"
         "            return self.configured\n",
         "",
         "libraries/decisions",
