--- a/libraries/decisions/src/bamboopier_decisions/quarantine/quarantine.py
+++ b/libraries/decisions/src/bamboopier_decisions/quarantine/quarantine.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sentence:
+class QuarantineEntry:
     """A request that is refused. ``until`` is in seconds on the caller's clock."""
 
     fingerprint: bytes
@@ -82,9 +82,9 @@
         if len(self._suspects) > MAX_SUSPECTS:
             self._forget(next(iter(self._suspects)))
 
-    def learn(self, sentences: list[Sentence]) -> None:
+    def learn(self, entries: list[QuarantineEntry]) -> None:
         """Take over what other gateways refuse."""
-        self._learned = {s.fingerprint: s.until for s in sentences}
+        self._learned = {s.fingerprint: s.until for s in entries}
 
     def find_wait(self, now: float, fingerprint: bytes) -> float:
         """Return for how many seconds the request is refused; 0 when it is not."""
@@ -94,20 +94,20 @@
             until = max(until, suspect.last + self._refused_seconds)
         return max(0.0, until - now)
 
-    def list_unpublished(self, now: float) -> list[Sentence]:
+    def list_unpublished(self, now: float) -> list[QuarantineEntry]:
         """Return what others should know, once the evidence has settled."""
         return [
-            Sentence(fingerprint, suspect.last + self._refused_seconds)
+            QuarantineEntry(fingerprint, suspect.last + self._refused_seconds)
             for fingerprint, suspect in self._suspects.items()
             if not suspect.published
             and now - suspect.last >= SETTLE_SECONDS
             and self._is_convicted(now, fingerprint, suspect)
         ]
 
-    def mark_published(self, sentences: list[Sentence]) -> None:
+    def mark_published(self, entries: list[QuarantineEntry]) -> None:
         """Take in that the others can know."""
-        for sentence in sentences:
-            suspect = self._suspects.get(sentence.fingerprint)
+        for entry in entries:
+            suspect = self._suspects.get(entry.fingerprint)
             if suspect is not None:
                 suspect.published = True
 
--- a/libraries/decisions/tests/test_quarantine.py
+++ b/libraries/decisions/tests/test_quarantine.py
@@ -13,7 +13,7 @@
     QUARANTINE_SECONDS,
     SETTLE_SECONDS,
     Quarantine,
-    Sentence,
+    QuarantineEntry,
 )
 
 POISON, INNOCENT, OTHER = b"poison", b"innocent", b"other"
@@ -67,7 +67,7 @@
         quarantine.note_break(1.0, POISON, "b")
         self.assertEqual(quarantine.list_unpublished(1.0), [])
         told = quarantine.list_unpublished(1.0 + SETTLE_SECONDS)
-        self.assertEqual(told, [Sentence(POISON, 1.0 + QUARANTINE_SECONDS)])
+        self.assertEqual(told, [QuarantineEntry(POISON, 1.0 + QUARANTINE_SECONDS)])
         quarantine.mark_published(told)
         self.assertEqual(quarantine.list_unpublished(3.0), [])
         other = Quarantine()
@@ -79,7 +79,7 @@
         quarantine = Quarantine()
         quarantine.note_break(0.0, POISON, "a")
         quarantine.note_break(1.0, POISON, "b")
-        quarantine.learn([Sentence(OTHER, 5.0)])
+        quarantine.learn([QuarantineEntry(OTHER, 5.0)])
         end = 1.0 + QUARANTINE_SECONDS
         self.assertEqual(quarantine.find_wait(end, POISON), 0)
         self.assertEqual(quarantine.find_wait(end, OTHER), 0)
--- a/libraries/gateway/src/bamboopier_gateway/shared_quarantine.py
+++ b/libraries/gateway/src/bamboopier_gateway/shared_quarantine.py
@@ -11,7 +11,7 @@
 import structlog
 from result import Err, Ok
 
-from bamboopier_decisions.quarantine.quarantine import Quarantine, Sentence
+from bamboopier_decisions.quarantine.quarantine import Quarantine, QuarantineEntry
 from bamboopier_objects.errors import VersionConflictError
 from bamboopier_objects.objects import ABSENT
 
@@ -30,7 +30,7 @@
 # Other gateways write at the same time after one crash; the next round tries again.
 MAX_TRIES = 4
 # 32 bytes each, so the object stays far below a megabyte; the oldest go first.
-MAX_SENTENCES = 2000
+MAX_ENTRIES = 2000
 
 log = structlog.get_logger()
 
@@ -49,7 +49,7 @@
         self._objects = objects
         self._random = random
         self._quarantine = Quarantine()
-        self._known: list[Sentence] = []
+        self._known: list[QuarantineEntry] = []
 
     def find_wait(self, call: Call) -> float:
         """Return for how many seconds the call is refused; 0 when it is not."""
@@ -80,7 +80,7 @@
                     revision = 0
                     await asyncio.sleep(self._random.uniform(*RETRY_SECONDS))
 
-    async def _add(self, found: list[Sentence]) -> bool:
+    async def _add(self, found: list[QuarantineEntry]) -> bool:
         for _ in range(MAX_TRIES):
             version = await self._read()
             if version is None:
@@ -92,7 +92,7 @@
             kept = sorted(
                 (_Stored(key, until) for key, until in merged.items() if until > now),
                 key=lambda stored: stored.until,
-            )[-MAX_SENTENCES:]
+            )[-MAX_ENTRIES:]
             value = msgspec.msgpack.encode(kept)
             answer = await self._objects.write(OBJECT_KEY, value, version)
             if isinstance(answer, Ok):
@@ -115,7 +115,7 @@
         except msgspec.MsgspecError:
             log.error("quarantine object is malformed", version=stored.version)
             return None
-        self._known = [Sentence(e.fingerprint, e.until) for e in entries]
+        self._known = [QuarantineEntry(e.fingerprint, e.until) for e in entries]
         self._quarantine.learn(self._known)
         log.info("quarantine learned", count=len(entries), version=stored.version)
         return stored.version
