--- a/libraries/decisions/src/bamboopier_decisions/quarantine/quarantine.py
+++ b/libraries/decisions/src/bamboopier_decisions/quarantine/quarantine.py
@@ -67,7 +67,7 @@
         self._last_break: dict[str, float] = {}
         self._learned: dict[bytes, float] = {}
 
-    def note_break(self, now: float, fingerprint: bytes, target: str) -> None:
+    def record_crash(self, now: float, fingerprint: bytes, target: str) -> None:
         """Take in that ``target`` broke while it had the request."""
         self._forget_old(now)
         self._last_break[target] = now
--- a/libraries/decisions/tests/test_quarantine.py
+++ b/libraries/decisions/tests/test_quarantine.py
@@ -52,7 +52,7 @@
                 quarantine = Quarantine()
                 step = 0.1 if name == "a data centre lost" else 1.0
                 for number, (fingerprint, target) in enumerate(breaks):
-                    quarantine.note_break(number * step, fingerprint, target)
+                    quarantine.record_crash(number * step, fingerprint, target)
                 now = len(breaks) * step
                 refused = {
                     fingerprint
@@ -63,8 +63,8 @@
 
     def test_others_are_told_once_and_only_after_the_evidence_settled(self) -> None:
         quarantine = Quarantine()
-        quarantine.note_break(0.0, POISON, "a")
-        quarantine.note_break(1.0, POISON, "b")
+        quarantine.record_crash(0.0, POISON, "a")
+        quarantine.record_crash(1.0, POISON, "b")
         self.assertEqual(quarantine.list_unpublished(1.0), [])
         told = quarantine.list_unpublished(1.0 + SETTLE_SECONDS)
         self.assertEqual(told, [QuarantineEntry(POISON, 1.0 + QUARANTINE_SECONDS)])
@@ -77,8 +77,8 @@
 
     def test_a_sentence_ends(self) -> None:
         quarantine = Quarantine()
-        quarantine.note_break(0.0, POISON, "a")
-        quarantine.note_break(1.0, POISON, "b")
+        quarantine.record_crash(0.0, POISON, "a")
+        quarantine.record_crash(1.0, POISON, "b")
         quarantine.learn([QuarantineEntry(OTHER, 5.0)])
         end = 1.0 + QUARANTINE_SECONDS
         self.assertEqual(quarantine.find_wait(end, POISON), 0)
--- a/libraries/gateway/src/bamboopier_gateway/forwarder.py
+++ b/libraries/gateway/src/bamboopier_gateway/forwarder.py
@@ -86,7 +86,7 @@
                 if result.cause in _CLAIM_CAUSES:
                     raise _make_claim_refusal(result)
                 if result.cause in _CRASH_CAUSES and result.ran is Ran.UNKNOWN:
-                    self._quarantine.note_break(call, decision.target)
+                    self._quarantine.record_crash(call, decision.target)
                 decision = self._tell_end(call, decision, result, delivery)
         finally:
             self._router.abandon(call.request_id)
--- a/libraries/gateway/src/bamboopier_gateway/shared_quarantine.py
+++ b/libraries/gateway/src/bamboopier_gateway/shared_quarantine.py
@@ -55,9 +55,9 @@
         """Return for how many seconds the call is refused; 0 when it is not."""
         return self._quarantine.find_wait(time.time(), make_fingerprint(call))
 
-    def note_break(self, call: Call, target: str) -> None:
+    def record_crash(self, call: Call, target: str) -> None:
         """Take in that ``target`` broke while it had the call."""
-        self._quarantine.note_break(time.time(), make_fingerprint(call), target)
+        self._quarantine.record_crash(time.time(), make_fingerprint(call), target)
 
     async def publish(self) -> None:
         """Tell the others of what was found here, until cancelled."""
--- a/libraries/gateway/tests/test_forwarder.py
+++ b/libraries/gateway/tests/test_forwarder.py
@@ -88,7 +88,7 @@
         follower = SimpleNamespace(directory=SimpleNamespace(generation=1))
         follower.hear = lambda _: None
         quarantine = SimpleNamespace(
-            find_wait=lambda _: 0.0, note_break=lambda *_: None
+            find_wait=lambda _: 0.0, record_crash=lambda *_: None
         )
         return Forwarder(
             router,
--- a/libraries/proxy/src/bamboopier_proxy/gossip.py
+++ b/libraries/proxy/src/bamboopier_proxy/gossip.py
@@ -116,10 +116,10 @@
     ) -> None:
         await self._socket.__aexit__(kind, error, traceback)
 
-    def note_break(self, fingerprint: bytes, target: str) -> None:
+    def record_crash(self, fingerprint: bytes, target: str) -> None:
         """Tell the others of a target that broke while it had a request."""
         now = read_clock()
-        self._quarantine.note_break(now, fingerprint, target)
+        self._quarantine.record_crash(now, fingerprint, target)
         self._breaks.append((now, BreakHint(fingerprint, target)))
 
     def find_wait(self, fingerprint: bytes) -> float:
@@ -201,7 +201,7 @@
         self._roster.note_heard(hint.sender, *sender)
         self._limits.take(now, hint.sender, hint.limits)
         for found in hint.breaks:
-            self._quarantine.note_break(now, found.fingerprint, found.target)
+            self._quarantine.record_crash(now, found.fingerprint, found.target)
 
     def _take_order(self, hint: OrderHint) -> None:
         state = self._fleet.find(hint.target)
