--- a/libraries/decisions/src/bamboopier_decisions/quarantine/quarantine.py
+++ b/libraries/decisions/src/bamboopier_decisions/quarantine/quarantine.py
@@ -82,7 +82,7 @@
         if len(self._suspects) > MAX_SUSPECTS:
             self._forget(next(iter(self._suspects)))
 
-    def learn(self, entries: list[QuarantineEntry]) -> None:
+    def set_shared_entries(self, entries: list[QuarantineEntry]) -> None:
         """Take over what other gateways refuse."""
         self._learned = {s.fingerprint: s.until for s in entries}
 
--- a/libraries/decisions/tests/test_quarantine.py
+++ b/libraries/decisions/tests/test_quarantine.py
@@ -71,7 +71,7 @@
         quarantine.mark_published(told)
         self.assertEqual(quarantine.list_unpublished(3.0), [])
         other = Quarantine()
-        other.learn(told)
+        other.set_shared_entries(told)
         self.assertGreater(other.find_wait(3.0, POISON), 0)
         self.assertEqual(other.find_wait(3.0, INNOCENT), 0)
 
@@ -79,7 +79,7 @@
         quarantine = Quarantine()
         quarantine.record_crash(0.0, POISON, "a")
         quarantine.record_crash(1.0, POISON, "b")
-        quarantine.learn([QuarantineEntry(OTHER, 5.0)])
+        quarantine.set_shared_entries([QuarantineEntry(OTHER, 5.0)])
         end = 1.0 + QUARANTINE_SECONDS
         self.assertEqual(quarantine.find_wait(end, POISON), 0)
         self.assertEqual(quarantine.find_wait(end, OTHER), 0)
--- a/libraries/gateway/src/bamboopier_gateway/shared_quarantine.py
+++ b/libraries/gateway/src/bamboopier_gateway/shared_quarantine.py
@@ -116,7 +116,7 @@
             log.error("quarantine object is malformed", version=stored.version)
             return None
         self._known = [QuarantineEntry(e.fingerprint, e.until) for e in entries]
-        self._quarantine.learn(self._known)
+        self._quarantine.set_shared_entries(self._known)
         log.info("quarantine learned", count=len(entries), version=stored.version)
         return stored.version
 
