--- a/libraries/decisions/src/bamboopier_decisions/quarantine/quarantine.py
+++ b/libraries/decisions/src/bamboopier_decisions/quarantine/quarantine.py
@@ -17,9 +17,9 @@
 from dataclasses import dataclass
 
 # Different targets that a request must have broken.
-MIN_TARGETS = 2
+MIN_CRASHED_TARGETS = 2
 # Seconds a break counts: a caller's resends come within minutes.
-MEMORY_SECONDS = 600.0
+CRASH_RETENTION_SECONDS = 600.0
 # Seconds a request is refused. Long enough for its caller to notice, short enough for
 # a mistake to heal by itself.
 QUARANTINE_SECONDS = 600.0
@@ -57,22 +57,22 @@
 
     def __init__(
         self,
-        min_targets: int = MIN_TARGETS,
+        min_targets: int = MIN_CRASHED_TARGETS,
         refused_seconds: float = QUARANTINE_SECONDS,
     ) -> None:
         self._min_targets = min_targets
         self._refused_seconds = refused_seconds
         self._suspects: OrderedDict[bytes, _Suspect] = OrderedDict()
         self._by_target: dict[str, set[bytes]] = {}
-        self._last_break: dict[str, float] = {}
-        self._learned: dict[bytes, float] = {}
+        self._last_crash: dict[str, float] = {}
+        self._shared_entries: dict[bytes, float] = {}
 
     def record_crash(self, now: float, fingerprint: bytes, target: str) -> None:
         """Take in that ``target`` broke while it had the request."""
-        self._forget_old(now)
-        self._last_break[target] = now
+        self._remove_expired(now)
+        self._last_crash[target] = now
         if self._is_outage(now):
-            self._acquit_since(now - OUTAGE_SECONDS)
+            self._discard_since(now - OUTAGE_SECONDS)
             return
         suspect = self._suspects.setdefault(fingerprint, _Suspect())
         self._suspects.move_to_end(fingerprint)
@@ -80,17 +80,17 @@
         suspect.last = now
         self._by_target.setdefault(target, set()).add(fingerprint)
         if len(self._suspects) > MAX_SUSPECTS:
-            self._forget(next(iter(self._suspects)))
+            self._remove(next(iter(self._suspects)))
 
     def set_shared_entries(self, entries: list[QuarantineEntry]) -> None:
         """Take over what other gateways refuse."""
-        self._learned = {s.fingerprint: s.until for s in entries}
+        self._shared_entries = {s.fingerprint: s.until for s in entries}
 
     def find_wait(self, now: float, fingerprint: bytes) -> float:
         """Return for how many seconds the request is refused; 0 when it is not."""
-        until = self._learned.get(fingerprint, 0.0)
+        until = self._shared_entries.get(fingerprint, 0.0)
         suspect = self._suspects.get(fingerprint)
-        if suspect is not None and self._is_convicted(now, fingerprint, suspect):
+        if suspect is not None and self._is_culprit(now, fingerprint, suspect):
             until = max(until, suspect.last + self._refused_seconds)
         return max(0.0, until - now)
 
@@ -101,7 +101,7 @@
             for fingerprint, suspect in self._suspects.items()
             if not suspect.published
             and now - suspect.last >= SETTLE_SECONDS
-            and self._is_convicted(now, fingerprint, suspect)
+            and self._is_culprit(now, fingerprint, suspect)
         ]
 
     def mark_published(self, entries: list[QuarantineEntry]) -> None:
@@ -111,7 +111,7 @@
             if suspect is not None:
                 suspect.published = True
 
-    def _is_convicted(self, now: float, fingerprint: bytes, suspect: _Suspect) -> bool:
+    def _is_culprit(self, now: float, fingerprint: bytes, suspect: _Suspect) -> bool:
         """Say whether it broke enough targets and no other request broke them all."""
         if now - suspect.last >= self._refused_seconds:
             return False
@@ -121,26 +121,26 @@
         return set.intersection(*sharing) == {fingerprint}
 
     def _is_outage(self, now: float) -> bool:
-        recent = [t for t in self._last_break.values() if now - t < OUTAGE_SECONDS]
+        recent = [t for t in self._last_crash.values() if now - t < OUTAGE_SECONDS]
         return len(recent) > OUTAGE_TARGETS
 
-    def _acquit_since(self, start: float) -> None:
+    def _discard_since(self, start: float) -> None:
         """Drop what was taken for evidence before the outage showed as one."""
         for fingerprint, suspect in list(self._suspects.items()):
             if suspect.last >= start:
-                self._forget(fingerprint)
+                self._remove(fingerprint)
 
-    def _forget_old(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         while self._suspects:
             fingerprint, suspect = next(iter(self._suspects.items()))
-            if now - suspect.last < MEMORY_SECONDS:
+            if now - suspect.last < CRASH_RETENTION_SECONDS:
                 break
-            self._forget(fingerprint)
-        for target, last in list(self._last_break.items()):
+            self._remove(fingerprint)
+        for target, last in list(self._last_crash.items()):
             if now - last >= OUTAGE_SECONDS:
-                del self._last_break[target]
+                del self._last_crash[target]
 
-    def _forget(self, fingerprint: bytes) -> None:
+    def _remove(self, fingerprint: bytes) -> None:
         suspect = self._suspects.pop(fingerprint)
         for target in suspect.targets:
             self._by_target[target].discard(fingerprint)
