--- a/libraries/agent/src/bamboopier_agent/context.py
+++ b/libraries/agent/src/bamboopier_agent/context.py
@@ -157,7 +157,7 @@
             self._resident.clear()
         for event in events.events:
             if event.kind == "evicted":
-                self._resident.forget(bytes.fromhex(event.key))
+                self._resident.remove(bytes.fromhex(event.key))
 
     def forget_resident(self) -> None:
         """The engine started anew: its cache is empty."""
--- a/libraries/agent/tests/context_builders.py
+++ b/libraries/agent/tests/context_builders.py
@@ -80,7 +80,7 @@
     def __init__(self, rate: float) -> None:
         self.rate = rate
 
-    def add(self, now: float, amount: float, seconds: float) -> None:
+    def record(self, now: float, amount: float, seconds: float) -> None:
         """Ignore a measurement."""
 
     def record_timeout(self, now: float, amount: float, seconds: float) -> None:
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -113,10 +113,10 @@
         "tests.test_context.WorkspaceTests.test_a_workspace_that_fills_the_store_evicts_only_itself",
     ),
     Mutation(
-        "patience never exceeds what recomputing costs",
+        "a fetch timeout never exceeds what recomputing costs",
         "libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py",
-        "min(worth, patience)",
-        "patience",
+        "min(worth, timeout)",
+        "timeout",
         "libraries/decisions",
         "tests.test_fetch_choice.FetchChoiceTests.test_no_caller_waits_longer_for_a_store_than_recomputing_costs",
     ),
