--- a/libraries/agent/src/bamboopier_agent/claim_writer.py
+++ b/libraries/agent/src/bamboopier_agent/claim_writer.py
@@ -102,7 +102,7 @@
 
     async def _work(self) -> None:
         """Write until no claim waits and nothing given up is left."""
-        while self._waiting or not self._partition.settled:
+        while self._waiting or not self._partition.all_released:
             self._arrived.clear()
             batch, self._waiting = self._waiting, []
             answer = await self._commit(batch)
@@ -113,7 +113,7 @@
 
     async def _pause(self) -> None:
         """Wait before the next try, unless a new claim comes in."""
-        if self._waiting or self._partition.settled:
+        if self._waiting or self._partition.all_released:
             return
         waiting = asyncio.ensure_future(self._arrived.wait())
         await asyncio.wait({waiting}, timeout=RELEASE_RETRY_SECONDS)
@@ -152,7 +152,7 @@
                     self._partition.mark_uncertain(plan)
                     last = error
                 case Err(error):
-                    self._partition.reject()
+                    self._partition.abort()
                     return Err(error)
         return Err(last)
 
@@ -177,13 +177,13 @@
             return answer
         stored = answer.ok_value
         if stored is None:
-            self._partition.observe(ABSENT, ())
+            self._partition.apply_read(ABSENT, ())
             return Ok(None)
         try:
             claims = _decode(stored.value)
         except msgspec.MsgspecError as error:
             return Err(MalformedObjectError(f"{self.name}: {error}"))
-        self._partition.observe(stored.version, claims)
+        self._partition.apply_read(stored.version, claims)
         return Ok(None)
 
 
--- a/libraries/agent/src/bamboopier_agent/context.py
+++ b/libraries/agent/src/bamboopier_agent/context.py
@@ -13,10 +13,10 @@
 from bamboopier_decisions.context.blocks import derive_workspace_secret
 from bamboopier_decisions.context.fetch_choice import (
     FetchPlan,
-    FetchQuestion,
+    FetchConditions,
     FetchReason,
     choose_fetch,
-    is_worth_keeping,
+    is_worth_exporting,
 )
 from bamboopier_decisions.context.rates import MeasuredRate
 from bamboopier_decisions.context.resident import ResidentKeys
@@ -137,14 +137,14 @@
         # its time says nothing about prefill.
         streamed = request.model.stream
         if streamed and new_tokens >= self.find_block_tokens(request):
-            self._rates.prefill.add(now, new_tokens, seconds)
+            self._rates.prefill.record(now, new_tokens, seconds)
         if cached_tokens + new_tokens > 0:
             cached = cached_tokens // self.find_block_tokens(request)
             if cached < len(keys):
-                self._resident.note_absent(keys[cached])
+                self._resident.record_miss(keys[cached])
             self._resident.confirm(now, keys)
-            question = self._ask(request, 1)
-            worth = is_worth_keeping(question, self._link.view.cost_weights)
+            conditions = self._ask(request, 1)
+            worth = is_worth_exporting(conditions, self._link.view.cost_weights)
             self.exporter.offer(request, worth=worth)
 
     async def run(self) -> None:
@@ -157,7 +157,7 @@
             self._resident.clear()
         for event in events.events:
             if event.kind == "evicted":
-                self._resident.forget(bytes.fromhex(event.key))
+                self._resident.remove(bytes.fromhex(event.key))
 
     def forget_resident(self) -> None:
         """The engine started anew: its cache is empty."""
@@ -176,16 +176,16 @@
             return FetchPlan(0, FetchReason.NO_STORE)
         return choose_fetch(self._ask(request, missing), view.cost_weights)
 
-    def _ask(self, request: ServeRequest, missing: int) -> FetchQuestion:
+    def _ask(self, request: ServeRequest, missing: int) -> FetchConditions:
         now = time.monotonic()
         block_tokens = self.find_block_tokens(request)
-        return FetchQuestion(
+        return FetchConditions(
             blocks=missing,
             block_bytes=self._link.estimate_block_bytes(block_tokens),
             block_tokens=block_tokens,
             prefill_rate=self._rates.prefill.estimate(now),
             link_rate=self._link.estimate_rate(now),
-            free_bytes=self._link.budget.read_free_bytes(now),
+            available_bytes=self._link.budget.get_available_bytes(now),
             budget_rate=self._link.view.link_bytes_per_second,
         )
 
@@ -199,7 +199,7 @@
         started = time.monotonic()
         imported = 0
         size = 0
-        give_up_at = started + plan.give_up_after
+        give_up_at = started + plan.timeout
         failure: StoreError | None = None
         async with self._fetcher.open(
             names, secret, work.weight_version, give_up_at
--- a/libraries/agent/src/bamboopier_agent/lease.py
+++ b/libraries/agent/src/bamboopier_agent/lease.py
@@ -9,13 +9,13 @@
 from result import Err, Ok
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.membership.lease import Lease, LeaseRecord, SeenLease
+from bamboopier_decisions.membership.lease import Lease, LeaseRecord, ObservedLease
 
 if TYPE_CHECKING:
     import random
     from collections.abc import Callable
 
-    from bamboopier_decisions.membership.lease import WriteLease
+    from bamboopier_decisions.membership.lease import LeaseWrite
     from bamboopier_objects.objects import ObjectStore, StoredObject
 
 # 730 agents that renew every 20 s write 37 times a second, a tenth of what the platform
@@ -58,13 +58,13 @@
         except msgspec.MsgspecError:
             # Not written by this program: it is taken over like a released lease.
             record = None
-        self.lease.see(read_clock(), SeenLease(stored.version, record))
+        self.lease.observe(read_clock(), ObservedLease(stored.version, record))
 
-    async def claim(self) -> bool:
+    async def acquire(self) -> bool:
         """Take or renew the lease if it may be; say whether it is held afterwards."""
         if not await self._refresh_wait():
             return False
-        await self._write(self.lease.claim(read_clock()))
+        await self._write(self.lease.acquire(read_clock()))
         return self.held
 
     async def release(self) -> None:
@@ -81,7 +81,7 @@
                 continue
             if self.lease.fence == 0:
                 await self.observe()
-            held = await self.claim()
+            held = await self.acquire()
             seconds = RENEW_SECONDS if held else OBSERVE_SECONDS
             wait = self.lease.find_wait(read_clock())
             if not held and 0 < wait < seconds:
@@ -94,7 +94,7 @@
             await self.observe()
         return self.lease.find_wait(read_clock()) == 0.0
 
-    async def _write(self, write: WriteLease) -> None:
+    async def _write(self, write: LeaseWrite) -> None:
         """Write and learn what stands in the object afterwards.
 
         After a lost answer or a conflict the object is read: the HTTP library may have
@@ -103,6 +103,6 @@
         value = msgspec.json.encode(write.record)
         answer = await self._objects.write(self.key, value, write.expected_version)
         if isinstance(answer, Ok):
-            self.lease.see(read_clock(), SeenLease(answer.ok_value, write.record))
+            self.lease.observe(read_clock(), ObservedLease(answer.ok_value, write.record))
         else:
             await self.observe()
--- a/libraries/agent/src/bamboopier_agent/standing.py
+++ b/libraries/agent/src/bamboopier_agent/standing.py
@@ -8,9 +8,9 @@
 import structlog
 
 from bamboopier_decisions.admission.messages import ResumeRequested, StopRequested
-from bamboopier_decisions.membership.fleet_view import DrainedPlaces
-from bamboopier_decisions.membership.leaving import LeavingVms
-from bamboopier_decisions.membership.standing import Obstacle, Standing
+from bamboopier_decisions.membership.fleet_view import DrainedSet
+from bamboopier_decisions.membership.leaving import LeavingVmTracker
+from bamboopier_decisions.membership.availability import UnavailableReason, TargetAvailability
 
 if TYPE_CHECKING:
     from bamboopier_configuration.directory import Directory
@@ -32,20 +32,20 @@
     def __init__(self, settings: AgentSettings, gate: AdmissionGate) -> None:
         self._settings = settings
         self._gate = gate
-        self._leaving_vms = LeavingVms()
+        self._leaving_vms = LeavingVmTracker()
         self._shutting_down = False
         self._drained = False
         self._leaving = False
         self._loading = False
-        self.obstacle: Obstacle | None = None
+        self.obstacle: UnavailableReason | None = None
 
     def apply_configuration(self, directory: Directory) -> None:
         """Take the drains of a new generation."""
         drains = directory.configuration.drains
-        places = DrainedPlaces(
+        drained_set = DrainedSet(
             frozenset(drains.data_centres), frozenset(drains.targets)
         )
-        self._drained = places.hold(self._settings.target, self._settings.data_centre)
+        self._drained = drained_set.contains(self._settings.target, self._settings.data_centre)
         self._review()
 
     def apply_vms(self, board: VmBoard) -> None:
@@ -67,10 +67,10 @@
         self._review()
 
     def _review(self) -> None:
-        standing = Standing(
+        standing = TargetAvailability(
             self._shutting_down, self._drained, self._leaving, self._loading
         )
-        obstacle = standing.find_obstacle()
+        obstacle = standing.find_unavailable_reason()
         if obstacle == self.obstacle:
             return
         self.obstacle = obstacle
--- a/libraries/agent/src/bamboopier_agent/store_link.py
+++ b/libraries/agent/src/bamboopier_agent/store_link.py
@@ -10,8 +10,8 @@
 
 from bamboopier_decisions.context.envelope import open_block
 from bamboopier_decisions.context.link_budget import LinkBudget
-from bamboopier_decisions.context.placement import list_sources, place_block
-from bamboopier_decisions.context.store_health import StoreHealth
+from bamboopier_decisions.context.placement import list_read_vms, place_block
+from bamboopier_decisions.context.store_vm_health import StoreVmHealth
 
 from .context_view import DEFAULT_BLOCK_TOKENS, ContextView
 from .store_errors import (
@@ -53,7 +53,7 @@
         self.store = store
         self.view = ContextView()
         self.budget = LinkBudget(time.monotonic(), self.view.link_bytes_per_second)
-        self.health = StoreHealth()
+        self.health = StoreVmHealth()
         self._metrics = metrics
         self._rate = rate
         self._block_bytes = 0.0
@@ -88,11 +88,11 @@
 
     def note_transfer(self, now: float, size: float, seconds: float) -> None:
         """Learn from a fetch that came in time."""
-        self._rate.add(now, size, seconds)
+        self._rate.record(now, size, seconds)
 
     def note_late(self, now: float, size: float, seconds: float) -> None:
         """Learn from a fetch of ``size`` bytes that was given up."""
-        self._rate.add_late(now, size, seconds)
+        self._rate.record_timeout(now, size, seconds)
 
     def list_owners(self, key: bytes) -> list[StoreVm]:
         """Return the VMs a block is written to."""
@@ -141,9 +141,9 @@
     def note_call(self, vm: StoreVm, error: StoreError | None) -> None:
         """Learn the VM's health from a call; count its failure."""
         if isinstance(error, StoreHungError | StoreUnreachableError):
-            self.health.add_failure(time.monotonic(), vm.name)
+            self.health.record_failure(time.monotonic(), vm.name)
         elif not isinstance(error, StoreLateError):
-            self.health.add_answer(vm.name)
+            self.health.record_response(vm.name)
         if error is not None:
             self._count_failure(error)
 
@@ -151,10 +151,10 @@
         now = time.monotonic()
         view = self.view
         former = self._former_vms if now - self._changed_at < FORMER_SECONDS else ()
-        sources = list_sources(
+        sources = list_read_vms(
             key, view.store_vms, former, view.replicas, view.data_centre
         )
-        return [vm for vm in sources if not self.health.is_paused(now, vm.name)]
+        return [vm for vm in sources if not self.health.is_backing_off(now, vm.name)]
 
     async def _read_in_turn(
         self, vm: StoreVm, name: BlockName, timeout: float
@@ -179,7 +179,7 @@
         expected = int(self._block_bytes)
         used = 0
         started = time.monotonic()
-        wait = self.budget.take_fetch(started, expected)
+        wait = self.budget.reserve_fetch(started, expected)
         try:
             if wait >= timeout:
                 error = StoreLateError("the link's budget is spent")
@@ -194,7 +194,7 @@
             if isinstance(answer, Err) and isinstance(answer.err_value, StoreLateError):
                 used = expected
         finally:
-            self.budget.settle_fetch(expected, used)
+            self.budget.adjust_fetch(expected, used)
         self._metrics.link_bytes.labels("fetch").inc(used)
         self._note_answer(vm, answer)
         return answer
--- a/libraries/agent/src/bamboopier_agent/weights.py
+++ b/libraries/agent/src/bamboopier_agent/weights.py
@@ -9,7 +9,7 @@
 import structlog
 from result import Err
 
-from bamboopier_decisions.membership.lease import TakeOver
+from bamboopier_decisions.membership.lease import TakeoverPolicy
 from bamboopier_decisions.membership.load_slots import count_slots
 
 from .errors import OrderFailedError, OrderRefusedError
@@ -94,8 +94,8 @@
         if service is None or service.kind != "model":
             return False
         checks = service.targets_check_fencing
-        self._lease.lease.take_over = (
-            TakeOver.AT_ONCE if checks else TakeOver.AFTER_WAIT
+        self._lease.lease.takeover = (
+            TakeoverPolicy.AT_ONCE if checks else TakeoverPolicy.AFTER_WAIT
         )
         return True
 
@@ -136,7 +136,7 @@
         try:
             # The write shows at once whether another process has taken the lease while
             # this one, or its whole machine, stood still.
-            if not await self._lease.claim():
+            if not await self._lease.acquire():
                 return LoadOutcome.NO_LEASE
             if not slot.held or not self._lease.held:
                 return LoadOutcome.NO_LEASE
--- a/libraries/agent/tests/context_builders.py
+++ b/libraries/agent/tests/context_builders.py
@@ -80,10 +80,10 @@
     def __init__(self, rate: float) -> None:
         self.rate = rate
 
-    def add(self, now: float, amount: float, seconds: float) -> None:
+    def record(self, now: float, amount: float, seconds: float) -> None:
         """Ignore a measurement."""
 
-    def add_late(self, now: float, amount: float, seconds: float) -> None:
+    def record_timeout(self, now: float, amount: float, seconds: float) -> None:
         """Ignore a late one."""
 
     def estimate(self, now: float) -> float:
--- a/libraries/decisions/src/bamboopier_decisions/claims/table.py
+++ b/libraries/decisions/src/bamboopier_decisions/claims/table.py
@@ -15,7 +15,7 @@
     from collections.abc import Sequence
 
 
-class Verdict(StrEnum):
+class ClaimStatus(StrEnum):
     """What became of a wish to run a key."""
 
     GRANTED = "granted"
@@ -43,38 +43,38 @@
 class ClaimOutcome:
     """The verdict and, unless full, the claim that stands under the key."""
 
-    verdict: Verdict
-    standing: Claim | None = None
+    status: ClaimStatus
+    current: Claim | None = None
     # Version of the partition that shows it; 0 while that is not known.
     version: int = 0
 
 
 def merge_claims(
-    standing: Sequence[Claim],
-    wanted: Sequence[Claim],
+    stored: Sequence[Claim],
+    requested: Sequence[Claim],
     now: float,
     lifetime: float,
     capacity: int,
 ) -> tuple[tuple[Claim, ...], list[ClaimOutcome]]:
-    """Return the partition after ``wanted`` and an outcome for each of them.
+    """Return the partition after ``requested`` and an outcome for each of them.
 
     Claims older than ``lifetime`` seconds are dropped. A claim that already stands is
     granted again: its earlier write took effect although its answer was lost.
     """
-    by_key = {c.key: c for c in standing if now - c.created < lifetime}
-    outcomes = [_merge_one(by_key, claim, capacity) for claim in wanted]
+    by_key = {c.key: c for c in stored if now - c.created < lifetime}
+    outcomes = [_merge_claim(by_key, claim, capacity) for claim in requested]
     return tuple(by_key.values()), outcomes
 
 
-def _merge_one(by_key: dict[bytes, Claim], claim: Claim, capacity: int) -> ClaimOutcome:
+def _merge_claim(by_key: dict[bytes, Claim], claim: Claim, capacity: int) -> ClaimOutcome:
     found = by_key.get(claim.key)
     if found is None:
         if len(by_key) >= capacity:
-            return ClaimOutcome(Verdict.FULL)
+            return ClaimOutcome(ClaimStatus.FULL)
         by_key[claim.key] = claim
-        return ClaimOutcome(Verdict.GRANTED, claim)
+        return ClaimOutcome(ClaimStatus.GRANTED, claim)
     if found.claim_id == claim.claim_id:
-        return ClaimOutcome(Verdict.GRANTED, found)
+        return ClaimOutcome(ClaimStatus.GRANTED, found)
     if found.fingerprint != claim.fingerprint:
-        return ClaimOutcome(Verdict.REUSED, found)
-    return ClaimOutcome(Verdict.HELD, found)
+        return ClaimOutcome(ClaimStatus.REUSED, found)
+    return ClaimOutcome(ClaimStatus.HELD, found)
--- a/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
@@ -12,9 +12,9 @@
 from enum import StrEnum
 
 # A fetch that takes this many times its prediction is on a link that has changed.
-LATE_FACTOR = 2.0
+TIMEOUT_FACTOR = 2.0
 # Least seconds before a fetch counts as late; below it is scheduling noise.
-MIN_PATIENCE = 0.05
+MIN_TIMEOUT_SECONDS = 0.05
 
 
 class FetchReason(StrEnum):
@@ -36,15 +36,15 @@
 
 
 # Fosse's callers wait on a dark road: only the time to the first token counts.
-FIRST_TOKEN = CostWeights(recompute=0.0, link=0.0)
+FIRST_TOKEN_WEIGHTS = CostWeights(recompute=0.0, link=0.0)
 # Kaaspost's catalogues recur all day: a second of prefill is also taken from other
 # callers and counts twice; a second of link delays other fetches and counts a quarter.
-RECOMPUTE = CostWeights(recompute=1.0, link=0.25)
-PRESETS = {"first-token": FIRST_TOKEN, "recompute": RECOMPUTE}
+RECOMPUTE_WEIGHTS = CostWeights(recompute=1.0, link=0.25)
+PRESETS = {"first-token": FIRST_TOKEN_WEIGHTS, "recompute": RECOMPUTE_WEIGHTS}
 
 
 @dataclass(frozen=True, slots=True)
-class FetchQuestion:
+class FetchConditions:
     """What is known when a request arrives whose engine lacks blocks."""
 
     # Missing blocks, a run of the prompt's chain.
@@ -55,7 +55,7 @@
     prefill_rate: float
     link_rate: float
     # Bytes the budget lets go at once (negative: others wait), and its rate.
-    free_bytes: float
+    available_bytes: float
     budget_rate: float
 
 
@@ -67,44 +67,44 @@
     reason: FetchReason
     # Seconds.
     predicted: float = 0.0
-    give_up_after: float = 0.0
+    timeout: float = 0.0
 
 
-def choose_fetch(question: FetchQuestion, weights: CostWeights) -> FetchPlan:
+def choose_fetch(conditions: FetchConditions, weights: CostWeights) -> FetchPlan:
     """Return the split with the least weighted cost, the fewest blocks on a tie."""
-    costs = [_weigh(question, weights, count) for count in range(question.blocks + 1)]
+    costs = [_weigh(conditions, weights, count) for count in range(conditions.blocks + 1)]
     best = costs.index(min(costs))
     if best == 0:
         return FetchPlan(0, FetchReason.RECOMPUTE_IS_QUICKER)
-    predicted = expect_transfer(question, best)
-    saved = best * question.block_tokens / question.prefill_rate
+    predicted = predict_transfer_seconds(conditions, best)
+    saved = best * conditions.block_tokens / conditions.prefill_rate
     # However late the store is, the caller waits no longer for it than recomputing
     # the same blocks would have cost (as the preset weighs it).
     worth = saved * (1 + weights.recompute) / (1 + weights.link)
-    patience = max(predicted * LATE_FACTOR, MIN_PATIENCE)
-    reason = FetchReason.FETCH if best == question.blocks else FetchReason.FETCH_PART
-    return FetchPlan(best, reason, predicted, min(worth, patience))
+    timeout = max(predicted * TIMEOUT_FACTOR, MIN_TIMEOUT_SECONDS)
+    reason = FetchReason.FETCH if best == conditions.blocks else FetchReason.FETCH_PART
+    return FetchPlan(best, reason, predicted, min(worth, timeout))
 
 
-def is_worth_keeping(question: FetchQuestion, weights: CostWeights) -> bool:
+def is_worth_exporting(conditions: FetchConditions, weights: CostWeights) -> bool:
     """Say whether a block would be fetched again at the budget's lasting rate.
 
     Where recomputing is quicker, an export fills link and store for nobody.
     """
-    lasting = replace(question, blocks=1, free_bytes=0.0)
+    lasting = replace(conditions, blocks=1, available_bytes=0.0)
     return choose_fetch(lasting, weights).blocks == 1
 
 
-def expect_transfer(question: FetchQuestion, blocks: int) -> float:
+def predict_transfer_seconds(conditions: FetchConditions, blocks: int) -> float:
     """Return the seconds that fetching ``blocks`` blocks takes on the link now."""
-    size = blocks * question.block_bytes
-    on_link = size / question.link_rate
-    in_budget = (size - question.free_bytes) / question.budget_rate
+    size = blocks * conditions.block_bytes
+    on_link = size / conditions.link_rate
+    in_budget = (size - conditions.available_bytes) / conditions.budget_rate
     return max(on_link, in_budget)
 
 
-def _weigh(question: FetchQuestion, weights: CostWeights, fetched: int) -> float:
-    recomputed = (question.blocks - fetched) * question.block_tokens
-    prefill = recomputed / question.prefill_rate
-    transfer = expect_transfer(question, fetched) if fetched else 0.0
+def _weigh(conditions: FetchConditions, weights: CostWeights, fetched: int) -> float:
+    recomputed = (conditions.blocks - fetched) * conditions.block_tokens
+    prefill = recomputed / conditions.prefill_rate
+    transfer = predict_transfer_seconds(conditions, fetched) if fetched else 0.0
     return transfer * (1 + weights.link) + prefill * (1 + weights.recompute)
--- a/libraries/decisions/src/bamboopier_decisions/context/link_budget.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/link_budget.py
@@ -14,7 +14,7 @@
 EXPORT_SHARE = 0.5
 
 
-class _Bucket:
+class _TokenBucket:
     """A token bucket in bytes; it may go into debt, which is a queue in time."""
 
     __slots__ = ("burst", "rate", "tokens", "updated")
@@ -43,26 +43,26 @@
     ) -> None:
         self.rate = bytes_per_second
         size = burst if burst is not None else bytes_per_second * BURST_SECONDS
-        self._all = _Bucket(now, bytes_per_second, size)
-        self._exports = _Bucket(now, bytes_per_second * EXPORT_SHARE, size)
+        self._all = _TokenBucket(now, bytes_per_second, size)
+        self._exports = _TokenBucket(now, bytes_per_second * EXPORT_SHARE, size)
 
-    def read_free_bytes(self, now: float) -> float:
+    def get_available_bytes(self, now: float) -> float:
         """Return the bytes that may go at once; negative while others wait."""
         self._all.refill(now)
         return self._all.tokens
 
-    def take_fetch(self, now: float, size: int) -> float:
+    def reserve_fetch(self, now: float, size: int) -> float:
         """Reserve ``size`` bytes; return the seconds to wait before they may go."""
         self._all.refill(now)
         wait = max(0.0, (size - self._all.tokens) / self._all.rate)
         self._all.tokens -= size
         return wait
 
-    def settle_fetch(self, reserved: int, used: int) -> None:
+    def adjust_fetch(self, reserved: int, used: int) -> None:
         """Correct a reservation by what really went over the link."""
         self._all.tokens = min(self._all.burst, self._all.tokens + reserved - used)
 
-    def take_export(self, now: float, size: int) -> float:
+    def try_export(self, now: float, size: int) -> float:
         """Take ``size`` bytes if they may go now; else return the seconds to wait.
 
         Nothing is reserved for an export that has to wait, so that a fetch which comes
@@ -77,7 +77,7 @@
         return wait
 
 
-def _wait_for(bucket: _Bucket, size: int) -> float:
+def _wait_for(bucket: _TokenBucket, size: int) -> float:
     # A block larger than the burst goes when the bucket is full and leaves a debt;
     # waiting for more than the bucket can hold would never end.
     needed = min(float(size), bucket.burst)
--- a/libraries/decisions/src/bamboopier_decisions/context/rates.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/rates.py
@@ -12,7 +12,7 @@
 # Weight of a new measurement: the last handful of transfers decide.
 SMOOTHING = 0.3
 # A transfer that ran late shows only an upper bound of the speed; half of it is taken.
-LATE_FACTOR = 0.5
+TIMEOUT_RATE_FACTOR = 0.5
 # Seconds in which an unmeasured speed doubles again. Without it a link judged too slow
 # would never be used, and so never be measured again.
 RECOVERY_SECONDS = 5.0
@@ -23,11 +23,11 @@
 class Rate(Protocol):
     """A speed in units a second."""
 
-    def add(self, now: float, amount: float, seconds: float) -> None:
+    def record(self, now: float, amount: float, seconds: float) -> None:
         """Take a finished piece of work of ``amount`` units."""
         ...
 
-    def add_late(self, now: float, amount: float, seconds: float) -> None:
+    def record_timeout(self, now: float, amount: float, seconds: float) -> None:
         """Take work that was given up after ``seconds`` with ``amount`` expected."""
         ...
 
@@ -41,13 +41,13 @@
 
     __slots__ = ("_ceiling", "_measured_at", "_rate")
 
-    def __init__(self, first: float, ceiling: float) -> None:
-        self._rate = first
+    def __init__(self, initial: float, ceiling: float) -> None:
+        self._rate = initial
         # The rate never recovers above this by idling; a measurement may exceed it.
         self._ceiling = ceiling
         self._measured_at = 0.0
 
-    def add(self, now: float, amount: float, seconds: float) -> None:
+    def record(self, now: float, amount: float, seconds: float) -> None:
         """Take a finished piece of work of ``amount`` units."""
         if amount <= 0 or seconds <= 0:
             return
@@ -55,12 +55,12 @@
         self._rate = current + SMOOTHING * (amount / seconds - current)
         self._measured_at = now
 
-    def add_late(self, now: float, amount: float, seconds: float) -> None:
+    def record_timeout(self, now: float, amount: float, seconds: float) -> None:
         """Take work that was given up after ``seconds`` with ``amount`` expected."""
         if seconds <= 0:
             return
         bound = amount / seconds
-        self._rate = min(self.estimate(now), bound) * LATE_FACTOR
+        self._rate = min(self.estimate(now), bound) * TIMEOUT_RATE_FACTOR
         self._measured_at = now
 
     def estimate(self, now: float) -> float:
--- a/libraries/decisions/src/bamboopier_decisions/membership/fleet_view.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/fleet_view.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from .leaving import LeavingVms
+from .leaving import LeavingVmTracker
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -26,13 +26,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DrainedPlaces:
+class DrainedSet:
     """What operators have taken out of service."""
 
     data_centres: frozenset[str] = frozenset()
     targets: frozenset[str] = frozenset()
 
-    def hold(self, target: str, data_centre: str) -> bool:
+    def contains(self, target: str, data_centre: str) -> bool:
         """Say whether the target is out."""
         return target in self.targets or data_centre in self.data_centres
 
@@ -43,10 +43,10 @@
     __slots__ = ("_leaving",)
 
     def __init__(self) -> None:
-        self._leaving = LeavingVms()
+        self._leaving = LeavingVmTracker()
 
     def select(
-        self, now: float, listed: Iterable[ListedTarget], drained: DrainedPlaces
+        self, now: float, listed: Iterable[ListedTarget], drained: DrainedSet
     ) -> frozenset[str]:
         """Return the names of the targets that may be sent new work."""
         targets = list(listed)
@@ -55,5 +55,5 @@
             target.name
             for target in targets
             if target.name not in leaving
-            and not drained.hold(target.name, target.data_centre)
+            and not drained.contains(target.name, target.data_centre)
         )
--- a/libraries/decisions/tests/membership/test_lease.py
+++ b/libraries/decisions/tests/membership/test_lease.py
@@ -10,9 +10,9 @@
 from bamboopier_decisions.membership.lease import (
     Lease,
     LeaseRecord,
-    SeenLease,
-    TakeOver,
-    WriteLease,
+    ObservedLease,
+    TakeoverPolicy,
+    LeaseWrite,
 )
 
 DURATION = 60.0
@@ -31,8 +31,8 @@
     def __init__(self) -> None:
         super().__init__()
         self.time = 0.0
-        self.past: list[SeenLease] = [SeenLease(0, None)]
-        self.held_writes: list[WriteLease] = []
+        self.past: list[ObservedLease] = [ObservedLease(0, None)]
+        self.held_writes: list[LeaseWrite] = []
         self.leases = [
             Lease(f"agent-{n}", f"place-{n}", DURATION) for n in range(HOLDERS)
         ]
@@ -43,10 +43,10 @@
         offset, rate = self.clocks[holder]
         return offset + self.time * rate
 
-    def apply(self, write: WriteLease) -> bool:
+    def apply(self, write: LeaseWrite) -> bool:
         if write.expected_version != self.past[-1].version:
             return False
-        self.past.append(SeenLease(self.past[-1].version + 1, write.record))
+        self.past.append(ObservedLease(self.past[-1].version + 1, write.record))
         return True
 
     @rule(seconds=st.sampled_from([0.1, 29.8, 59.2, 61.0]))
@@ -55,33 +55,33 @@
 
     @rule(holder=holders, lag=st.integers(0, 2))
     def read(self, holder: int, lag: int) -> None:
-        seen = self.past[max(0, len(self.past) - 1 - lag)]
-        self.leases[holder].see(self.read_clock(holder), seen)
+        observed = self.past[max(0, len(self.past) - 1 - lag)]
+        self.leases[holder].observe(self.read_clock(holder), observed)
 
     @rule(
         holder=holders,
         looks=st.booleans(),
         fault=st.sampled_from(["", "", "lose", "drop", "hold"]),
     )
-    def claim(self, holder: int, looks: bool, fault: str) -> None:
+    def acquire(self, holder: int, looks: bool, fault: str) -> None:
         if looks:
             self.read(holder, 0)
         lease = self.leases[holder]
         now = self.read_clock(holder)
         if lease.find_wait(now) > 0:
             return
-        write = lease.claim(now)
+        write = lease.acquire(now)
         if fault == "hold":
             self.held_writes.append(write)
         elif fault != "drop" and self.apply(write) and not fault:
-            lease.see(self.read_clock(holder), self.past[-1])
+            lease.observe(self.read_clock(holder), self.past[-1])
 
     @rule(holder=holders)
     def release(self, holder: int) -> None:
         lease = self.leases[holder]
         write = lease.release(self.read_clock(holder))
         if write is not None and self.apply(write):
-            lease.see(self.read_clock(holder), self.past[-1])
+            lease.observe(self.read_clock(holder), self.past[-1])
 
     @rule()
     def land_delayed_writes(self) -> None:
@@ -100,7 +100,7 @@
 
     @invariant()
     def fencing_numbers_never_fall_and_differ_between_holders(self) -> None:
-        records = [seen.record for seen in self.past if seen.record is not None]
+        records = [observed.record for observed in self.past if observed.record is not None]
         fences = [record.fence for record in records]
         assert fences == sorted(fences)
         by_fence: dict[int, str] = {}
@@ -115,36 +115,36 @@
 
 
 class LeaseTests(unittest.TestCase):
-    def see_holder(self, lease: Lease, place: str = "elsewhere") -> None:
+    def observe_holder(self, lease: Lease, place: str = "elsewhere") -> None:
         record = LeaseRecord("other", place, 7, DURATION, 1)
-        lease.see(100.0, SeenLease(3, record))
+        lease.observe(100.0, ObservedLease(3, record))
 
     def test_a_predecessor_is_waited_out_from_its_last_sign(self) -> None:
         lease = Lease("me", "here", DURATION)
-        self.see_holder(lease)
+        self.observe_holder(lease)
         self.assertEqual(lease.find_wait(130.0), 30.0)
-        lease.see(150.0, SeenLease(4, LeaseRecord("other", "there", 7, DURATION, 2)))
+        lease.observe(150.0, ObservedLease(4, LeaseRecord("other", "there", 7, DURATION, 2)))
         # A replica that lags shows the earlier renewal again.
-        lease.see(155.0, SeenLease(3, LeaseRecord("other", "there", 7, DURATION, 1)))
+        lease.observe(155.0, ObservedLease(3, LeaseRecord("other", "there", 7, DURATION, 1)))
         self.assertEqual(lease.find_wait(160.0), 50.0)
         self.assertEqual(lease.find_wait(210.0), 0.0)
 
     def test_no_wait_where_the_predecessor_cannot_harm(self) -> None:
-        fenced = Lease("me", "here", DURATION, TakeOver.AT_ONCE)
-        self.see_holder(fenced)
+        fenced = Lease("me", "here", DURATION, TakeoverPolicy.AT_ONCE)
+        self.observe_holder(fenced)
         restarted = Lease("me", "here", DURATION)
-        self.see_holder(restarted, place="here")
+        self.observe_holder(restarted, place="here")
         for lease in (fenced, restarted):
             self.assertEqual(lease.find_wait(100.0), 0.0)
-            self.assertEqual(lease.claim(100.0).record.fence, 8)
+            self.assertEqual(lease.acquire(100.0).record.fence, 8)
 
     def test_a_holder_ends_before_a_faster_clock_lets_another_begin(self) -> None:
         """Both count 60 s from the same write, one of them on a clock 1% fast."""
         holder = Lease("me", "here", DURATION)
-        write = holder.claim(0.0)
-        holder.see(0.0, SeenLease(1, write.record))
+        write = holder.acquire(0.0)
+        holder.observe(0.0, ObservedLease(1, write.record))
         other = Lease("other", "there", DURATION)
-        other.see(0.0, SeenLease(1, write.record))
+        other.observe(0.0, ObservedLease(1, write.record))
         begins = DURATION / 1.01
         self.assertEqual(other.find_wait(begins * 1.01), 0.0)
         self.assertFalse(holder.is_held(begins))
@@ -155,8 +155,8 @@
         Counted from the second, the holder would go on after others may take over.
         """
         lease = Lease("me", "here", DURATION)
-        first = lease.claim(0.0)
-        lease.claim(50.0)
-        lease.see(51.0, SeenLease(1, first.record))
+        first = lease.acquire(0.0)
+        lease.acquire(50.0)
+        lease.observe(51.0, ObservedLease(1, first.record))
         self.assertTrue(lease.is_held(59.0))
         self.assertFalse(lease.is_held(60.0))
--- a/libraries/decisions/tests/test_claims.py
+++ b/libraries/decisions/tests/test_claims.py
@@ -23,7 +23,7 @@
 )
 
 from bamboopier_decisions.claims.partition import ClaimPartition, ClaimPlan
-from bamboopier_decisions.claims.table import Claim, ClaimOutcome, Verdict
+from bamboopier_decisions.claims.table import Claim, ClaimOutcome, ClaimStatus
 
 LIFETIME = 1000.0
 AGENTS = 3
@@ -84,7 +84,7 @@
         agent = self.agents[number]
         if agent.plan is not None:
             return
-        agent.partition.observe(
+        agent.partition.apply_read(
             *(self.older if lagging else (self.version, self.stored))
         )
         agent.planned = list(agent.waiting)
@@ -101,14 +101,14 @@
         if plan is None:
             return
         if fault is CallFault.DOWN:
-            agent.partition.reject()
+            agent.partition.abort()
             self.give_up(agent, agent.waiting)
         elif fault is CallFault.NONE:
             if self.apply(plan):
                 agent.partition.commit(plan, self.version)
                 self.tell(agent, plan.outcomes)
             else:
-                agent.partition.reject()
+                agent.partition.abort()
         else:
             if fault in (CallFault.LOST_AFTER_EFFECT, CallFault.RESENT):
                 self.apply(plan)
@@ -160,7 +160,7 @@
         # Whoever left or came while the write was under way has no outcome in it.
         waiting = {claim.claim_id: claim for claim in agent.waiting}
         for claim, outcome in zip(agent.planned, outcomes, strict=True):
-            if outcome.verdict is not Verdict.GRANTED:
+            if outcome.status is not ClaimStatus.GRANTED:
                 continue
             if waiting.pop(claim.claim_id, None) is not None:
                 agent.granted.append((claim, agent.partition.version))
@@ -208,13 +208,13 @@
     def settle(self, agent: Agent) -> None:
         self.give_up(agent, agent.waiting)
         for _ in range(3):
-            agent.partition.observe(self.version, self.stored)
+            agent.partition.apply_read(self.version, self.stored)
             plan = agent.partition.plan([], self.now)
             if not plan.needs_write:
                 break
             assert self.apply(plan)
             agent.partition.commit(plan, self.version)
-        assert agent.partition.settled
+        assert agent.partition.all_released
 
 
 ClaimMachine.TestCase.settings = settings(
@@ -262,7 +262,7 @@
     if middle == "restart partition":
         # Its writer had nothing left to do and was dropped; the grant lives on.
         agent = machine.agents[0]
-        if agent.granted and agent.partition.settled:
+        if agent.granted and agent.partition.all_released:
             agent.partition = machine.make_partition()
     machine.dispatch(0, end == "run")
     if resend:
@@ -286,20 +286,20 @@
         first = Claim(b"k", b"body", "c1", "agent-1", 0.0)
         again = Claim(b"k", b"body", "c2", "agent-2", 0.0)
         other = Claim(b"k", b"other", "c3", "agent-2", 0.0)
-        for now, claim, verdict in (
-            (LIFETIME - 1, again, Verdict.HELD),
-            (LIFETIME - 1, other, Verdict.REUSED),
-            (LIFETIME, again, Verdict.GRANTED),
+        for now, claim, status in (
+            (LIFETIME - 1, again, ClaimStatus.HELD),
+            (LIFETIME - 1, other, ClaimStatus.REUSED),
+            (LIFETIME, again, ClaimStatus.GRANTED),
         ):
             with self.subTest(now=now, claim=claim.claim_id):
                 partition = ClaimPartition(LIFETIME, capacity=8)
-                partition.observe(7, (first,))
+                partition.apply_read(7, (first,))
                 plan = partition.plan([claim], now)
-                self.assertEqual(plan.outcomes[0].verdict, verdict)
+                self.assertEqual(plan.outcomes[0].status, status)
 
     def test_a_full_partition_refuses_what_it_could_not_remember(self) -> None:
         partition = ClaimPartition(LIFETIME, capacity=1)
-        partition.observe(7, (Claim(b"k", b"body", "c1", "agent-1", 0.0),))
+        partition.apply_read(7, (Claim(b"k", b"body", "c1", "agent-1", 0.0),))
         plan = partition.plan([Claim(b"n", b"body", "c2", "agent-2", 0.0)], 1.0)
-        self.assertEqual(plan.outcomes[0].verdict, Verdict.FULL)
+        self.assertEqual(plan.outcomes[0].status, ClaimStatus.FULL)
         self.assertFalse(plan.needs_write)
--- a/libraries/decisions/tests/test_quarantine.py
+++ b/libraries/decisions/tests/test_quarantine.py
@@ -13,7 +13,7 @@
     QUARANTINE_SECONDS,
     SETTLE_SECONDS,
     Quarantine,
-    Sentence,
+    QuarantineEntry,
 )
 
 POISON, INNOCENT, OTHER = b"poison", b"innocent", b"other"
@@ -52,7 +52,7 @@
                 quarantine = Quarantine()
                 step = 0.1 if name == "a data centre lost" else 1.0
                 for number, (fingerprint, target) in enumerate(breaks):
-                    quarantine.note_break(number * step, fingerprint, target)
+                    quarantine.record_crash(number * step, fingerprint, target)
                 now = len(breaks) * step
                 refused = {
                     fingerprint
@@ -63,23 +63,23 @@
 
     def test_others_are_told_once_and_only_after_the_evidence_settled(self) -> None:
         quarantine = Quarantine()
-        quarantine.note_break(0.0, POISON, "a")
-        quarantine.note_break(1.0, POISON, "b")
+        quarantine.record_crash(0.0, POISON, "a")
+        quarantine.record_crash(1.0, POISON, "b")
         self.assertEqual(quarantine.list_unpublished(1.0), [])
         told = quarantine.list_unpublished(1.0 + SETTLE_SECONDS)
-        self.assertEqual(told, [Sentence(POISON, 1.0 + QUARANTINE_SECONDS)])
+        self.assertEqual(told, [QuarantineEntry(POISON, 1.0 + QUARANTINE_SECONDS)])
         quarantine.mark_published(told)
         self.assertEqual(quarantine.list_unpublished(3.0), [])
         other = Quarantine()
-        other.learn(told)
+        other.set_shared_entries(told)
         self.assertGreater(other.find_wait(3.0, POISON), 0)
         self.assertEqual(other.find_wait(3.0, INNOCENT), 0)
 
     def test_a_sentence_ends(self) -> None:
         quarantine = Quarantine()
-        quarantine.note_break(0.0, POISON, "a")
-        quarantine.note_break(1.0, POISON, "b")
-        quarantine.learn([Sentence(OTHER, 5.0)])
+        quarantine.record_crash(0.0, POISON, "a")
+        quarantine.record_crash(1.0, POISON, "b")
+        quarantine.set_shared_entries([QuarantineEntry(OTHER, 5.0)])
         end = 1.0 + QUARANTINE_SECONDS
         self.assertEqual(quarantine.find_wait(end, POISON), 0)
         self.assertEqual(quarantine.find_wait(end, OTHER), 0)
--- a/libraries/gateway/src/bamboopier_gateway/fleet.py
+++ b/libraries/gateway/src/bamboopier_gateway/fleet.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from bamboopier_decisions.membership.fleet_view import (
-    DrainedPlaces,
+    DrainedSet,
     FleetView,
     ListedTarget,
 )
@@ -76,10 +76,10 @@
             return model.version
         services = _list_services(self._directory, model)
         reported = self._list_reported(services)
-        unheard = sum(self.reports.count_unheard(s.name) for s in services)
+        unreported = sum(self.reports.count_unheard(s.name) for s in services)
         at_once = max((service.loads_at_once for service in services), default=1)
         now = time.monotonic()
-        return versions.choose(now, reported, unheard, at_once, self._random)
+        return versions.choose(now, reported, unreported, at_once, self._random)
 
     def _list_reported(self, services: Iterable[Service]) -> list[str]:
         """Return the weight version of each target that takes work."""
@@ -92,7 +92,7 @@
         self._addresses = {vm.name: vm.address for vm in targets}
         self._agents.keep_only(set(self._addresses.values()))
         drains = self._directory.configuration.drains
-        drained = DrainedPlaces(
+        drained = DrainedSet(
             frozenset(drains.data_centres), frozenset(drains.targets)
         )
         now = time.monotonic()
--- a/tools/bench_context/drive.py
+++ b/tools/bench_context/drive.py
@@ -11,14 +11,14 @@
 from hdrh.histogram import HdrHistogram
 
 from bamboopier_decisions.context.block_name import BlockName, derive_workspace_tag
-from bamboopier_decisions.context.export_choice import ExportItem, ReturnOdds
+from bamboopier_decisions.context.export_choice import ExportItem, ReuseLikelihood
 from bamboopier_decisions.context.fetch_choice import (
     CostWeights,
-    FetchQuestion,
+    FetchConditions,
     choose_fetch,
-    is_worth_keeping,
+    is_worth_exporting,
 )
-from bamboopier_decisions.context.placement import StoreVm, list_sources, place_block
+from bamboopier_decisions.context.placement import StoreVm, list_read_vms, place_block
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
     Distance,
@@ -149,41 +149,41 @@
         if not missing:
             return 0.0
         size = self.site.block_bytes
-        question = self._ask(now, engine, len(missing))
-        plan = choose_fetch(question, self.policy.weights)
+        conditions = self._ask(now, engine, len(missing))
+        plan = choose_fetch(conditions, self.policy.weights)
         seconds = 0.0
         fetched: list[bytes] = []
         for depth, key in enumerate(missing[: plan.blocks], resident):
             if not self._is_stored(engine, prompt, key, depth):
                 engine.known.difference_update(prompt.keys[depth:])
                 break
-            wait = engine.budget.take_fetch(now, size)
+            wait = engine.budget.reserve_fetch(now, size)
             speed = engine.read_link_speed(now)
             done = max(seconds, wait) + size / speed
-            if done > plan.give_up_after:
-                engine.budget.settle_fetch(size, 0)
-                engine.rate.add_late(now, (len(fetched) + 1) * size, plan.give_up_after)
+            if done > plan.timeout:
+                engine.budget.adjust_fetch(size, 0)
+                engine.rate.record_timeout(now, (len(fetched) + 1) * size, plan.timeout)
                 self.late_fetches += 1
-                seconds = plan.give_up_after
+                seconds = plan.timeout
                 break
             engine.transfers.append((now + wait, size))
             seconds = done
             fetched.append(key)
         else:
-            engine.rate.add(now, len(fetched) * size, seconds)
+            engine.rate.record(now, len(fetched) * size, seconds)
         self.fetched_bytes += len(fetched) * size
         engine.known.update(fetched)
         engine.remember(now, fetched)
         return seconds
 
-    def _ask(self, now: float, engine: Engine, missing: int) -> FetchQuestion:
-        return FetchQuestion(
+    def _ask(self, now: float, engine: Engine, missing: int) -> FetchConditions:
+        return FetchConditions(
             blocks=missing,
             block_bytes=self.site.block_bytes,
             block_tokens=BLOCK_TOKENS,
             prefill_rate=self.site.prefill_rate,
             link_rate=engine.rate.estimate(now),
-            free_bytes=engine.budget.read_free_bytes(now),
+            available_bytes=engine.budget.get_available_bytes(now),
             budget_rate=self.site.link_budget,
         )
 
@@ -191,7 +191,7 @@
         self, engine: Engine, prompt: Prompt, key: bytes, depth: int
     ) -> bool:
         name = str(BlockName(self.tags[prompt.workspace], depth, key))
-        sources = list_sources(key, self.vms, (), 1, engine.data_centre)
+        sources = list_read_vms(key, self.vms, (), 1, engine.data_centre)
         return any(name in self.stores[vm.name].names for vm in sources)
 
     def _prefill(
@@ -214,12 +214,12 @@
 
     def _offer(self, now: float, engine: Engine, prompt: Prompt) -> None:
         assert self.policy.weights is not None
-        worth = is_worth_keeping(self._ask(now, engine, 1), self.policy.weights)
-        for depth, odds in enumerate(engine.sightings.note_prompt(prompt.keys)):
+        worth = is_worth_exporting(self._ask(now, engine, 1), self.policy.weights)
+        for depth, likelihood in enumerate(engine.reuse_tracker.record_prompt(prompt.keys)):
             key = prompt.keys[depth]
             if worth and key not in engine.known:
                 item = ExportItem("", prompt.workspace, "", "", key, depth)
-                engine.exports.push(odds, item)
+                engine.exports.push(likelihood, item)
         if not engine.exporting:
             engine.exporting = True
             self._export_next(now, engine)
@@ -234,7 +234,7 @@
         self,
         now: float,
         engine: Engine,
-        odds: ReturnOdds,
+        likelihood: ReuseLikelihood,
         item: ExportItem,
         waited: float,
     ) -> None:
@@ -244,14 +244,14 @@
         if str(name) in store.names or item.key not in engine.cache:
             self._export_next(now, engine)
             return
-        wait = engine.budget.take_export(now, size)
+        wait = engine.budget.try_export(now, size)
         if wait <= 0:
             engine.transfers.append((now, size))
             self.exported_bytes += size
             store.write(name, self.shares)
             engine.known.add(item.key)
-        elif odds is not ReturnOdds.NEW or waited + wait <= SHORT_LINK_SECONDS:
-            again = (engine, odds, item, waited + wait)
+        elif likelihood is not ReuseLikelihood.NEW or waited + wait <= SHORT_LINK_SECONDS:
+            again = (engine, likelihood, item, waited + wait)
             self._at(now + max(wait, 1e-3), lambda at: self._export(at, *again))
             return
         self._export_next(now, engine)
--- a/tools/safeguards/places.py
+++ b/tools/safeguards/places.py
@@ -9,7 +9,7 @@
         "a leaving VM stays out while the list wavers",
         "libraries/decisions/src/bamboopier_decisions/membership/leaving.py",
         "            elif name in self._live_since:\n"
-        "                self._note_live(now, name)\n",
+        "                self._record_live(now, name)\n",
         "            else:\n                self._live_since.pop(name, None)\n",
         "libraries/decisions",
         "tests.membership.test_fleet_view.FleetViewTests."
@@ -27,7 +27,7 @@
     Mutation(
         "the agent of a drained target refuses by itself",
         "libraries/agent/src/bamboopier_agent/standing.py",
-        "        self._drained = places.hold(self._settings.target, "
+        "        self._drained = drained_set.contains(self._settings.target, "
         "self._settings.data_centre)\n",
         "        self._drained = False\n",
         ".",
