--- a/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
@@ -25,7 +25,7 @@
     from bamboopier_objects.errors import PlatformError
     from bamboopier_objects.objects import ChangeBatch
 
-    from .configuration_intake import ConfigurationIntake
+    from .configuration_loader import ConfigurationLoader
     from .store_health import StoreHealth
     from .vocabulary import Store, Vocabulary
 
@@ -52,13 +52,13 @@
         self,
         store: Store,
         vocabulary: Vocabulary,
-        intake: ConfigurationIntake,
+        loader: ConfigurationLoader,
         health: StoreHealth,
         random: random.Random,
     ) -> None:
         self._store = store
         self._key = vocabulary.configuration_key
-        self._intake = intake
+        self._loader = loader
         self._health = health
         self._random = random
         self._failing_since: float | None = None
@@ -131,7 +131,7 @@
             return self._take_changes(asked, batch)
         # Without a change it is made at the end of the wait.
         made = min(asked + seconds, now)
-        self._intake.confirm(position.note_unchanged(made, now, batch.revision))
+        self._loader.confirm(position.note_unchanged(made, now, batch.revision))
         self._choose_wait(prompt=False)
         return True
 
@@ -149,7 +149,7 @@
         return True
 
     def _take(self, found: StoredObject, asked: float) -> bool:
-        if not self._intake.take(found, asked):
+        if not self._loader.load(found, asked):
             return False
         self._size = len(found.value)
         return True
@@ -174,13 +174,13 @@
         return False
 
     def _note_failure(self, asked: float, reason: str) -> None:
-        self._intake.store_answers = False
+        self._loader.store_available = False
         if self._failing_since is None:
             self._failing_since = asked
             log.warning("store lost", key="configuration", reason=reason)
 
     def _note_answer(self, now: float) -> None:
-        self._intake.store_answers = True
+        self._loader.store_available = True
         if self._failing_since is None:
             return
         away = now - self._failing_since
--- a/libraries/proxy/src/bamboopier_proxy/configuration_handover.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_handover.py
@@ -26,7 +26,7 @@
 
     from bamboopier_objects.http_caller import HttpCaller
 
-    from .configuration_intake import ConfigurationIntake
+    from .configuration_loader import ConfigurationLoader
     from .knowledge import Knowledge
     from .settings import Endpoint
 
@@ -51,11 +51,11 @@
 
     def __init__(
         self,
-        intake: ConfigurationIntake,
+        loader: ConfigurationLoader,
         knowledge: Knowledge,
         caller: HttpCaller,
     ) -> None:
-        self._intake = intake
+        self._loader = loader
         self._knowledge = knowledge
         self._caller = caller
         self._asking: asyncio.Task[None] | None = None
@@ -80,7 +80,7 @@
         While the store answers, the version is on its way from there: a second copy
         would take half of a weak link, and both would be late.
         """
-        if self._intake.store_answers:
+        if self._loader.store_available:
             return
         if self._asking is None or self._asking.done():
             self._asking = asyncio.create_task(self._fetch(gateway))
@@ -111,12 +111,12 @@
                     proof_age=age,
                 )
                 found = StoredObject("", revision, reply.body)
-                self._intake.take(found, asked - age)
+                self._loader.load(found, asked - age)
         await asyncio.sleep(PAUSE_SECONDS)
 
     def answer(self, _: bytes) -> web.Response:
         """Hand on what is in force, with its revision and the age of its proof."""
-        stored = self._intake.stored
+        stored = self._loader.stored
         now = read_clock()
         if stored is None or now < self._giving_until:
             return web.Response(status=503)
--- a/libraries/proxy/src/bamboopier_proxy/configuration_intake.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_loader.py
@@ -18,7 +18,7 @@
 log = structlog.get_logger()
 
 
-class ConfigurationIntake:
+class ConfigurationLoader:
     """Decodes each stored version once and keeps the newest as it was stored."""
 
     def __init__(self, vocabulary: Vocabulary, knowledge: Knowledge) -> None:
@@ -27,15 +27,15 @@
         # The newest that could be decoded; None before the first.
         self.stored: StoredObject | None = None
         # Whether the store answered the last question for it.
-        self.store_answers = True
+        self.store_available = True
         # Revision of a newer one that could not be decoded.
-        self._set_aside = 0
+        self._undecodable_revision = 0
 
     @property
     def _revision(self) -> int:
         return self.stored.version if self.stored is not None else 0
 
-    def take(self, found: StoredObject, asked_at: float) -> bool:
+    def load(self, found: StoredObject, asked_at: float) -> bool:
         """Take what was current at ``asked_at``; False for an older one.
 
         What cannot be decoded is set aside: what is in force stays, but nothing proves
@@ -51,12 +51,12 @@
         if found.version == self._revision:
             self._knowledge.confirm(self._knowledge.version, asked_at)
             return True
-        if found.version <= self._set_aside:
+        if found.version <= self._undecodable_revision:
             return True
         decoded = self._vocabulary.decode_configuration(found.value)
         if isinstance(decoded, Err):
             log.error("configuration set aside", reason=decoded.err_value)
-            self._set_aside = found.version
+            self._undecodable_revision = found.version
             return True
         self.stored = found
         self._knowledge.take(decoded.ok_value, asked_at, read_clock(), len(found.value))
@@ -64,5 +64,5 @@
 
     def confirm(self, proved_at: float) -> None:
         """Take in that nothing newer had been stored at ``proved_at``."""
-        if self._set_aside <= self._revision:
+        if self._undecodable_revision <= self._revision:
             self._knowledge.confirm(self._knowledge.version, proved_at)
--- a/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
@@ -58,7 +58,7 @@
         # Other gateways know this one by its address.
         self._caller = HttpCaller("", source=settings.host)
         self._handover = ConfigurationHandover(
-            state.intake, state.knowledge, self._caller
+            state.loader, state.knowledge, self._caller
         )
         relay = PartRelay(state.kept, self._caller)
         self._parts = PartFollower(part_stores, state.kept, relay, self._roster, random)
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -12,7 +12,7 @@
 from bamboopier_decisions.forwarding.retry_share import RetryShares
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 
-from .configuration_intake import ConfigurationIntake
+from .configuration_loader import ConfigurationLoader
 from .knowledge import Knowledge
 from .store_health import StoreHealth
 from .waiting_room import WaitingRoom
@@ -47,7 +47,7 @@
         self.health = StoreHealth()
         self.room = WaitingRoom()
         self.knowledge = Knowledge(settings.key_seconds, self._apply)
-        self.intake = ConfigurationIntake(vocabulary, self.knowledge)
+        self.loader = ConfigurationLoader(vocabulary, self.knowledge)
         self._services: tuple[str, ...] = ()
 
     def take_settings(self, changed: ProxySettings) -> None:
--- a/libraries/proxy/src/bamboopier_proxy/store_followers.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_followers.py
@@ -47,7 +47,7 @@
         self._random = random
         self._ages = WeightAges(store, vocabulary.ages_prefix, state.weights, random)
         self._configuration = ConfigurationFollower(
-            store, vocabulary, state.intake, state.health, random
+            store, vocabulary, state.loader, state.health, random
         )
         self._targets = self._follow(
             vocabulary.targets_prefix,
--- a/libraries/proxy/tests/test_configuration_handover.py
+++ b/libraries/proxy/tests/test_configuration_handover.py
@@ -17,10 +17,10 @@
     def test_copies_for_many_leave_half_of_the_weakest_link(self) -> None:
         # Guards against several gateways that are turned away by the store and ask the
         # same one for a megabyte each: its own callers would wait for seconds.
-        intake = mock.Mock(stored=StoredObject("", 5, b"x" * MEGABYTE))
+        loader = mock.Mock(stored=StoredObject("", 5, b"x" * MEGABYTE))
         knowledge = mock.Mock()
         knowledge.currency.find_age.return_value = 0.5
-        handover = ConfigurationHandover(intake, knowledge, mock.Mock())
+        handover = ConfigurationHandover(loader, knowledge, mock.Mock())
         given = 0
         module = "bamboopier_proxy.configuration_handover.read_clock"
         with mock.patch(module) as read_clock:
--- a/libraries/proxy/tests/test_store_health.py
+++ b/libraries/proxy/tests/test_store_health.py
@@ -94,16 +94,16 @@
         found = StoredObject("c", 5, b"")
         store.list.return_value = Ok(Listing(5, (found,)))
         vocabulary = mock.Mock(configuration_key="c")
-        intake = mock.Mock()
+        loader = mock.Mock()
         follower = ConfigurationFollower(
-            store, vocabulary, intake, health, random.Random(1)
+            store, vocabulary, loader, health, random.Random(1)
         )
         module = "bamboopier_proxy.configuration_follower"
         with (
             mock.patch(f"{module}.read_clock", return_value=100.0),
             mock.patch(f"{module}.asyncio.sleep", side_effect=asyncio.CancelledError),
         ):
-            intake.take.side_effect = [True, False]
+            loader.load.side_effect = [True, False]
             with self.assertRaises(asyncio.CancelledError):
                 await follower.run()
         self.assertEqual(seen, [False])
