--- a/libraries/proxy/src/bamboopier_proxy/knowledge.py
+++ b/libraries/proxy/src/bamboopier_proxy/active_configuration.py
@@ -17,7 +17,7 @@
 log = structlog.get_logger()
 
 
-class Knowledge:
+class ActiveConfiguration:
     """The configuration in force with its proof of currency."""
 
     def __init__(
@@ -32,7 +32,7 @@
         """Return the version in force; 0 before the first."""
         return self.table.declared.version if self.table is not None else 0
 
-    def take(
+    def update(
         self, declared: Declared, asked_at: float, now: float, size: int = 0
     ) -> None:
         """Take a configuration of ``size`` bytes that was current at ``asked_at``.
--- a/libraries/proxy/src/bamboopier_proxy/configuration_handover.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_handover.py
@@ -27,7 +27,7 @@
     from bamboopier_objects.http_caller import HttpCaller
 
     from .configuration_loader import ConfigurationLoader
-    from .knowledge import Knowledge
+    from .active_configuration import ActiveConfiguration
     from .settings import Endpoint
 
 # Seconds for one call: a configuration has a megabyte at most, and a gateway that does
@@ -52,11 +52,11 @@
     def __init__(
         self,
         loader: ConfigurationLoader,
-        knowledge: Knowledge,
+        active_configuration: ActiveConfiguration,
         caller: HttpCaller,
     ) -> None:
         self._loader = loader
-        self._knowledge = knowledge
+        self._active_configuration = active_configuration
         self._caller = caller
         self._asking: asyncio.Task[None] | None = None
         # Until then the last copy given is taken to be on its way.
@@ -121,7 +121,7 @@
         if stored is None or now < self._giving_until:
             return web.Response(status=503)
         self._giving_until = now + len(stored.value) / GIVEN_BYTES_PER_SECOND
-        age = self._knowledge.currency.find_age(now)
+        age = self._active_configuration.currency.find_age(now)
         headers = {
             REVISION_HEADER: str(stored.version),
             # Rounded up: the proof must not look younger than it is.
--- a/libraries/proxy/src/bamboopier_proxy/configuration_loader.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_loader.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from bamboopier_objects.objects import StoredObject
 
-    from .knowledge import Knowledge
+    from .active_configuration import ActiveConfiguration
     from .vocabulary import Vocabulary
 
 log = structlog.get_logger()
@@ -21,9 +21,9 @@
 class ConfigurationLoader:
     """Decodes each stored version once and keeps the newest as it was stored."""
 
-    def __init__(self, vocabulary: Vocabulary, knowledge: Knowledge) -> None:
+    def __init__(self, vocabulary: Vocabulary, active_configuration: ActiveConfiguration) -> None:
         self._vocabulary = vocabulary
-        self._knowledge = knowledge
+        self._active_configuration = active_configuration
         # The newest that could be decoded; None before the first.
         self.stored: StoredObject | None = None
         # Whether the store answered the last question for it.
@@ -49,7 +49,7 @@
             )
             return False
         if found.version == self._revision:
-            self._knowledge.confirm(self._knowledge.version, asked_at)
+            self._active_configuration.confirm(self._active_configuration.version, asked_at)
             return True
         if found.version <= self._undecodable_revision:
             return True
@@ -59,10 +59,10 @@
             self._undecodable_revision = found.version
             return True
         self.stored = found
-        self._knowledge.take(decoded.ok_value, asked_at, read_clock(), len(found.value))
+        self._active_configuration.take(decoded.ok_value, asked_at, read_clock(), len(found.value))
         return True
 
     def confirm(self, proved_at: float) -> None:
         """Take in that nothing newer had been stored at ``proved_at``."""
         if self._undecodable_revision <= self._revision:
-            self._knowledge.confirm(self._knowledge.version, proved_at)
+            self._active_configuration.confirm(self._active_configuration.version, proved_at)
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -27,7 +27,7 @@
 
     from .delivery import Delivery
     from .exchange import Exchange, SendResult
-    from .knowledge import Knowledge
+    from .active_configuration import ActiveConfiguration
     from .messages import Call, SendMarks
     from .metrics import ProxyMetrics
     from .send_planner import SendPlanner
@@ -66,7 +66,7 @@
     def __init__(
         self,
         fleet: Fleet,
-        knowledge: Knowledge,
+        active_configuration: ActiveConfiguration,
         planner: SendPlanner,
         exchange: Exchange,
         room: WaitingRoom,
@@ -77,11 +77,11 @@
         random: random.Random,
     ) -> None:
         self._fleet = fleet
-        self._knowledge = knowledge
+        self._active_configuration = active_configuration
         self._planner = planner
         self._exchange = exchange
         self._room = room
-        self._send_log = SendLog(planner, knowledge, metrics)
+        self._send_log = SendLog(planner, active_configuration, metrics)
         self._metrics = metrics
         self._breaks = breaks
         self._shares = shares
@@ -209,12 +209,12 @@
         """Refuse a request with a key once the key may have been taken away."""
         if call.workspace is None:
             return
-        if self._knowledge.currency.covers(now):
+        if self._active_configuration.currency.covers(now):
             return
         if call.may_have_run:
             message = "the configuration became too old to send this again"
             raise CallerError(ErrorCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN)
-        raise make_stale_refusal(self._knowledge, now)
+        raise make_stale_refusal(self._active_configuration, now)
 
     def _check_breaks(self, call: Call) -> None:
         """Refuse a request that broke the targets that ran it."""
@@ -300,8 +300,8 @@
                 return False
 
 
-def make_stale_refusal(knowledge: Knowledge, now: float) -> CallerError:
+def make_stale_refusal(active_configuration: ActiveConfiguration, now: float) -> CallerError:
     """Return the refusal for keys that may have been taken away meanwhile."""
-    age = knowledge.currency.find_age(now)
+    age = active_configuration.currency.find_age(now)
     message = f"the configuration was last confirmed {age:.1f} s ago"
     return CallerError(ErrorCode.STALE_CONFIGURATION, message, Ran.NO, 1.0)
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -73,7 +73,7 @@
     begins = BeginWatch(state.weights)
     forwarder = Forwarder(
         state.fleet,
-        state.knowledge,
+        state.active_configuration,
         SendPlanner(state.weights, state.kept),
         Exchange(pool, state.fleet, dialect, begins),
         state.room,
@@ -84,7 +84,7 @@
         generator,
     )
     ingress = Ingress(
-        dialect, state.knowledge, forwarder, metrics, settings.memory_bytes, generator
+        dialect, state.active_configuration, forwarder, metrics, settings.memory_bytes, generator
     )
     watch = SettingsWatch(settings, read_settings, state.take_settings)
 
@@ -92,7 +92,7 @@
         return (
             not ingress.stopping
             and followers.loaded
-            and state.knowledge.currency.covers(read_clock())
+            and state.active_configuration.currency.covers(read_clock())
         )
 
     metrics.dropped_lines.set_function(lambda: open_log_sink().dropped)
@@ -101,7 +101,7 @@
         "gateway",
         settings,
         is_ready,
-        lambda: state.knowledge.version,
+        lambda: state.active_configuration.version,
     )
     async with AsyncExitStack() as stack:
         with StopSignals() as signals:
--- a/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
@@ -58,7 +58,7 @@
         # Other gateways know this one by its address.
         self._caller = HttpCaller("", source=settings.host)
         self._handover = ConfigurationHandover(
-            state.loader, state.knowledge, self._caller
+            state.loader, state.active_configuration, self._caller
         )
         relay = PartRelay(state.kept, self._caller)
         self._parts = PartFollower(part_stores, state.kept, relay, self._roster, random)
@@ -79,7 +79,7 @@
             settings.first_port,
             self._roster,
             state.fleet,
-            state.knowledge,
+            state.active_configuration,
             Quarantine(BREAKS_TO_REFUSE, REFUSED_SECONDS),
             self._handover.ask,
             random,
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -13,7 +13,7 @@
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 
 from .configuration_loader import ConfigurationLoader
-from .knowledge import Knowledge
+from .active_configuration import ActiveConfiguration
 from .store_health import StoreHealth
 from .waiting_room import WaitingRoom
 
@@ -46,13 +46,13 @@
         self.shares = RetryShares(settings.retries)
         self.health = StoreHealth()
         self.room = WaitingRoom()
-        self.knowledge = Knowledge(settings.key_seconds, self._apply)
-        self.loader = ConfigurationLoader(vocabulary, self.knowledge)
+        self.active_configuration = ActiveConfiguration(settings.key_seconds, self._apply)
+        self.loader = ConfigurationLoader(vocabulary, self.active_configuration)
         self._services: tuple[str, ...] = ()
 
     def take_settings(self, changed: ProxySettings) -> None:
         """Take the bounds of changed settings."""
-        self.knowledge.currency.set_limit(changed.key_seconds)
+        self.active_configuration.currency.set_limit(changed.key_seconds)
         self.weights.set_allowed(changed.version_seconds)
         self.shares.set_bounds(changed.retries)
 
@@ -68,7 +68,7 @@
 
     def read_limits(self) -> CallerLimits:
         """Return what callers may send."""
-        table = self.knowledge.table
+        table = self.active_configuration.table
         return table.declared.limits if table is not None else CallerLimits()
 
     def _apply(self, declared: Declared) -> None:
--- a/libraries/proxy/src/bamboopier_proxy/gossip.py
+++ b/libraries/proxy/src/bamboopier_proxy/gossip.py
@@ -41,7 +41,7 @@
     from bamboopier_decisions.forwarding.fleet import Fleet
     from bamboopier_decisions.quarantine.quarantine import Quarantine
 
-    from .knowledge import Knowledge
+    from .active_configuration import ActiveConfiguration
     from .roster import Roster
 
 # Seconds between two hints, and after which one says nothing any more.
@@ -75,7 +75,7 @@
         port: int,
         roster: Roster,
         fleet: Fleet,
-        knowledge: Knowledge,
+        active_configuration: ActiveConfiguration,
         quarantine: Quarantine,
         note_newer: Callable[[Endpoint], None],
         random: random.Random,
@@ -83,7 +83,7 @@
         self._name = name
         self._roster = roster
         self._fleet = fleet
-        self._knowledge = knowledge
+        self._active_configuration = active_configuration
         self._quarantine = quarantine
         # Told of a gateway that has a newer configuration.
         self._note_newer = note_newer
@@ -170,9 +170,9 @@
         old = [n for n, at in self._questions.items() if now - at > QUESTION_SECONDS]
         for nonce in old:
             del self._questions[nonce]
-        if self._knowledge.version == 0:
+        if self._active_configuration.version == 0:
             return
-        if self._knowledge.currency.find_age(now) < ASK_AGE_SECONDS:
+        if self._active_configuration.currency.find_age(now) < ASK_AGE_SECONDS:
             return
         nonce = next(self._nonces)
         self._questions[nonce] = now
@@ -225,12 +225,12 @@
         )
 
     def _answer(self, question: ProofQuestion, sender: tuple[str, int]) -> None:
-        age = self._knowledge.currency.find_age(read_clock())
-        if age > ASK_AGE_SECONDS * 3 or self._knowledge.version == 0:
+        age = self._active_configuration.currency.find_age(read_clock())
+        if age > ASK_AGE_SECONDS * 3 or self._active_configuration.version == 0:
             return
         # Rounded up: the proof must not look younger than it is.
         answer = ProofAnswer(
-            question.nonce, self._knowledge.version, int(age * 1000) + 1
+            question.nonce, self._active_configuration.version, int(age * 1000) + 1
         )
         self._socket.send(answer, Endpoint(*sender))
 
@@ -238,10 +238,10 @@
         asked = self._questions.get(answer.nonce)
         if asked is None:
             return
-        if answer.version > self._knowledge.version:
+        if answer.version > self._active_configuration.version:
             self._note_newer(Endpoint(*sender))
             return
-        self._knowledge.confirm(answer.version, asked - answer.age_ms / 1000)
+        self._active_configuration.confirm(answer.version, asked - answer.age_ms / 1000)
 
     def _apply_loads(self) -> None:
         now = read_clock()
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -28,7 +28,7 @@
 
     from .dialect import Dialect
     from .forwarder import Forwarder
-    from .knowledge import Knowledge
+    from .active_configuration import ActiveConfiguration
     from .messages import CallerMarks
     from .metrics import ProxyMetrics
 
@@ -54,14 +54,14 @@
     def __init__(
         self,
         dialect: Dialect,
-        knowledge: Knowledge,
+        active_configuration: ActiveConfiguration,
         forwarder: Forwarder,
         metrics: ProxyMetrics,
         memory_bytes: int,
         random: random.Random,
     ) -> None:
         self._dialect = dialect
-        self._knowledge = knowledge
+        self._active_configuration = active_configuration
         self._forwarder = forwarder
         self._metrics = metrics
         self._random = random
@@ -125,7 +125,7 @@
         if self.refusing:
             message = "this process is stopping"
             raise CallerError(ErrorCode.STOPPING, message, Ran.NO, STOPPING_SECONDS)
-        table = self._knowledge.table
+        table = self._active_configuration.table
         if table is None:
             message = "no configuration is known yet"
             raise CallerError(
@@ -162,8 +162,8 @@
     ) -> Workspace | None:
         if not table.needs_key or route.public:
             return None
-        if not self._knowledge.currency.covers(now):
-            raise make_stale_refusal(self._knowledge, now)
+        if not self._active_configuration.currency.covers(now):
+            raise make_stale_refusal(self._active_configuration, now)
         workspace = table.find_workspace(marks.key) if marks.key else None
         if workspace is None:
             raise CallerError(ErrorCode.UNAUTHENTICATED, "no such key")
@@ -245,7 +245,7 @@
             tried=call.tried if call else [],
             workspace=call.workspace.name if call and call.workspace else "",
             seconds=round(read_clock() - arrived, 4),
-            configuration=self._knowledge.version,
+            configuration=self._active_configuration.version,
         )
 
 
--- a/libraries/proxy/src/bamboopier_proxy/send_log.py
+++ b/libraries/proxy/src/bamboopier_proxy/send_log.py
@@ -12,7 +12,7 @@
     from bamboopier_decisions.forwarding.fleet import Sent
 
     from .exchange import SendResult
-    from .knowledge import Knowledge
+    from .active_configuration import ActiveConfiguration
     from .messages import Call
     from .metrics import ProxyMetrics
     from .send_planner import SendPlanner
@@ -24,10 +24,10 @@
     """Counts and logs the ends of sends."""
 
     def __init__(
-        self, planner: SendPlanner, knowledge: Knowledge, metrics: ProxyMetrics
+        self, planner: SendPlanner, active_configuration: ActiveConfiguration, metrics: ProxyMetrics
     ) -> None:
         self._planner = planner
-        self._knowledge = knowledge
+        self._active_configuration = active_configuration
         self._metrics = metrics
 
     def note(self, call: Call, sent: Sent, result: SendResult) -> None:
@@ -59,5 +59,5 @@
             tokens_in=call.prompt.tokens_in if call.prompt else 0,
             tokens_out=call.prompt.tokens_out if call.prompt else 0,
             configuration=call.version,
-            proof_age=round(self._knowledge.currency.find_age(now), 3),
+            proof_age=round(self._active_configuration.currency.find_age(now), 3),
         )
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -26,7 +26,7 @@
 from bamboopier_proxy.begin_watch import BeginWatch
 from bamboopier_proxy.exchange import Exchange
 from bamboopier_proxy.forwarder import Forwarder
-from bamboopier_proxy.knowledge import Knowledge
+from bamboopier_proxy.active_configuration import ActiveConfiguration
 from bamboopier_proxy.messages import AnswerMarks, Call, SendMarks
 from bamboopier_proxy.metrics import ProxyMetrics
 from bamboopier_proxy.send_planner import SendPlanner
@@ -98,8 +98,8 @@
         self.happen: Callable[[], None] = lambda: None
         self.pool = SlowPool(lambda: self.happen())
         self.weights = WeightVersions(VERSION_SECONDS)
-        self.knowledge = Knowledge(KEY_SECONDS, lambda _: None)
-        self.knowledge.take(make_declared(), self.clock.now, self.clock.now)
+        self.active_configuration = ActiveConfiguration(KEY_SECONDS, lambda _: None)
+        self.active_configuration.update(make_declared(), self.clock.now, self.clock.now)
         self.fleet = Fleet()
         self.fleet.set_services(make_declared().services)
         self.fleet.put(self.clock.now, make_entry())
@@ -109,7 +109,7 @@
         self.breaks = breaks
         self.forwarder = Forwarder(
             self.fleet,
-            self.knowledge,
+            self.active_configuration,
             SendPlanner(self.weights, KeptParts()),
             Exchange(
                 cast("Any", self.pool), self.fleet, dialect, BeginWatch(self.weights)
--- a/libraries/proxy/tests/test_configuration_handover.py
+++ b/libraries/proxy/tests/test_configuration_handover.py
@@ -18,9 +18,9 @@
         # Guards against several gateways that are turned away by the store and ask the
         # same one for a megabyte each: its own callers would wait for seconds.
         loader = mock.Mock(stored=StoredObject("", 5, b"x" * MEGABYTE))
-        knowledge = mock.Mock()
-        knowledge.currency.find_age.return_value = 0.5
-        handover = ConfigurationHandover(loader, knowledge, mock.Mock())
+        active_configuration = mock.Mock()
+        active_configuration.currency.find_age.return_value = 0.5
+        handover = ConfigurationHandover(loader, active_configuration, mock.Mock())
         given = 0
         module = "bamboopier_proxy.configuration_handover.read_clock"
         with mock.patch(module) as read_clock:
--- a/libraries/proxy/tests/test_configuration_loader.py
+++ b/libraries/proxy/tests/test_configuration_loader.py
@@ -11,7 +11,7 @@
 from bamboopier_decisions.forwarding.model import CallerLimits, Declared
 from bamboopier_objects.objects import StoredObject
 from bamboopier_proxy.configuration_loader import ConfigurationLoader
-from bamboopier_proxy.knowledge import Knowledge
+from bamboopier_proxy.active_configuration import ActiveConfiguration
 
 if TYPE_CHECKING:
     from bamboopier_proxy.vocabulary import Vocabulary
@@ -27,9 +27,9 @@
 class ConfigurationLoaderTests(unittest.TestCase):
     def setUp(self) -> None:
         vocabulary: Vocabulary = mock.Mock(decode_configuration=decode)
-        self.knowledge = Knowledge(5.0, lambda _: None)
-        self.loader = ConfigurationLoader(vocabulary, self.knowledge)
-        for module in ("knowledge", "configuration_loader"):
+        self.active_configuration = ActiveConfiguration(5.0, lambda _: None)
+        self.loader = ConfigurationLoader(vocabulary, self.active_configuration)
+        for module in ("active_configuration", "configuration_loader"):
             patch = mock.patch(f"bamboopier_proxy.{module}.log")
             patch.start()
             self.addCleanup(patch.stop)
@@ -40,23 +40,23 @@
     def test_the_same_revision_proves_again(self) -> None:
         self.load(10, b"3", 100.0)
         self.assertTrue(self.load(10, b"3", 104.0))
-        self.assertEqual(self.knowledge.currency.proved_at, 104.0)
+        self.assertEqual(self.active_configuration.currency.proved_at, 104.0)
 
     def test_an_older_revision_from_another_gateway_proves_nothing(self) -> None:
         # Another gateway's answer was held up on its way: it has the version before,
         # and must neither come into force nor make the present one look fresh.
         self.load(11, b"4", 100.0)
         self.assertFalse(self.load(10, b"3", 104.0))
-        self.assertEqual(self.knowledge.version, 4)
-        self.assertEqual(self.knowledge.currency.proved_at, 100.0)
+        self.assertEqual(self.active_configuration.version, 4)
+        self.assertEqual(self.active_configuration.currency.proved_at, 100.0)
 
     def test_what_cannot_be_decoded_is_not_handed_on(self) -> None:
         # A broken value lies in the store. What is in force stays, is no longer proved
         # by reads, and is what other gateways get.
         self.load(10, b"3", 100.0)
         self.assertTrue(self.load(11, b"broken", 104.0))
-        self.assertEqual(self.knowledge.version, 3)
-        self.assertEqual(self.knowledge.currency.proved_at, 100.0)
+        self.assertEqual(self.active_configuration.version, 3)
+        self.assertEqual(self.active_configuration.currency.proved_at, 100.0)
         assert self.loader.stored is not None
         self.assertEqual(self.loader.stored.value, b"3")
 
