--- a/libraries/proxy/src/bamboopier_proxy/configuration_handover.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_relay.py
@@ -35,7 +35,7 @@
 CALL_SECONDS = 0.8
 # Bytes a second that are handed on at the most: half of what the weakest link carries.
 # Several gateways that are turned away ask the same one, and its callers wait behind.
-GIVEN_BYTES_PER_SECOND = 312_500
+SENT_BYTES_PER_SECOND = 312_500
 # Seconds between two calls: several gateways tell of the same new version at once.
 PAUSE_SECONDS = 0.3
 PATH = "/configuration"
@@ -46,7 +46,7 @@
 log = structlog.get_logger()
 
 
-class ConfigurationHandover:
+class ConfigurationRelay:
     """Answers other gateways, and asks them while its context is open."""
 
     def __init__(
@@ -58,9 +58,9 @@
         self._loader = loader
         self._active_configuration = active_configuration
         self._caller = caller
-        self._asking: asyncio.Task[None] | None = None
+        self._request_task: asyncio.Task[None] | None = None
         # Until then the last copy given is taken to be on its way.
-        self._giving_until = float("-inf")
+        self._sending_until = float("-inf")
 
     async def __aenter__(self) -> Self:
         return self
@@ -71,10 +71,10 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        if self._asking is not None:
-            self._asking.cancel()
+        if self._request_task is not None:
+            self._request_task.cancel()
 
-    def ask(self, gateway: Endpoint) -> None:
+    def request(self, gateway: Endpoint) -> None:
         """Ask a gateway that has a newer version, unless one is being asked.
 
         While the store answers, the version is on its way from there: a second copy
@@ -82,11 +82,11 @@
         """
         if self._loader.store_available:
             return
-        if self._asking is None or self._asking.done():
-            self._asking = asyncio.create_task(self._fetch(gateway))
+        if self._request_task is None or self._request_task.done():
+            self._request_task = asyncio.create_task(self._fetch(gateway))
 
     async def _fetch(self, gateway: Endpoint) -> None:
-        asked = read_clock()
+        sent_at = read_clock()
         url = f"http://{gateway}{PATH}"
         answer = await self._caller.call("GET", url, patience=CALL_SECONDS)
         if isinstance(answer, Err) or answer.ok_value.status != 200:
@@ -111,16 +111,16 @@
                     proof_age=age,
                 )
                 found = StoredObject("", revision, reply.body)
-                self._loader.load(found, asked - age)
+                self._loader.load(found, sent_at - age)
         await asyncio.sleep(PAUSE_SECONDS)
 
     def answer(self, _: bytes) -> web.Response:
         """Hand on what is in force, with its revision and the age of its proof."""
         stored = self._loader.stored
         now = read_clock()
-        if stored is None or now < self._giving_until:
+        if stored is None or now < self._sending_until:
             return web.Response(status=503)
-        self._giving_until = now + len(stored.value) / GIVEN_BYTES_PER_SECOND
+        self._sending_until = now + len(stored.value) / SENT_BYTES_PER_SECOND
         age = self._active_configuration.currency.find_age(now)
         headers = {
             REVISION_HEADER: str(stored.version),
--- a/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
@@ -8,8 +8,8 @@
 from bamboopier_decisions.quarantine.quarantine import Quarantine
 from bamboopier_objects.http_caller import HttpCaller
 
-from . import configuration_handover, part_relay
-from .configuration_handover import ConfigurationHandover
+from . import configuration_relay, part_relay
+from .configuration_relay import ConfigurationRelay
 from .gossip import Gossip
 from .limit_records import LimitRecords
 from .part_follower import PartFollower
@@ -57,7 +57,7 @@
         )
         # Other gateways know this one by its address.
         self._caller = HttpCaller("", source=settings.host)
-        self._handover = ConfigurationHandover(
+        self._configuration_relay = ConfigurationRelay(
             state.loader, state.active_configuration, self._caller
         )
         relay = PartRelay(state.kept, self._caller)
@@ -69,7 +69,7 @@
             Endpoint(settings.host, settings.first_port),
             self._roster.has_host,
             {
-                configuration_handover.PATH: self._handover.answer,
+                configuration_relay.PATH: self._configuration_relay.answer,
                 part_relay.PATH: relay.answer,
             },
         )
@@ -81,13 +81,13 @@
             state.fleet,
             state.active_configuration,
             Quarantine(BREAKS_TO_REFUSE, REFUSED_SECONDS),
-            self._handover.ask,
+            self._configuration_relay.request,
             random,
         )
         self._stack = AsyncExitStack()
 
     async def __aenter__(self) -> Self:
-        for part in (self._caller, self._handover, self._server, self.gossip):
+        for part in (self._caller, self._configuration_relay, self._server, self.gossip):
             await self._stack.enter_async_context(part)
         return self
 
--- a/libraries/proxy/src/bamboopier_proxy/part_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_follower.py
@@ -114,7 +114,7 @@
                 turn += 1
                 await asyncio.sleep(RETRY_SECONDS)
                 continue
-            answer = await self._relay.ask(gateway)
+            answer = await self._relay.request(gateway)
             if isinstance(answer, Err) or not answer.ok_value:
                 reason = answer.err_value if isinstance(answer, Err) else "no news"
                 log.warning("gateway without news", gateway=str(gateway), reason=reason)
--- a/libraries/proxy/src/bamboopier_proxy/part_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_relay.py
@@ -84,7 +84,7 @@
         ]
         return web.Response(body=msgspec.msgpack.encode(news))
 
-    async def ask(self, gateway: Endpoint) -> Result[int, str]:
+    async def request(self, gateway: Endpoint) -> Result[int, str]:
         """Take the news that a gateway has; return how many stores it trusts."""
         if self._asked != str(gateway):
             # Each gateway counts changes in its own way.
--- a/libraries/proxy/tests/test_configuration_handover.py
+++ b/libraries/proxy/tests/test_configuration_relay.py
@@ -6,27 +6,27 @@
 from unittest import mock
 
 from bamboopier_objects.objects import StoredObject
-from bamboopier_proxy.configuration_handover import ConfigurationHandover
+from bamboopier_proxy.configuration_relay import ConfigurationRelay
 
 MEGABYTE = 1_000_000
 # Of the weakest link, in bytes a second.
 LINK = 625_000
 
 
-class GivenTests(unittest.TestCase):
+class SendRateTests(unittest.TestCase):
     def test_copies_for_many_leave_half_of_the_weakest_link(self) -> None:
         # Guards against several gateways that are turned away by the store and ask the
         # same one for a megabyte each: its own callers would wait for seconds.
         loader = mock.Mock(stored=StoredObject("", 5, b"x" * MEGABYTE))
         active_configuration = mock.Mock()
         active_configuration.currency.find_age.return_value = 0.5
-        handover = ConfigurationHandover(loader, active_configuration, mock.Mock())
+        relay = ConfigurationRelay(loader, active_configuration, mock.Mock())
         given = 0
-        module = "bamboopier_proxy.configuration_handover.read_clock"
+        module = "bamboopier_proxy.configuration_relay.read_clock"
         with mock.patch(module) as read_clock:
             for step in range(100):
                 read_clock.return_value = 100.0 + step * 0.1
-                answer = handover.answer(b"")
+                answer = relay.answer(b"")
                 given += answer.status == 200
         self.assertLessEqual(given * MEGABYTE, LINK / 2 * 10 + MEGABYTE)
         self.assertGreater(given, 1)
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -59,7 +59,7 @@
         super().__init__(kept, HttpCaller(""))
         self.asked: set[str] = set()
 
-    async def ask(self, gateway: Endpoint) -> Result[int, str]:
+    async def request(self, gateway: Endpoint) -> Result[int, str]:
         self.asked.add(str(gateway))
         return Err("not there")
 
--- a/libraries/proxy/tests/test_part_relay.py
+++ b/libraries/proxy/tests/test_part_relay.py
@@ -81,8 +81,8 @@
         assert store is not None
         store.take(self.now, self.now, PartNews(epoch, 5000, changes))
 
-    async def ask(self) -> None:
-        found = await self.relay.ask(FIRST)
+    async def request(self) -> None:
+        found = await self.relay.request(FIRST)
         self.assertEqual(found.ok_value, 1)
 
     def pass_time(self, seconds: float) -> None:
@@ -95,9 +95,9 @@
 
     async def test_changes_are_handed_on_once(self) -> None:
         self.hear(7, *(PartChange(SCOPE, f"p{n}", 500) for n in range(100)))
-        await self.ask()
+        await self.request()
         self.hear(7, PartChange(SCOPE, "new", 500), PartChange(SCOPE, "p1", 0))
-        await self.ask()
+        await self.request()
         self.assertTrue(self.has("new"))
         self.assertFalse(self.has("p1"))
         self.assertTrue(self.has("p2"))
@@ -108,16 +108,16 @@
         # what it heard last; nobody fetches from the store for longer than that one.
         self.hear(7, PartChange(SCOPE, "p", 500))
         self.now += 1.0
-        await self.ask()
+        await self.request()
         self.assertTrue(self.has("p"))
         self.now += TRUST_SECONDS - 1.0
         self.assertFalse(self.has("p"))
 
     async def test_a_store_that_restarts_is_believed_to_be_empty(self) -> None:
         self.hear(7, PartChange(SCOPE, "p", 500))
-        await self.ask()
+        await self.request()
         self.hear(8, PartChange(SCOPE, "q", 500))
-        await self.ask()
+        await self.request()
         self.assertFalse(self.has("p"))
         self.assertTrue(self.has("q"))
 
@@ -125,7 +125,7 @@
         # The store has been up for long, which a gateway that has just started cannot
         # know by itself. It must not save in one that may have restarted a moment ago.
         self.hear(7)
-        await self.ask()
+        await self.request()
         store = self.other.find(ADDRESS)
         assert store is not None
         self.assertFalse(store.may_save(self.now, 500))
@@ -133,7 +133,7 @@
         self.hear(7)
         self.other.set_stores({})
         self.other.set_stores({ADDRESS: 1_000_000})
-        await self.ask()
+        await self.request()
         store = self.other.find(ADDRESS)
         assert store is not None
         self.assertTrue(store.may_save(self.now, 500))
@@ -157,7 +157,7 @@
                 direct.take(asked, self.now, PartNews(epoch, 5000, ()))
                 seen = self.now
                 self.pass_time(rest)
-                await self.ask()
+                await self.request()
                 for now in (seen + SETTLE_SECONDS - 1e-6, seen + SETTLE_SECONDS + 1):
                     # It still answers, under the same start.
                     other.take(now, now, PartNews(epoch, 5000, ()))
@@ -169,11 +169,11 @@
         self.caller.travel = functools.partial(self.pass_time, 0.3)
         self.hear(7)
         seen = self.now
-        await self.ask()
+        await self.request()
         self.caller.travel = functools.partial(self.pass_time, 0.001)
         while self.now < seen + SETTLE_SECONDS - 0.1:
             self.hear(7)
-            await self.ask()
+            await self.request()
             self.pass_time(0.1)
         store = self.other.find(ADDRESS)
         assert store is not None
@@ -184,11 +184,11 @@
         # The gateway that was asked is gone; another one has seen the same changes in
         # other numbers. What is known is taken anew and not added to.
         self.hear(7, PartChange(SCOPE, "p", 500))
-        await self.ask()
+        await self.request()
         self.direct.set_stores({})
         self.direct.set_stores({ADDRESS: 1_000_000})
         self.hear(7, PartChange(SCOPE, "q", 500))
-        found = await self.relay.ask(Endpoint("10.0.0.2", 7000))
+        found = await self.relay.request(Endpoint("10.0.0.2", 7000))
         self.assertEqual(found.ok_value, 1)
         self.assertFalse(self.has("p"))
         self.assertTrue(self.has("q"))
@@ -218,13 +218,13 @@
             self.now += 0.4
             self.hear(self.quick, self.former, PartChange(SCOPE, "lost", 500))
             self.hear(self.slow, self.former, PartChange(SCOPE, "lost", 500))
-        await self.ask(self.quick, FIRST)
+        await self.request(self.quick, FIRST)
         self.assertTrue(self.fetches("lost"))
         # The store begins anew. One of the two hears of it, and the third from that.
         self.now += 0.3
         self.hear(self.quick, self.latest)
         self.began = self.now
-        await self.ask(self.quick, FIRST)
+        await self.request(self.quick, FIRST)
         self.assertFalse(self.fetches("lost"))
 
     def hear(self, kept: KeptParts, epoch: int, *changes: PartChange) -> None:
@@ -234,11 +234,11 @@
         clock_ms = int(self.now * 1000)
         store.take(self.now, self.now, PartNews(epoch, clock_ms, changes))
 
-    async def ask(self, kept: KeptParts, gateway: Endpoint) -> None:
+    async def request(self, kept: KeptParts, gateway: Endpoint) -> None:
         """Let the third gateway ask one of the two."""
         self.now += 0.2
         self.caller.other = PartRelay(kept, self.caller)
-        found = await self.relay.ask(gateway)
+        found = await self.relay.request(gateway)
         self.assertEqual(found.ok_value, 1)
 
     def fetches(self, part: str) -> bool:
@@ -255,7 +255,7 @@
         # lost at its restart is sent with a fetch from there: the engine finds nothing,
         # and its caller waits longer. The former start would also be trusted, and
         # handed on, for as long after the answer of the new one as after its own.
-        await self.ask(self.slow, SECOND)
+        await self.request(self.slow, SECOND)
         self.assertFalse(self.fetches("lost"))
 
     async def test_nothing_is_saved_soon_after_a_start_that_was_known(self) -> None:
@@ -263,27 +263,27 @@
         # parts written to the store at once, while others may still fetch by what they
         # know of that start: they could read half a part, and a caller's answer would
         # be made from it.
-        await self.ask(self.slow, SECOND)
+        await self.request(self.slow, SECOND)
         self.assertFalse(self.saves("new"))
         # From then on the store is known as from any answer of its new start.
         while self.now < self.began + SETTLE_SECONDS:
             self.hear(self.slow, self.latest)
-            await self.ask(self.slow, SECOND)
+            await self.request(self.slow, SECOND)
             self.assertEqual(self.saves("new"), self.now >= self.began + SETTLE_SECONDS)
 
     async def test_a_start_later_than_the_known_one_is_taken(self) -> None:
         # The other one has heard more by now, and of one more start.
         self.now += 0.1
         self.hear(self.slow, self.former - 1, PartChange(SCOPE, "new", 500))
-        await self.ask(self.slow, SECOND)
+        await self.request(self.slow, SECOND)
         self.assertTrue(self.fetches("new"))
 
     async def test_changes_are_whole_after_news_that_were_not_taken(self) -> None:
         # The other one hears of the new start after it was asked once. All that it
         # knows of that start is believed, and nothing of the former one.
-        await self.ask(self.slow, SECOND)
+        await self.request(self.slow, SECOND)
         self.hear(self.slow, self.latest, PartChange(SCOPE, "new", 500))
-        await self.ask(self.slow, SECOND)
+        await self.request(self.slow, SECOND)
         self.assertTrue(self.fetches("new"))
         self.assertFalse(self.fetches("lost"))
 
--- a/tools/safeguards/bounds.py
+++ b/tools/safeguards/bounds.py
@@ -46,11 +46,11 @@
     ),
     Mutation(
         "copies for others leave half of a weak link",
-        "libraries/proxy/src/bamboopier_proxy/configuration_handover.py",
-        " or now < self._giving_until",
+        "libraries/proxy/src/bamboopier_proxy/configuration_relay.py",
+        " or now < self._sending_until",
         "",
         "libraries/proxy",
-        "tests.test_configuration_handover",
+        "tests.test_configuration_relay",
     ),
     Mutation(
         "a long list of gateways is read seldom",
