--- a/libraries/proxy/src/bamboopier_proxy/heard_store.py
+++ b/libraries/proxy/src/bamboopier_proxy/monitored_store.py
@@ -17,7 +17,7 @@
     from .store_health import StoreHealth
 
 
-class HeardStore:
+class MonitoredStore:
     """Lists and watches of ``store``, heard by ``health``."""
 
     def __init__(self, store: FollowedStore, health: StoreHealth) -> None:
@@ -26,13 +26,13 @@
 
     async def list(self, prefix: str) -> Result[Listing, PlatformError]:
         """Return all objects whose key starts with ``prefix``."""
-        asked = read_clock()
-        self._health.note_asked(asked)
+        sent_at = read_clock()
+        self._health.note_asked(sent_at)
         answer = await self._store.list(prefix)
         if isinstance(answer, Err):
-            self._health.note_failure(asked)
+            self._health.note_failure(sent_at)
         else:
-            self._health.note_answer(asked, read_clock())
+            self._health.note_answer(sent_at, read_clock())
         return answer
 
     async def watch_values(
@@ -43,8 +43,8 @@
         A watch that fails was made long ago and says nothing of now: its connection may
         have gone silent alone. The list that follows at once tells.
         """
-        asked = read_clock()
+        sent_at = read_clock()
         answer = await self._store.watch_values(prefix, after, timeout)
         if not isinstance(answer, Err):
-            self._health.note_answer(asked, asked)
+            self._health.note_answer(sent_at, sent_at)
         return answer
--- a/libraries/proxy/src/bamboopier_proxy/store_followers.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_followers.py
@@ -8,7 +8,7 @@
 from bamboopier_objects.object_follower import ObjectFollower
 
 from .configuration_follower import ConfigurationFollower
-from .heard_store import HeardStore
+from .monitored_store import MonitoredStore
 from .observers import ClosureObserver, TargetObserver, WeightsObserver
 from .weight_ages import WeightAges, follow_weights
 
@@ -43,7 +43,7 @@
         vocabulary: Vocabulary,
         random: random.Random,
     ) -> None:
-        self._store = HeardStore(store, state.health)
+        self._store = MonitoredStore(store, state.health)
         self._random = random
         self._ages = WeightAges(store, vocabulary.ages_prefix, state.weights, random)
         self._configuration = ConfigurationFollower(
--- a/libraries/proxy/tests/test_store_health.py
+++ b/libraries/proxy/tests/test_store_health.py
@@ -19,7 +19,7 @@
     StoredObject,
 )
 from bamboopier_proxy.configuration_follower import ConfigurationFollower
-from bamboopier_proxy.heard_store import HeardStore
+from bamboopier_proxy.monitored_store import MonitoredStore
 from bamboopier_proxy.observers import TargetObserver
 from bamboopier_proxy.store_health import StoreHealth
 
@@ -217,13 +217,13 @@
         self.assertTrue(health.is_returning(105.7))
 
 
-class HeardStoreTests(unittest.IsolatedAsyncioTestCase):
+class MonitoredStoreTests(unittest.IsolatedAsyncioTestCase):
     async def hear(self, **answers: object) -> StoreHealth:
         """Let a list, or a watch, fail or not at 103.5, after one taken at 100.0."""
         health = StoreHealth()
         health.note_answer(100.0, 100.0)
-        module = "bamboopier_proxy.heard_store.read_clock"
-        store = HeardStore(mock.AsyncMock(**answers), health)
+        module = "bamboopier_proxy.monitored_store.read_clock"
+        store = MonitoredStore(mock.AsyncMock(**answers), health)
         with mock.patch(module, return_value=103.5):
             await store.watch_values("t/", 7, 2.0)
             await store.list("t/")
