--- a/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
@@ -26,7 +26,7 @@
     from bamboopier_objects.objects import ChangeBatch
 
     from .configuration_loader import ConfigurationLoader
-    from .store_health import StoreHealth
+    from .store_availability import StoreAvailability
     from .vocabulary import Store, Vocabulary
 
 # Bytes up to which a configuration is read after each watch: half of the 22 KB a second
@@ -53,13 +53,13 @@
         store: Store,
         vocabulary: Vocabulary,
         loader: ConfigurationLoader,
-        health: StoreHealth,
+        availability: StoreAvailability,
         random: random.Random,
     ) -> None:
         self._store = store
         self._key = vocabulary.configuration_key
         self._loader = loader
-        self._health = health
+        self._availability = availability
         self._random = random
         self._failing_since: float | None = None
         # None until it was read, and when it has to be read again.
@@ -96,16 +96,16 @@
         asked = read_clock()
         if self._is_small:
             # The answer of a large one is long on its way, from a store that serves.
-            self._health.note_asked(asked)
+            self._availability.record_sent(asked)
         # A list says at which revision of the store it holds; the object's own may be
         # older than the store's history.
         answer = await self._store.list(self._key)
         now = read_clock()
         if isinstance(answer, Err):
-            self._health.note_failure(asked)
+            self._availability.record_failure(asked)
             self._note_failure(asked, str(answer.err_value))
             return False
-        self._health.note_answer(asked, now)
+        self._availability.record_response(asked, now)
         self._note_answer(now)
         listing = answer.ok_value
         found = next((o for o in listing.objects if o.key == self._key), None)
@@ -123,7 +123,7 @@
         now = read_clock()
         if isinstance(answer, Err):
             return self._take_failure(asked, answer.err_value)
-        self._health.note_answer(asked, asked)
+        self._availability.record_response(asked, asked)
         self._note_answer(now)
         self._gaps = 0
         batch = answer.ok_value
@@ -162,7 +162,7 @@
 
     def _take_failure(self, asked: float, fault: PlatformError) -> bool:
         if isinstance(fault, WatchGapError):
-            self._health.note_answer(asked, asked)
+            self._availability.record_response(asked, asked)
             self._note_answer(read_clock())
             log.info("watch gap", key="configuration", reason=str(fault))
             self._gaps += 1
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -66,7 +66,7 @@
     metrics = ProxyMetrics()
     pause_watch = PauseWatch(metrics.registry)
     state = GatewayState(settings, vocabulary, pause_watch.pauses)
-    pause_watch.listeners.append(state.health.note_pause)
+    pause_watch.listeners.append(state.availability.record_pause)
     followers = StoreFollowers(state, store, vocabulary, generator)
     peers = GatewayPeers(settings, state, store, vocabulary, part_stores, generator)
     pool = TargetPool(dialect.name_request_id())
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -14,7 +14,7 @@
 
 from .configuration_loader import ConfigurationLoader
 from .active_configuration import ActiveConfiguration
-from .store_health import StoreHealth
+from .store_availability import StoreAvailability
 from .waiting_room import WaitingRoom
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
         self.kept = KeptParts()
         self.weights = WeightVersions(settings.version_seconds)
         self.shares = RetryShares(settings.retries)
-        self.health = StoreHealth()
+        self.availability = StoreAvailability()
         self.room = WaitingRoom()
         self.active_configuration = ActiveConfiguration(settings.key_seconds, self._apply)
         self.loader = ConfigurationLoader(vocabulary, self.active_configuration)
--- a/libraries/proxy/src/bamboopier_proxy/monitored_store.py
+++ b/libraries/proxy/src/bamboopier_proxy/monitored_store.py
@@ -14,25 +14,25 @@
     from bamboopier_objects.errors import PlatformError
     from bamboopier_objects.objects import ChangeBatch, FollowedStore, Listing
 
-    from .store_health import StoreHealth
+    from .store_availability import StoreAvailability
 
 
 class MonitoredStore:
-    """Lists and watches of ``store``, heard by ``health``."""
+    """Lists and watches of ``store``, heard by ``availability``."""
 
-    def __init__(self, store: FollowedStore, health: StoreHealth) -> None:
+    def __init__(self, store: FollowedStore, availability: StoreAvailability) -> None:
         self._store = store
-        self._health = health
+        self._availability = availability
 
     async def list(self, prefix: str) -> Result[Listing, PlatformError]:
         """Return all objects whose key starts with ``prefix``."""
         sent_at = read_clock()
-        self._health.note_asked(sent_at)
+        self._availability.record_sent(sent_at)
         answer = await self._store.list(prefix)
         if isinstance(answer, Err):
-            self._health.note_failure(sent_at)
+            self._availability.record_failure(sent_at)
         else:
-            self._health.note_answer(sent_at, read_clock())
+            self._availability.record_response(sent_at, read_clock())
         return answer
 
     async def watch_values(
@@ -46,5 +46,5 @@
         sent_at = read_clock()
         answer = await self._store.watch_values(prefix, after, timeout)
         if not isinstance(answer, Err):
-            self._health.note_answer(sent_at, sent_at)
+            self._availability.record_response(sent_at, sent_at)
         return answer
--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -19,7 +19,7 @@
     from bamboopier_decisions.forwarding.weight_versions import WeightVersions
     from bamboopier_objects.objects import ChangedObject, Listing
 
-    from .store_health import StoreHealth
+    from .store_availability import StoreAvailability
     from .vocabulary import NamedWeights, Vocabulary
 
 # Seconds for which the store did not answer from which it is taken to have been away:
@@ -36,12 +36,12 @@
         self,
         vocabulary: Vocabulary,
         fleet: Fleet,
-        health: StoreHealth,
+        availability: StoreAvailability,
         wake: Callable[[], None],
     ) -> None:
         self._vocabulary = vocabulary
         self._fleet = fleet
-        self._health = health
+        self._availability = availability
         self._wake = wake
 
     def take_listing(
@@ -53,20 +53,20 @@
         may have served all others meanwhile.
         """
         now = read_clock()
-        returning = self._health.is_returning(now)
+        recovering = self._availability.is_recovering(now)
         entries = []
         for found in listing.objects:
             entry = self._decode(found.key, found.value)
             if entry is not None:
                 entries.append(entry)
         known = set(self._fleet.names)
-        self._fleet.replace(now, entries, self._health.find_return(now))
+        self._fleet.replace(now, entries, self._availability.find_recovery(now))
         log.info(
             "targets listed",
             revision=listing.revision,
             targets=len(entries),
             missing=sorted(known - {e.name for e in entries}),
-            returning=returning,
+            returning=recovering,
         )
         self._wake()
 
@@ -77,10 +77,10 @@
         now = read_clock()
         name = change.key.removeprefix(self._vocabulary.targets_prefix)
         if change.value is None:
-            returning = self._health.is_returning(now)
-            self._fleet.remove(now, name, self._health.find_return(now))
+            recovering = self._availability.is_recovering(now)
+            self._fleet.remove(now, name, self._availability.find_recovery(now))
             log.info(
-                "target gone", target=name, returning=returning, version=change.version
+                "target gone", target=name, returning=recovering, version=change.version
             )
             return
         entry = self._decode(change.key, change.value)
--- a/libraries/proxy/src/bamboopier_proxy/store_followers.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_followers.py
@@ -43,15 +43,15 @@
         vocabulary: Vocabulary,
         random: random.Random,
     ) -> None:
-        self._store = MonitoredStore(store, state.health)
+        self._store = MonitoredStore(store, state.availability)
         self._random = random
         self._ages = WeightAges(store, vocabulary.ages_prefix, state.weights, random)
         self._configuration = ConfigurationFollower(
-            store, vocabulary, state.loader, state.health, random
+            store, vocabulary, state.loader, state.availability, random
         )
         self._targets = self._follow(
             vocabulary.targets_prefix,
-            TargetObserver(vocabulary, state.fleet, state.health, state.wake_all),
+            TargetObserver(vocabulary, state.fleet, state.availability, state.wake_all),
             TARGETS_WATCH_SECONDS,
         )
         self._weights = self._follow(
--- a/libraries/proxy/tests/test_store_health.py
+++ b/libraries/proxy/tests/test_store_availability.py
@@ -21,25 +21,25 @@
 from bamboopier_proxy.configuration_follower import ConfigurationFollower
 from bamboopier_proxy.monitored_store import MonitoredStore
 from bamboopier_proxy.observers import TargetObserver
-from bamboopier_proxy.store_health import StoreHealth
+from bamboopier_proxy.store_availability import StoreAvailability
 
 
-class StoreHealthTests(unittest.IsolatedAsyncioTestCase):
+class StoreAvailabilityTests(unittest.IsolatedAsyncioTestCase):
     async def test_one_silent_watch_is_no_outage_of_the_store(self) -> None:
         # The connection of a gateway's watch of targets goes silent for three and a
         # half seconds; its other calls to the store are answered all the while, so no
         # entry can have lapsed. A target that left meanwhile is missing in the list
         # that follows, and gets no caller's request after it.
         times = iter((100.0, 100.0, 101.0, 101.0, 102.0, 102.0, 103.5, 103.5))
-        health, fleet = StoreHealth(), Fleet()
+        availability, fleet = StoreAvailability(), Fleet()
         vocabulary = mock.Mock(targets_prefix="t/", configuration_key="c")
         store = mock.AsyncMock()
         found = StoredObject("c", 5, b"")
         store.list.return_value = Ok(Listing(5, (found,)))
         poll = ConfigurationFollower(
-            store, vocabulary, mock.Mock(), health, random.Random(1)
+            store, vocabulary, mock.Mock(), availability, random.Random(1)
         )
-        observer = TargetObserver(vocabulary, fleet, health, mock.Mock())
+        observer = TargetObserver(vocabulary, fleet, availability, mock.Mock())
         entry = TargetEntry("i-1", 1, "chat", "10.0.0.1", 80, "z1", 4, False, 0.0)
         fleet.put(100.0, entry)
         with (
@@ -58,19 +58,19 @@
     async def test_a_large_configuration_on_its_way_is_no_outage(self) -> None:
         # Guards against a target that goes while a weak link carries a megabyte: taken
         # for an outage of the store, it would get requests for two seconds more.
-        health = StoreHealth()
-        health.note_answer(100.0, 100.0)
+        availability = StoreAvailability()
+        availability.record_response(100.0, 100.0)
         seen: list[bool] = []
         value = b"x" * 1_000_000
 
         async def read(_: str) -> Ok[Listing]:
-            seen.append(health.is_returning(101.7))
+            seen.append(availability.is_recovering(101.7))
             found = StoredObject("c", len(seen), value)
             return Ok(Listing(len(seen), (found,)))
 
         vocabulary = mock.Mock(configuration_key="c")
         follower = ConfigurationFollower(
-            mock.Mock(list=read), vocabulary, mock.Mock(), health, random.Random(1)
+            mock.Mock(list=read), vocabulary, mock.Mock(), availability, random.Random(1)
         )
         module = "bamboopier_proxy.configuration_follower.read_clock"
         with mock.patch(module, return_value=100.0):
@@ -81,12 +81,12 @@
     async def test_a_large_version_told_by_a_watch_is_no_outage(self) -> None:
         # Guards against the same while a new version arrives by a watch, which a weak
         # link ends seconds after its wait is over.
-        health = StoreHealth()
-        health.note_answer(100.0, 100.0)
+        availability = StoreAvailability()
+        availability.record_response(100.0, 100.0)
         seen: list[bool] = []
 
         async def watch(*_: object) -> Ok[ChangeBatch]:
-            seen.append(health.is_returning(102.6))
+            seen.append(availability.is_recovering(102.6))
             change = ChangedObject("c", 6, b"x" * 1_000_000)
             return Ok(ChangeBatch(6, (change,)))
 
@@ -96,7 +96,7 @@
         vocabulary = mock.Mock(configuration_key="c")
         loader = mock.Mock()
         follower = ConfigurationFollower(
-            store, vocabulary, loader, health, random.Random(1)
+            store, vocabulary, loader, availability, random.Random(1)
         )
         module = "bamboopier_proxy.configuration_follower"
         with (
@@ -110,139 +110,139 @@
 
     def test_a_store_that_takes_no_call_for_a_second_was_away(self) -> None:
         # Its last call was taken at 100.0 and the next at 101.2; entries have lapsed.
-        health = StoreHealth()
-        health.note_answer(100.0, 100.0)
-        health.note_failure(100.7)
-        health.note_failure(100.9)
-        health.note_answer(101.2, 101.2)
-        self.assertTrue(health.is_returning(101.2))
-        self.assertFalse(health.is_returning(103.5))
+        availability = StoreAvailability()
+        availability.record_response(100.0, 100.0)
+        availability.record_failure(100.7)
+        availability.record_failure(100.9)
+        availability.record_response(101.2, 101.2)
+        self.assertTrue(availability.is_recovering(101.2))
+        self.assertFalse(availability.is_recovering(103.5))
 
     def test_one_call_that_fails_among_others_is_no_outage(self) -> None:
         # A read's connection goes silent for the 1.5 s that it may last, while watches
         # are made and answered.
-        health = StoreHealth()
-        health.note_answer(100.0, 100.0)
+        availability = StoreAvailability()
+        availability.record_response(100.0, 100.0)
         for asked in (100.6, 101.3):
-            health.note_answer(asked, asked)
-        health.note_failure(100.5)
-        self.assertFalse(health.is_returning(102.0))
-        health.note_answer(102.0, 102.0)
-        self.assertFalse(health.is_returning(102.0))
+            availability.record_response(asked, asked)
+        availability.record_failure(100.5)
+        self.assertFalse(availability.is_recovering(102.0))
+        availability.record_response(102.0, 102.0)
+        self.assertFalse(availability.is_recovering(102.0))
 
     def test_an_outage_that_ends_before_a_call_has_failed_is_noted(self) -> None:
         # The store answers nobody from 100.0 to 101.3. A read made at 100.8 has not yet
         # failed as a list is answered.
-        health = StoreHealth()
-        health.note_answer(100.0, 100.0)
-        health.note_asked(100.8)
-        health.note_asked(101.5)
-        health.note_answer(101.5, 101.5)
-        self.assertTrue(health.is_returning(101.5))
+        availability = StoreAvailability()
+        availability.record_response(100.0, 100.0)
+        availability.record_sent(100.8)
+        availability.record_sent(101.5)
+        availability.record_response(101.5, 101.5)
+        self.assertTrue(availability.is_recovering(101.5))
 
     def test_a_read_that_waits_for_the_store_s_return_tells_of_it(self) -> None:
-        health = StoreHealth()
-        health.note_answer(100.0, 100.0)
-        health.note_asked(100.2)
-        self.assertFalse(health.is_returning(100.9))
-        self.assertTrue(health.is_returning(101.2))
-        health.note_answer(100.2, 101.3)
-        self.assertTrue(health.is_returning(101.4))
+        availability = StoreAvailability()
+        availability.record_response(100.0, 100.0)
+        availability.record_sent(100.2)
+        self.assertFalse(availability.is_recovering(100.9))
+        self.assertTrue(availability.is_recovering(101.2))
+        availability.record_response(100.2, 101.3)
+        self.assertTrue(availability.is_recovering(101.4))
 
     def test_a_read_that_waited_through_a_pause_tells_of_no_outage(self) -> None:
-        health = StoreHealth()
-        health.note_answer(100.0, 100.0)
-        health.note_asked(100.5)
-        health.note_pause(104.5, 4.0)
-        self.assertFalse(health.is_returning(105.4))
-        health.note_asked(104.6)
-        health.note_answer(104.6, 104.9)
-        self.assertFalse(health.is_returning(104.9))
+        availability = StoreAvailability()
+        availability.record_response(100.0, 100.0)
+        availability.record_sent(100.5)
+        availability.record_pause(104.5, 4.0)
+        self.assertFalse(availability.is_recovering(105.4))
+        availability.record_sent(104.6)
+        availability.record_response(104.6, 104.9)
+        self.assertFalse(availability.is_recovering(104.9))
 
     def test_a_watch_that_ends_in_an_outage_does_not_hide_it(self) -> None:
         # A store that takes no call still ends a watch that it held.
-        health = StoreHealth()
-        health.note_answer(100.0, 100.0)
-        health.note_failure(100.5)
-        health.note_answer(99.5, 99.5)
-        health.note_answer(101.5, 101.5)
-        self.assertTrue(health.is_returning(101.5))
+        availability = StoreAvailability()
+        availability.record_response(100.0, 100.0)
+        availability.record_failure(100.5)
+        availability.record_response(99.5, 99.5)
+        availability.record_response(101.5, 101.5)
+        self.assertTrue(availability.is_recovering(101.5))
 
     def test_entries_that_lapse_before_the_first_answer_may_come_back(self) -> None:
         # A watch that outlived the outage tells of them before another call is taken.
-        health = StoreHealth()
-        health.note_answer(100.0, 100.0)
-        health.note_failure(100.5)
-        self.assertFalse(health.is_returning(100.9))
-        self.assertTrue(health.is_returning(101.1))
+        availability = StoreAvailability()
+        availability.record_response(100.0, 100.0)
+        availability.record_failure(100.5)
+        self.assertFalse(availability.is_recovering(100.9))
+        self.assertTrue(availability.is_recovering(101.1))
 
     def test_a_store_that_answers_slowly_is_not_away(self) -> None:
         # Each answer takes 0.3 s, and each read follows the last after 0.9 s.
-        health = StoreHealth()
+        availability = StoreAvailability()
         for asked in (100.0, 101.2, 102.4, 103.6):
-            health.note_asked(asked)
-            self.assertFalse(health.is_returning(asked + 0.3))
-            health.note_answer(asked, asked + 0.3)
-            self.assertFalse(health.is_returning(asked + 0.3))
+            availability.record_sent(asked)
+            self.assertFalse(availability.is_recovering(asked + 0.3))
+            availability.record_response(asked, asked + 0.3)
+            self.assertFalse(availability.is_recovering(asked + 0.3))
 
     def test_a_gateway_that_stood_still_takes_the_store_for_there(self) -> None:
         # It is suspended from 100.5 to 104.5, with a read under way. That runs out of
         # time as the gateway runs again; the next is answered. A connection that the
         # store closed meanwhile makes a further call fail.
-        health = StoreHealth()
-        health.note_answer(100.4, 100.4)
-        health.note_pause(104.5, 4.0)
-        health.note_failure(100.5)
-        health.note_failure(104.6)
-        health.note_answer(104.8, 104.8)
-        self.assertFalse(health.is_returning(104.8))
+        availability = StoreAvailability()
+        availability.record_response(100.4, 100.4)
+        availability.record_pause(104.5, 4.0)
+        availability.record_failure(100.5)
+        availability.record_failure(104.6)
+        availability.record_response(104.8, 104.8)
+        self.assertFalse(availability.is_recovering(104.8))
 
     def test_a_pause_does_not_hide_an_outage(self) -> None:
         # The store is away from 100.0 to 106.0, and the gateway stands still meanwhile.
-        health = StoreHealth()
-        health.note_answer(100.0, 100.0)
-        health.note_failure(100.5)
-        health.note_pause(105.0, 4.0)
-        health.note_failure(105.1)
-        health.note_answer(106.0, 106.0)
-        self.assertTrue(health.is_returning(106.0))
+        availability = StoreAvailability()
+        availability.record_response(100.0, 100.0)
+        availability.record_failure(100.5)
+        availability.record_pause(105.0, 4.0)
+        availability.record_failure(105.1)
+        availability.record_response(106.0, 106.0)
+        self.assertTrue(availability.is_recovering(106.0))
 
     def test_an_outage_that_begins_after_a_pause_is_noted(self) -> None:
         # A call is answered before the gateway notes that it stood still.
-        health = StoreHealth()
-        health.note_answer(104.4, 104.4)
-        health.note_pause(104.5, 4.0)
-        health.note_failure(104.6)
-        health.note_answer(105.7, 105.7)
-        self.assertTrue(health.is_returning(105.7))
+        availability = StoreAvailability()
+        availability.record_response(104.4, 104.4)
+        availability.record_pause(104.5, 4.0)
+        availability.record_failure(104.6)
+        availability.record_response(105.7, 105.7)
+        self.assertTrue(availability.is_recovering(105.7))
 
 
 class MonitoredStoreTests(unittest.IsolatedAsyncioTestCase):
-    async def hear(self, **answers: object) -> StoreHealth:
+    async def call_store(self, **answers: object) -> StoreAvailability:
         """Let a list, or a watch, fail or not at 103.5, after one taken at 100.0."""
-        health = StoreHealth()
-        health.note_answer(100.0, 100.0)
+        availability = StoreAvailability()
+        availability.record_response(100.0, 100.0)
         module = "bamboopier_proxy.monitored_store.read_clock"
-        store = MonitoredStore(mock.AsyncMock(**answers), health)
+        store = MonitoredStore(mock.AsyncMock(**answers), availability)
         with mock.patch(module, return_value=103.5):
             await store.watch_values("t/", 7, 2.0)
             await store.list("t/")
-        return health
+        return availability
 
     async def test_a_watch_that_fails_is_no_sign_of_an_outage(self) -> None:
         failed = Err(PlatformUnavailableError("no answer"))
         listing = Ok(Listing(9, ()))
-        health = await self.hear(
+        availability = await self.call_store(
             **{"watch_values.return_value": failed, "list.return_value": listing}
         )
-        self.assertFalse(health.is_returning(103.5))
+        self.assertFalse(availability.is_recovering(103.5))
 
     async def test_a_list_that_fails_is_one(self) -> None:
         failed = Err(PlatformUnavailableError("status 503"))
-        health = await self.hear(
+        availability = await self.call_store(
             **{"watch_values.return_value": failed, "list.return_value": failed}
         )
-        self.assertTrue(health.is_returning(103.5))
+        self.assertTrue(availability.is_recovering(103.5))
 
 
 if __name__ == "__main__":
