--- a/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
@@ -15,7 +15,7 @@
 from .part_follower import PartFollower
 from .part_relay import PartRelay
 from .peer_server import PeerServer
-from .roster import GatewayEntry, Roster
+from .gateway_registry import GatewayEntry, GatewayRegistry
 from .settings import Endpoint
 
 if TYPE_CHECKING:
@@ -48,7 +48,7 @@
         random: random.Random,
     ) -> None:
         self._settings = settings
-        self._roster = Roster(
+        self._registry = GatewayRegistry(
             store,
             vocabulary.gateways_prefix,
             random,
@@ -61,13 +61,13 @@
             state.loader, state.active_configuration, self._caller
         )
         relay = PartRelay(state.kept, self._caller)
-        self._parts = PartFollower(part_stores, state.kept, relay, self._roster, random)
+        self._parts = PartFollower(part_stores, state.kept, relay, self._registry, random)
         self._limits = LimitRecords(
-            store, vocabulary.limits_prefix, state.fleet, self._roster
+            store, vocabulary.limits_prefix, state.fleet, self._registry
         )
         self._server = PeerServer(
             Endpoint(settings.host, settings.first_port),
-            self._roster.has_host,
+            self._registry.has_host,
             {
                 configuration_relay.PATH: self._configuration_relay.answer,
                 part_relay.PATH: relay.answer,
@@ -77,7 +77,7 @@
             settings.vm,
             settings.host,
             settings.first_port,
-            self._roster,
+            self._registry,
             state.fleet,
             state.active_configuration,
             Quarantine(BREAKS_TO_REFUSE, REFUSED_SECONDS),
@@ -104,8 +104,8 @@
         settings = self._settings
         entry = GatewayEntry(settings.host, settings.first_port, self.gossip.born)
         return [
-            self._roster.register(settings.vm, entry),
-            self._roster.run(),
+            self._registry.register(settings.vm, entry),
+            self._registry.run(),
             self.gossip.run(),
             self._parts.run(),
             self._limits.run(),
--- a/libraries/proxy/src/bamboopier_proxy/roster.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_registry.py
@@ -82,7 +82,7 @@
     return Ok(entries)
 
 
-class Roster:
+class GatewayRegistry:
     """The registered gateways, without this process itself."""
 
     def __init__(
@@ -102,13 +102,13 @@
         self._own: str | None = None
         self._peers: dict[str, Endpoint] = {}
         # When each was first read here or last heard of, by the time this process ran.
-        self._heard: dict[str, float] = {}
+        self._last_hint_at: dict[str, float] = {}
         # Registered ones that were silent as the list was read, until they got a hint.
         self._silent: list[Endpoint] = []
-        self._told = (0, 0)
+        self._reported_count = (0, 0)
         # Whether the list was read at least once: those that sent a hint before that
         # are some of all.
-        self._complete = False
+        self._has_list = False
 
     @property
     def peers(self) -> dict[str, Endpoint]:
@@ -116,12 +116,12 @@
         self._drop_silent()
         return self._peers
 
-    def take_silent(self) -> list[Endpoint]:
+    def pop_silent(self) -> list[Endpoint]:
         """Return the registered gateways that are silent, once for each read."""
         silent, self._silent = self._silent, []
         return silent
 
-    def list_first(self, key: str, count: int) -> list[str]:
+    def select_gateways(self, key: str, count: int) -> list[str]:
         """Return ``count`` gateways, this one included, that all choose for ``key``."""
         names = [*self.peers, self._own or ""]
         return rank(key.encode(), names, count)
@@ -134,12 +134,12 @@
         """Say whether another gateway that was heard of lately has this address."""
         return any(peer.host == host for peer in self.peers.values())
 
-    def note_heard(self, name: str, host: str, port: int) -> None:
+    def record_hint(self, name: str, host: str, port: int) -> None:
         """Take in that a gateway sent a hint."""
         if name != self._own:
             self._peers[name] = Endpoint(host, port)
-            self._heard[name] = self._read_run()
-            self._tell_count()
+            self._last_hint_at[name] = self._read_run_time()
+            self._report_count()
 
     async def register(self, name: str, entry: GatewayEntry) -> None:
         """Write this gateway's entry, again and again until it stands."""
@@ -152,9 +152,9 @@
             if not isinstance(written, Err):
                 log.info("gateway registered", gateway=name)
                 return
-            fault = written.err_value
-            if isinstance(fault, VersionConflictError):
-                version = fault.found
+            error = written.err_value
+            if isinstance(error, VersionConflictError):
+                version = error.found
                 continue
             await asyncio.sleep(RETRY_SECONDS * self._random.uniform(0.5, 1.0))
 
@@ -163,16 +163,16 @@
         entries = await list_gateways(self._store, self._prefix)
         if isinstance(entries, Err):
             return False
-        now = self._read_run()
+        now = self._read_run_time()
         for name, entry in entries.ok_value.items():
-            self._take(name, entry, now)
+            self._add(name, entry, now)
         self._silent = [
             entry.endpoint
             for name, entry in entries.ok_value.items()
             if name != self._own and name not in self._peers
         ]
-        self._complete = True
-        self._tell_count()
+        self._has_list = True
+        self._report_count()
         return True
 
     async def run(self) -> None:
@@ -185,27 +185,27 @@
     def _find_pause(self) -> float:
         return max(READ_SECONDS, len(self._peers) / ENTRIES_PER_SECOND)
 
-    def _take(self, name: str, entry: GatewayEntry, now: float) -> None:
+    def _add(self, name: str, entry: GatewayEntry, now: float) -> None:
         if name == self._own or name in self._peers:
             return
-        if now - self._heard.setdefault(name, now) < SILENT_SECONDS:
+        if now - self._last_hint_at.setdefault(name, now) < SILENT_SECONDS:
             self._peers[name] = entry.endpoint
 
     def _drop_silent(self) -> None:
-        now = self._read_run()
-        silent = [n for n in self._peers if now - self._heard[n] >= SILENT_SECONDS]
+        now = self._read_run_time()
+        silent = [n for n in self._peers if now - self._last_hint_at[n] >= SILENT_SECONDS]
         for name in silent:
             del self._peers[name]
             log.info("gateway silent", gateway=name)
         if silent:
-            self._tell_count()
+            self._report_count()
 
-    def _read_run(self) -> float:
+    def _read_run_time(self) -> float:
         return self._pauses.read_run(read_clock())
 
-    def _tell_count(self) -> None:
+    def _report_count(self) -> None:
         own = self._own or ""
         counted = len(self._peers) + 1, sum(name < own for name in self._peers)
-        if self._complete and counted != self._told:
-            self._told = counted
+        if self._has_list and counted != self._reported_count:
+            self._reported_count = counted
             self._count_changed(*counted)
--- a/libraries/proxy/src/bamboopier_proxy/gossip.py
+++ b/libraries/proxy/src/bamboopier_proxy/gossip.py
@@ -42,7 +42,7 @@
     from bamboopier_decisions.quarantine.quarantine import Quarantine
 
     from .active_configuration import ActiveConfiguration
-    from .roster import Roster
+    from .gateway_registry import GatewayRegistry
 
 # Seconds between two hints, and after which one says nothing any more.
 HINT_SECONDS = 0.25
@@ -73,7 +73,7 @@
         name: str,
         host: str,
         port: int,
-        roster: Roster,
+        registry: GatewayRegistry,
         fleet: Fleet,
         active_configuration: ActiveConfiguration,
         quarantine: Quarantine,
@@ -81,7 +81,7 @@
         random: random.Random,
     ) -> None:
         self._name = name
-        self._roster = roster
+        self._registry = registry
         self._fleet = fleet
         self._active_configuration = active_configuration
         self._quarantine = quarantine
@@ -146,7 +146,7 @@
             self._limits.list_hints(now),
         )
         allowed = BYTES_PER_SECOND * HINT_SECONDS / len(encode(hint))
-        silent = self._draw(self._roster.take_silent(), MAX_PEERS)
+        silent = self._draw(self._registry.pop_silent(), MAX_PEERS)
         for peer in [*self._draw_peers(max(1, int(allowed))), *silent]:
             self._socket.send(hint, peer)
 
@@ -160,7 +160,7 @@
         ]
 
     def _draw_peers(self, most: int = MAX_PEERS) -> list[Endpoint]:
-        return self._draw(list(self._roster.peers.values()), min(most, MAX_PEERS))
+        return self._draw(list(self._registry.peers.values()), min(most, MAX_PEERS))
 
     def _draw(self, peers: list[Endpoint], most: int) -> list[Endpoint]:
         return peers if len(peers) <= most else self._random.sample(peers, most)
@@ -198,7 +198,7 @@
                 return
         now = read_clock()
         self._heard[hint.sender] = (now, hint)
-        self._roster.note_heard(hint.sender, *sender)
+        self._registry.record_hint(hint.sender, *sender)
         self._limits.take(now, hint.sender, hint.limits)
         for found in hint.breaks:
             self._quarantine.note_break(now, found.fingerprint, found.target)
--- a/libraries/proxy/src/bamboopier_proxy/limit_records.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_records.py
@@ -29,7 +29,7 @@
     from bamboopier_decisions.forwarding.target_state import TargetState
     from bamboopier_objects.errors import PlatformError
 
-    from .roster import Roster
+    from .gateway_registry import GatewayRegistry
     from .vocabulary import Store
 
 # Seconds between two looks at what has changed.
@@ -58,11 +58,11 @@
 class LimitRecords:
     """Entries below a prefix, one for each target in need."""
 
-    def __init__(self, store: Store, prefix: str, fleet: Fleet, roster: Roster) -> None:
+    def __init__(self, store: Store, prefix: str, fleet: Fleet, registry: GatewayRegistry) -> None:
         self._store = store
         self._prefix = prefix
         self._fleet = fleet
-        self._roster = roster
+        self._registry = registry
         # Entries as this gateway last read or wrote them, with their versions.
         self._known: dict[str, tuple[LimitEntry, int]] = {}
         # Entries read whose targets are not listed yet.
@@ -122,8 +122,8 @@
         return is_needed or name in self._waiting or not self._writes(name)
 
     def _writes(self, name: str) -> bool:
-        first = self._roster.list_first(f"{WRITER}/{name}", 1)
-        return any(self._roster.is_own(gateway) for gateway in first)
+        first = self._registry.select_gateways(f"{WRITER}/{name}", 1)
+        return any(self._registry.is_own(gateway) for gateway in first)
 
     async def _write(self, name: str, state: TargetState) -> None:
         entry = LimitEntry(state.entry.born, state.limit.per_second)
--- a/libraries/proxy/src/bamboopier_proxy/load_announcer.py
+++ b/libraries/proxy/src/bamboopier_proxy/load_announcer.py
@@ -9,11 +9,11 @@
 from bamboopier_daemon.clock import read_clock
 
 from .hints import OrderHint
-from .roster import list_gateways
+from .gateway_registry import list_gateways
 
 if TYPE_CHECKING:
     from .hint_socket import HintSocket
-    from .roster import GatewayEntry
+    from .gateway_registry import GatewayEntry
     from .vocabulary import Store
 
 # Seconds for which a hint holds. It is told again in half of that while it is true, so
--- a/libraries/proxy/src/bamboopier_proxy/part_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_follower.py
@@ -21,7 +21,7 @@
     from bamboopier_decisions.forwarding.kept_parts import KeptParts, PartNews
 
     from .part_relay import PartRelay
-    from .roster import Roster
+    from .gateway_registry import GatewayRegistry
 
 # Seconds a question waits for news; stores charge for shorter ones than 0.2 s.
 WAIT_SECONDS = 0.4
@@ -69,13 +69,13 @@
         stores: PartStores,
         kept: KeptParts,
         relay: PartRelay,
-        roster: Roster,
+        registry: GatewayRegistry,
         random: random.Random,
     ) -> None:
         self._stores = stores
         self._kept = kept
         self._relay = relay
-        self._roster = roster
+        self._registry = registry
         self._random = random
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
@@ -90,8 +90,8 @@
                 task.cancel()
 
     def _arrange(self) -> None:
-        first = self._roster.list_first(RELAY, DIRECT_GATEWAYS)
-        if any(self._roster.is_own(name) for name in first):
+        first = self._registry.select_gateways(RELAY, DIRECT_GATEWAYS)
+        if any(self._registry.is_own(name) for name in first):
             wanted = {store.address for store in self._kept.stores}
         else:
             wanted = {RELAY}
@@ -108,8 +108,8 @@
         log.info("news of stores asked of gateways")
         turn = self._random.randrange(DIRECT_GATEWAYS)
         while True:
-            first = self._roster.list_first(RELAY, DIRECT_GATEWAYS)
-            gateway = self._roster.peers.get(first[turn % len(first)])
+            first = self._registry.select_gateways(RELAY, DIRECT_GATEWAYS)
+            gateway = self._registry.peers.get(first[turn % len(first)])
             if gateway is None:
                 turn += 1
                 await asyncio.sleep(RETRY_SECONDS)
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -16,7 +16,7 @@
 from bamboopier_objects.objects import Listing, StoredObject
 from bamboopier_proxy.gateway_peers import GatewayPeers
 from bamboopier_proxy.gateway_state import GatewayState
-from bamboopier_proxy.roster import READ_SECONDS, SILENT_SECONDS, GatewayEntry
+from bamboopier_proxy.gateway_registry import READ_SECONDS, SILENT_SECONDS, GatewayEntry
 from bamboopier_proxy.settings import Endpoint
 
 if TYPE_CHECKING:
@@ -52,7 +52,7 @@
             settings, self.state, store, vocabulary, mock.Mock(), random.Random(number)
         )
         self.gossip = self.peers.gossip
-        self.roster = self.peers._roster
+        self.registry = self.peers._registry
 
     @property
     def counted(self) -> int:
@@ -64,7 +64,7 @@
     async def asyncSetUp(self) -> None:
         self.now = 1000.0
         self.lost = False
-        for module in ("gossip", "roster"):
+        for module in ("gossip", "gateway_registry"):
             patch = mock.patch(
                 f"bamboopier_proxy.{module}.read_clock", side_effect=lambda: self.now
             )
@@ -86,8 +86,8 @@
         )
         for gateway in self.gateways:
             self.connect(gateway)
-            await gateway.roster.register(gateway.name, entries[gateway.name])
-            await gateway.roster.read()
+            await gateway.registry.register(gateway.name, entries[gateway.name])
+            await gateway.registry.read()
         self.run_all(5.0)
 
     def connect(self, gateway: Gateway) -> None:
@@ -178,7 +178,7 @@
         self.lost = False
         self.run_all(READ_SECONDS)
         for gateway in self.gateways:
-            await gateway.roster.read()
+            await gateway.registry.read()
         self.run_all(1.0)
         self.assertEqual(self.count_all(), [GATEWAYS] * GATEWAYS)
 
@@ -191,7 +191,7 @@
         self.gateways = [Gateway(n, self.now, self.store) for n in range(GATEWAYS)]
         for gateway in self.gateways:
             self.connect(gateway)
-        self.gateways[0].roster.note_heard("g-1", "10.0.0.1", PORT)
+        self.gateways[0].registry.record_hint("g-1", "10.0.0.1", PORT)
         self.assertEqual(self.flood_cold_target(0.25), 0)
 
     async def test_a_gateway_that_is_gone_gets_a_hint_for_each_read_alone(self) -> None:
@@ -200,7 +200,7 @@
         gone, *rest = self.gateways
         self.run_all(SILENT_SECONDS + 1, rest)
         for gateway in rest:
-            await gateway.roster.read()
+            await gateway.registry.read()
         sent = mock.Mock()
         with mock.patch.object(gone.gossip, "_receive", sent):
             self.run_all(READ_SECONDS, rest)
--- a/libraries/proxy/tests/test_roster.py
+++ b/libraries/proxy/tests/test_gateway_registry.py
@@ -12,7 +12,7 @@
 
 from bamboopier_decisions.forwarding.pauses import Pauses
 from bamboopier_objects.objects import Listing, StoredObject
-from bamboopier_proxy.roster import GatewayEntry, Roster
+from bamboopier_proxy.gateway_registry import GatewayEntry, GatewayRegistry
 
 GATEWAYS = 340
 # What a node may spend on control is 22 KB a second; the list gets a tenth of it.
@@ -20,7 +20,7 @@
 ENTRY_BYTES = 200
 
 
-class RosterTests(unittest.IsolatedAsyncioTestCase):
+class GatewayRegistryTests(unittest.IsolatedAsyncioTestCase):
     async def test_a_long_list_is_read_seldom(self) -> None:
         # Guards against a whole list being read at one interval whatever its length:
         # 340 gateways would each spend 9 KB a second on it.
@@ -35,12 +35,12 @@
             if len(pauses) > 3:
                 raise asyncio.CancelledError
 
-        roster = Roster(store, "g/", random.Random(1), mock.Mock(), Pauses(0.0))
+        registry = GatewayRegistry(store, "g/", random.Random(1), mock.Mock(), Pauses(0.0))
         with (
-            mock.patch("bamboopier_proxy.roster.asyncio.sleep", sleep),
+            mock.patch("bamboopier_proxy.gateway_registry.asyncio.sleep", sleep),
             self.assertRaises(asyncio.CancelledError),
         ):
-            await roster.run()
+            await registry.run()
         spent = GATEWAYS * ENTRY_BYTES / min(pauses)
         # Pauses are drawn between four fifths and the whole.
         self.assertLess(spent * 0.8, MOST_BYTES_PER_SECOND)
--- a/libraries/proxy/tests/test_load_announcer.py
+++ b/libraries/proxy/tests/test_load_announcer.py
@@ -15,7 +15,7 @@
     HINT_SECONDS,
     LoadAnnouncer,
 )
-from bamboopier_proxy.roster import GatewayEntry
+from bamboopier_proxy.gateway_registry import GatewayEntry
 
 
 class AnnouncerTests(unittest.IsolatedAsyncioTestCase):
@@ -43,7 +43,7 @@
     async def test_a_hint_is_repeated_before_it_lapses(self) -> None:
         # One datagram in a row may be lost without a gateway sending long answers.
         self.list_gateways("10.0.0.1")
-        with mock.patch("bamboopier_proxy.roster.log"):
+        with mock.patch("bamboopier_proxy.gateway_registry.log"):
             await self.announcer.refresh()
         for _ in range(30):
             self.announcer.announce_drain("i-1", "m")
@@ -53,7 +53,7 @@
 
     async def test_a_load_is_told_at_once_after_a_drain(self) -> None:
         self.list_gateways("10.0.0.1")
-        with mock.patch("bamboopier_proxy.roster.log"):
+        with mock.patch("bamboopier_proxy.gateway_registry.log"):
             await self.announcer.refresh()
         self.announcer.announce_drain("i-1", "m")
         self.announcer.reset()
@@ -64,7 +64,7 @@
     async def test_the_list_is_read_anew_and_kept_while_the_store_is_away(self) -> None:
         # A gateway is replaced by one at another address; then the store goes away.
         self.list_gateways("10.0.0.1")
-        with mock.patch("bamboopier_proxy.roster.log"):
+        with mock.patch("bamboopier_proxy.gateway_registry.log"):
             await self.announcer.refresh()
             self.list_gateways("10.0.0.2")
             self.now += GATEWAYS_SECONDS
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -24,7 +24,7 @@
     PartFollower,
 )
 from bamboopier_proxy.part_relay import PartRelay
-from bamboopier_proxy.roster import Roster
+from bamboopier_proxy.gateway_registry import GatewayRegistry
 
 if TYPE_CHECKING:
     from bamboopier_proxy.settings import Endpoint
@@ -32,10 +32,10 @@
 ADDRESS = "10.0.0.9:80"
 
 
-def make_roster(generator: random.Random) -> Roster:
+def make_roster(generator: random.Random) -> GatewayRegistry:
     """Return a list of gateways that reads no store."""
     store = mock.AsyncMock()
-    return Roster(store, "", generator, lambda *_: None, Pauses(read_clock()))
+    return GatewayRegistry(store, "", generator, lambda *_: None, Pauses(read_clock()))
 
 
 class CountedStores:
@@ -93,8 +93,8 @@
         kept = KeptParts()
         kept.set_stores({ADDRESS: 100_000})
         generator = random.Random(1)
-        roster = make_roster(generator)
-        roster._own = "g-0"
+        registry = make_roster(generator)
+        registry._own = "g-0"
         module = "bamboopier_proxy.part_follower"
         with (
             mock.patch(f"{module}.read_clock", side_effect=lambda: clock[0]),
@@ -102,7 +102,7 @@
             mock.patch(f"{module}.log"),
         ):
             stores = RestartedStore(clock)
-            follower = PartFollower(stores, kept, CountedRelay(kept), roster, generator)
+            follower = PartFollower(stores, kept, CountedRelay(kept), registry, generator)
             task = asyncio.create_task(follower.run())
             async with asyncio.timeout(5):
                 while stores.asked < 4:  # noqa: ASYNC110
@@ -121,13 +121,13 @@
         kept = KeptParts()
         kept.set_stores({ADDRESS: 1000})
         generator = random.Random(1)
-        roster = make_roster(generator)
-        roster._own = own
+        registry = make_roster(generator)
+        registry._own = own
         for number in range(gateways):
-            roster.note_heard(f"g-{number}", f"10.0.1.{number}", 7000)
+            registry.record_hint(f"g-{number}", f"10.0.1.{number}", 7000)
         stores, relay = CountedStores(), CountedRelay(kept)
         task = asyncio.create_task(
-            PartFollower(stores, kept, relay, roster, generator).run()
+            PartFollower(stores, kept, relay, registry, generator).run()
         )
         await asyncio.sleep(0.2)
         task.cancel()
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -74,7 +74,7 @@
     ),
     Mutation(
         "a gateway's own pause is no silence of the others",
-        f"{PROXY}/roster.py",
+        f"{PROXY}/gateway_registry.py",
         "        return self._pauses.read_run(read_clock())\n",
         "        return read_clock()\n",
         "libraries/proxy",
@@ -123,9 +123,9 @@
     ),
     Mutation(
         "a hint does not make known how many gateways there are",
-        f"{PROXY}/roster.py",
-        "        if self._complete and counted != self._told:\n",
-        "        if counted != self._told:\n",
+        f"{PROXY}/gateway_registry.py",
+        "        if self._has_list and counted != self._reported_count:\n",
+        "        if counted != self._reported_count:\n",
         "libraries/proxy",
         f"{PEERS}.test_a_gateway_that_has_not_read_the_list_spares_cold_targets",
     ),
--- a/tools/safeguards/bounds.py
+++ b/tools/safeguards/bounds.py
@@ -54,11 +54,11 @@
     ),
     Mutation(
         "a long list of gateways is read seldom",
-        "libraries/proxy/src/bamboopier_proxy/roster.py",
+        "libraries/proxy/src/bamboopier_proxy/gateway_registry.py",
         "max(READ_SECONDS, len(self._peers) / ENTRIES_PER_SECOND)",
         "READ_SECONDS",
         "libraries/proxy",
-        "tests.test_roster",
+        "tests.test_gateway_registry",
     ),
     Mutation(
         "a limit is divided among the gateways",
