--- a/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
@@ -31,8 +31,8 @@
 
 # Different targets that one request must have broken before it is refused, and for how
 # long: two could be chance, and a mistake must not starve a path that many ask for.
-BREAKS_TO_REFUSE = 3
-REFUSED_SECONDS = 30.0
+CRASHES_TO_QUARANTINE = 3
+QUARANTINE_SECONDS = 30.0
 
 
 class GatewayPeers:
@@ -80,7 +80,7 @@
             self._registry,
             state.fleet,
             state.active_configuration,
-            Quarantine(BREAKS_TO_REFUSE, REFUSED_SECONDS),
+            Quarantine(CRASHES_TO_QUARANTINE, QUARANTINE_SECONDS),
             self._configuration_relay.request,
             random,
         )
--- a/libraries/proxy/src/bamboopier_proxy/gossip.py
+++ b/libraries/proxy/src/bamboopier_proxy/gossip.py
@@ -20,7 +20,7 @@
 
 from .hint_socket import HintSocket
 from .hints import (
-    BreakHint,
+    CrashHint,
     Hint,
     LoadHint,
     OrderHint,
@@ -60,7 +60,7 @@
 # Seconds in which an answer to a question is awaited.
 QUESTION_SECONDS = 2.0
 # Breaks told again in each hint for so long: datagrams are lost.
-BREAK_SECONDS = 2.0
+CRASH_REPEAT_SECONDS = 2.0
 
 log = structlog.get_logger()
 
@@ -96,7 +96,7 @@
         # When each question was asked.
         self._questions: dict[int, float] = {}
         self._heard: dict[str, tuple[float, LoadHint]] = {}
-        self._breaks: list[tuple[float, BreakHint]] = []
+        self._crashes: list[tuple[float, CrashHint]] = []
         self._limits = LimitHints(fleet, random)
 
     @property
@@ -120,7 +120,7 @@
         """Tell the others of a target that broke while it had a request."""
         now = read_clock()
         self._quarantine.note_break(now, fingerprint, target)
-        self._breaks.append((now, BreakHint(fingerprint, target)))
+        self._crashes.append((now, CrashHint(fingerprint, target)))
 
     def find_wait(self, fingerprint: bytes) -> float:
         """Return the seconds for which a request is refused; 0 when it is not."""
@@ -136,13 +136,13 @@
 
     def _send_loads(self) -> None:
         now = read_clock()
-        self._breaks = [b for b in self._breaks if now - b[0] < BREAK_SECONDS]
+        self._crashes = [b for b in self._crashes if now - b[0] < CRASH_REPEAT_SECONDS]
         hint = LoadHint(
             self._name,
             next(self._numbers),
             self._born,
             self._list_loads(),
-            [b for _, b in self._breaks[:8]],
+            [b for _, b in self._crashes[:8]],
             self._limits.list_hints(now),
         )
         allowed = BYTES_PER_SECOND * HINT_SECONDS / len(encode(hint))
@@ -200,7 +200,7 @@
         self._heard[hint.sender] = (now, hint)
         self._registry.record_hint(hint.sender, *sender)
         self._limits.take(now, hint.sender, hint.limits)
-        for found in hint.breaks:
+        for found in hint.crashes:
             self._quarantine.note_break(now, found.fingerprint, found.target)
 
     def _take_order(self, hint: OrderHint) -> None:
--- a/libraries/proxy/src/bamboopier_proxy/hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/hints.py
@@ -22,7 +22,7 @@
     unread: int
 
 
-class BreakHint(msgspec.Struct, array_like=True):
+class CrashHint(msgspec.Struct, array_like=True):
     """A target that broke while it had a request."""
 
     fingerprint: bytes
@@ -57,7 +57,7 @@
     # Milliseconds since 1970 of the sender's start.
     born: int
     loads: list[TargetLoadHint]
-    breaks: list[BreakHint]
+    crashes: list[CrashHint]
     limits: list[TargetLimitHint] = []
 
 
--- a/libraries/proxy/tests/test_hints.py
+++ b/libraries/proxy/tests/test_hints.py
@@ -6,7 +6,7 @@
 
 from bamboopier_proxy.hints import (
     MAX_BYTES,
-    BreakHint,
+    CrashHint,
     Hint,
     LoadHint,
     OrderHint,
@@ -22,7 +22,7 @@
     def test_every_hint_survives_its_way(self) -> None:
         loads = [TargetLoadHint("i-1", 3, 1000, 500)]
         hints: list[Hint] = [
-            LoadHint("gateway-1", 4, 123, loads, [BreakHint(b"\x00\xff", "i-2")]),
+            LoadHint("gateway-1", 4, 123, loads, [CrashHint(b"\x00\xff", "i-2")]),
             OrderHint("i-1", "m", 3, 1500),
             ProofQuestion("gateway-1", 2**32),
             ProofAnswer(2**32, 7, 1200),
@@ -38,8 +38,8 @@
 
     def test_the_largest_hint_fits_a_datagram(self) -> None:
         loads = [TargetLoadHint(f"i-{n:010d}", 128, 170_000, 99_999) for n in range(24)]
-        breaks = [BreakHint(bytes(12), f"i-{n:010d}") for n in range(8)]
-        hint = LoadHint("front-west-midlands-12", 10**9, 10**13, loads, breaks)
+        crashes = [CrashHint(bytes(12), f"i-{n:010d}") for n in range(8)]
+        hint = LoadHint("front-west-midlands-12", 10**9, 10**13, loads, crashes)
         self.assertLess(len(encode(hint)), MAX_BYTES)
 
 
