--- a/libraries/proxy/src/bamboopier_proxy/gossip.py
+++ b/libraries/proxy/src/bamboopier_proxy/gossip.py
@@ -23,7 +23,7 @@
     CrashHint,
     Hint,
     LoadHint,
-    OrderHint,
+    WeightLoadHint,
     ProofAnswer,
     ProofQuestion,
     TargetLoadHint,
@@ -183,7 +183,7 @@
         match hint:
             case LoadHint():
                 self._take_loads(hint, sender)
-            case OrderHint():
+            case WeightLoadHint():
                 self._take_order(hint)
             case ProofQuestion():
                 self._answer(hint, sender)
@@ -203,7 +203,7 @@
         for found in hint.crashes:
             self._quarantine.note_break(now, found.fingerprint, found.target)
 
-    def _take_order(self, hint: OrderHint) -> None:
+    def _take_order(self, hint: WeightLoadHint) -> None:
         state = self._fleet.find(hint.target)
         if state is None:
             return
--- a/libraries/proxy/src/bamboopier_proxy/hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/hints.py
@@ -61,7 +61,7 @@
     limits: list[TargetLimitHint] = []
 
 
-class OrderHint(msgspec.Struct, array_like=True, tag="order"):
+class WeightLoadHint(msgspec.Struct, array_like=True, tag="order"):
     """A target is about to load weights, loads them, or has loaded them."""
 
     target: str
@@ -89,7 +89,7 @@
     age_ms: int
 
 
-Hint = LoadHint | OrderHint | ProofQuestion | ProofAnswer
+Hint = LoadHint | WeightLoadHint | ProofQuestion | ProofAnswer
 
 _decoder = msgspec.msgpack.Decoder(Hint)
 
--- a/libraries/proxy/src/bamboopier_proxy/load_announcer.py
+++ b/libraries/proxy/src/bamboopier_proxy/load_announcer.py
@@ -8,7 +8,7 @@
 
 from bamboopier_daemon.clock import read_clock
 
-from .hints import OrderHint
+from .hints import WeightLoadHint
 from .gateway_registry import list_gateways
 
 if TYPE_CHECKING:
@@ -49,16 +49,16 @@
     def announce_drain(self, target: str, model: str) -> None:
         """Tell that the target takes short answers only; repeated when it is due."""
         if self._is_due():
-            self._tell(OrderHint(target, model, 0, 0, int(HINT_SECONDS * 1000)))
+            self._tell(WeightLoadHint(target, model, 0, 0, int(HINT_SECONDS * 1000)))
 
     def announce_load(self, target: str, model: str) -> None:
         """Tell that the target takes nothing; repeated when it is due."""
         if self._is_due():
-            self._tell(OrderHint(target, model, 0, int(HINT_SECONDS * 1000)))
+            self._tell(WeightLoadHint(target, model, 0, int(HINT_SECONDS * 1000)))
 
     def announce_end(self, target: str, model: str, version: int) -> None:
         """Tell that the target serves on ``version``."""
-        self._tell(OrderHint(target, model, version, 0))
+        self._tell(WeightLoadHint(target, model, version, 0))
 
     def reset(self) -> None:
         """Make the next hint due at once: it says something else than the last."""
@@ -67,7 +67,7 @@
     def _is_due(self) -> bool:
         return read_clock() - self._told_at >= REPEAT_SECONDS
 
-    def _tell(self, hint: OrderHint) -> None:
+    def _tell(self, hint: WeightLoadHint) -> None:
         self._told_at = read_clock()
         for gateway in self._gateways.values():
             self._socket.send(hint, gateway.endpoint)
--- a/libraries/proxy/tests/test_hints.py
+++ b/libraries/proxy/tests/test_hints.py
@@ -9,7 +9,7 @@
     CrashHint,
     Hint,
     LoadHint,
-    OrderHint,
+    WeightLoadHint,
     ProofAnswer,
     ProofQuestion,
     TargetLoadHint,
@@ -23,7 +23,7 @@
         loads = [TargetLoadHint("i-1", 3, 1000, 500)]
         hints: list[Hint] = [
             LoadHint("gateway-1", 4, 123, loads, [CrashHint(b"\x00\xff", "i-2")]),
-            OrderHint("i-1", "m", 3, 1500),
+            WeightLoadHint("i-1", "m", 3, 1500),
             ProofQuestion("gateway-1", 2**32),
             ProofAnswer(2**32, 7, 1200),
         ]
