--- a/libraries/proxy/src/bamboopier_proxy/gossip.py
+++ b/libraries/proxy/src/bamboopier_proxy/gossip.py
@@ -24,8 +24,8 @@
     Hint,
     LoadHint,
     WeightLoadHint,
-    ProofAnswer,
-    ProofQuestion,
+    FreshnessResponse,
+    FreshnessRequest,
     TargetLoadHint,
     encode,
 )
@@ -177,7 +177,7 @@
         nonce = next(self._nonces)
         self._questions[nonce] = now
         for peer in self._draw_peers():
-            self._socket.send(ProofQuestion(self._name, nonce), peer)
+            self._socket.send(FreshnessRequest(self._name, nonce), peer)
 
     def _receive(self, hint: Hint, sender: tuple[str, int]) -> None:
         match hint:
@@ -185,9 +185,9 @@
                 self._take_loads(hint, sender)
             case WeightLoadHint():
                 self._take_order(hint)
-            case ProofQuestion():
+            case FreshnessRequest():
                 self._answer(hint, sender)
-            case ProofAnswer():
+            case FreshnessResponse():
                 self._take_proof(hint, sender)
 
     def _take_loads(self, hint: LoadHint, sender: tuple[str, int]) -> None:
@@ -224,17 +224,17 @@
             short_ms=hint.short_ms,
         )
 
-    def _answer(self, question: ProofQuestion, sender: tuple[str, int]) -> None:
+    def _answer(self, question: FreshnessRequest, sender: tuple[str, int]) -> None:
         age = self._active_configuration.currency.find_age(read_clock())
         if age > ASK_AGE_SECONDS * 3 or self._active_configuration.version == 0:
             return
         # Rounded up: the proof must not look younger than it is.
-        answer = ProofAnswer(
+        answer = FreshnessResponse(
             question.nonce, self._active_configuration.version, int(age * 1000) + 1
         )
         self._socket.send(answer, Endpoint(*sender))
 
-    def _take_proof(self, answer: ProofAnswer, sender: tuple[str, int]) -> None:
+    def _take_proof(self, answer: FreshnessResponse, sender: tuple[str, int]) -> None:
         asked = self._questions.get(answer.nonce)
         if asked is None:
             return
--- a/libraries/proxy/src/bamboopier_proxy/hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/hints.py
@@ -74,14 +74,14 @@
     short_ms: int = 0
 
 
-class ProofQuestion(msgspec.Struct, array_like=True, tag="ask"):
+class FreshnessRequest(msgspec.Struct, array_like=True, tag="ask"):
     """Asks how long ago the configuration was proved current."""
 
     sender: str
     nonce: int
 
 
-class ProofAnswer(msgspec.Struct, array_like=True, tag="proof"):
+class FreshnessResponse(msgspec.Struct, array_like=True, tag="proof"):
     """Version in force at the answering gateway, and the age of its proof."""
 
     nonce: int
@@ -89,7 +89,7 @@
     age_ms: int
 
 
-Hint = LoadHint | WeightLoadHint | ProofQuestion | ProofAnswer
+Hint = LoadHint | WeightLoadHint | FreshnessRequest | FreshnessResponse
 
 _decoder = msgspec.msgpack.Decoder(Hint)
 
--- a/libraries/proxy/tests/test_hints.py
+++ b/libraries/proxy/tests/test_hints.py
@@ -10,8 +10,8 @@
     Hint,
     LoadHint,
     WeightLoadHint,
-    ProofAnswer,
-    ProofQuestion,
+    FreshnessResponse,
+    FreshnessRequest,
     TargetLoadHint,
     decode,
     encode,
@@ -24,8 +24,8 @@
         hints: list[Hint] = [
             LoadHint("gateway-1", 4, 123, loads, [CrashHint(b"\x00\xff", "i-2")]),
             WeightLoadHint("i-1", "m", 3, 1500),
-            ProofQuestion("gateway-1", 2**32),
-            ProofAnswer(2**32, 7, 1200),
+            FreshnessRequest("gateway-1", 2**32),
+            FreshnessResponse(2**32, 7, 1200),
         ]
         for hint in hints:
             with self.subTest(hint):
