--- a/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
@@ -102,7 +102,7 @@
     def list_work(self) -> list[Coroutine[Any, Any, None]]:
         """Return what has to run until the gateway stops."""
         settings = self._settings
-        entry = GatewayEntry(settings.host, settings.first_port, self.gossip.born)
+        entry = GatewayEntry(settings.host, settings.first_port, self.gossip.started_ms)
         return [
             self._registry.register(settings.vm, entry),
             self._registry.run(),
--- a/libraries/proxy/src/bamboopier_proxy/gossip.py
+++ b/libraries/proxy/src/bamboopier_proxy/gossip.py
@@ -90,7 +90,7 @@
         self._random = random
         self._socket = HintSocket(host, port, self._receive)
         self._port = port
-        self._born = int(time.time() * 1000)
+        self._started_ms = int(time.time() * 1000)
         self._numbers = itertools.count(1)
         self._nonces = itertools.count(random.getrandbits(32))
         # When each question was asked.
@@ -100,9 +100,9 @@
         self._limits = LimitHints(fleet, random)
 
     @property
-    def born(self) -> int:
+    def started_ms(self) -> int:
         """Return the milliseconds since 1970 of this start."""
-        return self._born
+        return self._started_ms
 
     async def __aenter__(self) -> Self:
         await self._socket.__aenter__()
@@ -140,7 +140,7 @@
         hint = LoadHint(
             self._name,
             next(self._numbers),
-            self._born,
+            self._started_ms,
             self._list_loads(),
             [b for _, b in self._crashes[:8]],
             self._limits.list_hints(now),
@@ -193,8 +193,8 @@
     def _take_loads(self, hint: LoadHint, sender: tuple[str, int]) -> None:
         known = self._heard.get(hint.sender)
         if known is not None:
-            before = (known[1].born, known[1].number)
-            if (hint.born, hint.number) <= before:
+            before = (known[1].started_ms, known[1].number)
+            if (hint.started_ms, hint.number) <= before:
                 return
         now = read_clock()
         self._heard[hint.sender] = (now, hint)
--- a/libraries/proxy/src/bamboopier_proxy/hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/hints.py
@@ -37,7 +37,7 @@
 
     target: str
     # Milliseconds since 1970 of the target's start.
-    born: int
+    started_ms: int
     # From all gateways together.
     per_second: float
     # Since an answer named the limit last.
@@ -55,7 +55,7 @@
     # Grows with each hint of one start; a late one is dropped.
     number: int
     # Milliseconds since 1970 of the sender's start.
-    born: int
+    started_ms: int
     loads: list[TargetLoadHint]
     crashes: list[CrashHint]
     limits: list[TargetLimitHint] = []
--- a/libraries/proxy/src/bamboopier_proxy/limit_hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_hints.py
@@ -51,7 +51,7 @@
         """Take what another gateway was told."""
         for hint in hints:
             state = self._fleet.find(hint.target)
-            if state is not None and state.entry.born == hint.born:
+            if state is not None and state.entry.born == hint.started_ms:
                 take_limit_news(state, _make_news(now, hint), sender)
 
 
