--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -51,7 +51,7 @@
 class Breaks(Protocol):
     """What is known of requests that broke targets, here and at other gateways."""
 
-    def note_break(self, fingerprint: bytes, target: str) -> None:
+    def record_crash(self, fingerprint: bytes, target: str) -> None:
         """Take in that a target broke while it had the request."""
         ...
 
@@ -247,7 +247,7 @@
             case Cause.BROKEN | Cause.UNSEALED | Cause.TIMEOUT:
                 state.standing.note_failure(now)
                 if result.cause is Cause.BROKEN and not result.status:
-                    self._breaks.note_break(call.fingerprint, state.entry.name)
+                    self._breaks.record_crash(call.fingerprint, state.entry.name)
 
     async def _goes_on(
         self,
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -78,7 +78,7 @@
         Exchange(pool, state.fleet, dialect, begins),
         state.room,
         metrics,
-        peers.gossip,
+        peers.hint_exchange,
         state.shares,
         settings.data_centre,
         generator,
--- a/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
@@ -10,7 +10,7 @@
 
 from . import configuration_relay, part_relay
 from .configuration_relay import ConfigurationRelay
-from .gossip import Gossip
+from .hint_exchange import HintExchange
 from .limit_records import LimitRecords
 from .part_follower import PartFollower
 from .part_relay import PartRelay
@@ -73,7 +73,7 @@
                 part_relay.PATH: relay.answer,
             },
         )
-        self.gossip = Gossip(
+        self.hint_exchange = HintExchange(
             settings.vm,
             settings.host,
             settings.first_port,
@@ -87,7 +87,7 @@
         self._stack = AsyncExitStack()
 
     async def __aenter__(self) -> Self:
-        for part in (self._caller, self._configuration_relay, self._server, self.gossip):
+        for part in (self._caller, self._configuration_relay, self._server, self.hint_exchange):
             await self._stack.enter_async_context(part)
         return self
 
@@ -102,11 +102,11 @@
     def list_work(self) -> list[Coroutine[Any, Any, None]]:
         """Return what has to run until the gateway stops."""
         settings = self._settings
-        entry = GatewayEntry(settings.host, settings.first_port, self.gossip.started_ms)
+        entry = GatewayEntry(settings.host, settings.first_port, self.hint_exchange.started_ms)
         return [
             self._registry.register(settings.vm, entry),
             self._registry.run(),
-            self.gossip.run(),
+            self.hint_exchange.run(),
             self._parts.run(),
             self._limits.run(),
         ]
--- a/libraries/proxy/src/bamboopier_proxy/gossip.py
+++ b/libraries/proxy/src/bamboopier_proxy/hint_exchange.py
@@ -56,16 +56,16 @@
 MAX_TARGETS = 24
 # Age of the own proof from which others are asked for theirs, in seconds: what a watch
 # proves of a large configuration is one to two seconds old.
-ASK_AGE_SECONDS = 2.0
+MAX_FRESH_SECONDS = 2.0
 # Seconds in which an answer to a question is awaited.
-QUESTION_SECONDS = 2.0
+FRESHNESS_TIMEOUT_SECONDS = 2.0
 # Breaks told again in each hint for so long: datagrams are lost.
 CRASH_REPEAT_SECONDS = 2.0
 
 log = structlog.get_logger()
 
 
-class Gossip:
+class HintExchange:
     """This gateway's hints, and what the others told."""
 
     def __init__(
@@ -77,7 +77,7 @@
         fleet: Fleet,
         active_configuration: ActiveConfiguration,
         quarantine: Quarantine,
-        note_newer: Callable[[Endpoint], None],
+        on_newer: Callable[[Endpoint], None],
         random: random.Random,
     ) -> None:
         self._name = name
@@ -86,7 +86,7 @@
         self._active_configuration = active_configuration
         self._quarantine = quarantine
         # Told of a gateway that has a newer configuration.
-        self._note_newer = note_newer
+        self._on_newer = on_newer
         self._random = random
         self._socket = HintSocket(host, port, self._receive)
         self._port = port
@@ -94,8 +94,8 @@
         self._numbers = itertools.count(1)
         self._nonces = itertools.count(random.getrandbits(32))
         # When each question was asked.
-        self._questions: dict[int, float] = {}
-        self._heard: dict[str, tuple[float, LoadHint]] = {}
+        self._freshness_requests: dict[int, float] = {}
+        self._received: dict[str, tuple[float, LoadHint]] = {}
         self._crashes: list[tuple[float, CrashHint]] = []
         self._limits = LimitHints(fleet, random)
 
@@ -116,7 +116,7 @@
     ) -> None:
         await self._socket.__aexit__(kind, error, traceback)
 
-    def note_break(self, fingerprint: bytes, target: str) -> None:
+    def record_crash(self, fingerprint: bytes, target: str) -> None:
         """Tell the others of a target that broke while it had a request."""
         now = read_clock()
         self._quarantine.note_break(now, fingerprint, target)
@@ -131,7 +131,7 @@
         while True:
             await asyncio.sleep(HINT_SECONDS)
             self._send_loads()
-            self._ask_for_proof()
+            self._request_freshness()
             self._apply_loads()
 
     def _send_loads(self) -> None:
@@ -146,8 +146,8 @@
             self._limits.list_hints(now),
         )
         allowed = BYTES_PER_SECOND * HINT_SECONDS / len(encode(hint))
-        silent = self._draw(self._registry.pop_silent(), MAX_PEERS)
-        for peer in [*self._draw_peers(max(1, int(allowed))), *silent]:
+        silent = self._sample(self._registry.pop_silent(), MAX_PEERS)
+        for peer in [*self._sample_peers(max(1, int(allowed))), *silent]:
             self._socket.send(hint, peer)
 
     def _list_loads(self) -> list[TargetLoadHint]:
@@ -159,51 +159,51 @@
             for s in busy[:MAX_TARGETS]
         ]
 
-    def _draw_peers(self, most: int = MAX_PEERS) -> list[Endpoint]:
-        return self._draw(list(self._registry.peers.values()), min(most, MAX_PEERS))
+    def _sample_peers(self, most: int = MAX_PEERS) -> list[Endpoint]:
+        return self._sample(list(self._registry.peers.values()), min(most, MAX_PEERS))
 
-    def _draw(self, peers: list[Endpoint], most: int) -> list[Endpoint]:
+    def _sample(self, peers: list[Endpoint], most: int) -> list[Endpoint]:
         return peers if len(peers) <= most else self._random.sample(peers, most)
 
-    def _ask_for_proof(self) -> None:
+    def _request_freshness(self) -> None:
         now = read_clock()
-        old = [n for n, at in self._questions.items() if now - at > QUESTION_SECONDS]
+        old = [n for n, at in self._freshness_requests.items() if now - at > FRESHNESS_TIMEOUT_SECONDS]
         for nonce in old:
-            del self._questions[nonce]
+            del self._freshness_requests[nonce]
         if self._active_configuration.version == 0:
             return
-        if self._active_configuration.currency.find_age(now) < ASK_AGE_SECONDS:
+        if self._active_configuration.currency.find_age(now) < MAX_FRESH_SECONDS:
             return
         nonce = next(self._nonces)
-        self._questions[nonce] = now
-        for peer in self._draw_peers():
+        self._freshness_requests[nonce] = now
+        for peer in self._sample_peers():
             self._socket.send(FreshnessRequest(self._name, nonce), peer)
 
     def _receive(self, hint: Hint, sender: tuple[str, int]) -> None:
         match hint:
             case LoadHint():
-                self._take_loads(hint, sender)
+                self._handle_load_hint(hint, sender)
             case WeightLoadHint():
-                self._take_order(hint)
+                self._handle_weight_load(hint)
             case FreshnessRequest():
-                self._answer(hint, sender)
+                self._handle_freshness_request(hint, sender)
             case FreshnessResponse():
-                self._take_proof(hint, sender)
+                self._handle_freshness_response(hint, sender)
 
-    def _take_loads(self, hint: LoadHint, sender: tuple[str, int]) -> None:
-        known = self._heard.get(hint.sender)
+    def _handle_load_hint(self, hint: LoadHint, sender: tuple[str, int]) -> None:
+        known = self._received.get(hint.sender)
         if known is not None:
             before = (known[1].started_ms, known[1].number)
             if (hint.started_ms, hint.number) <= before:
                 return
         now = read_clock()
-        self._heard[hint.sender] = (now, hint)
+        self._received[hint.sender] = (now, hint)
         self._registry.record_hint(hint.sender, *sender)
         self._limits.take(now, hint.sender, hint.limits)
         for found in hint.crashes:
             self._quarantine.note_break(now, found.fingerprint, found.target)
 
-    def _take_order(self, hint: WeightLoadHint) -> None:
+    def _handle_weight_load(self, hint: WeightLoadHint) -> None:
         state = self._fleet.find(hint.target)
         if state is None:
             return
@@ -224,33 +224,33 @@
             short_ms=hint.short_ms,
         )
 
-    def _answer(self, question: FreshnessRequest, sender: tuple[str, int]) -> None:
+    def _handle_freshness_request(self, request: FreshnessRequest, sender: tuple[str, int]) -> None:
         age = self._active_configuration.currency.find_age(read_clock())
-        if age > ASK_AGE_SECONDS * 3 or self._active_configuration.version == 0:
+        if age > MAX_FRESH_SECONDS * 3 or self._active_configuration.version == 0:
             return
         # Rounded up: the proof must not look younger than it is.
         answer = FreshnessResponse(
-            question.nonce, self._active_configuration.version, int(age * 1000) + 1
+            request.nonce, self._active_configuration.version, int(age * 1000) + 1
         )
         self._socket.send(answer, Endpoint(*sender))
 
-    def _take_proof(self, answer: FreshnessResponse, sender: tuple[str, int]) -> None:
-        asked = self._questions.get(answer.nonce)
-        if asked is None:
+    def _handle_freshness_response(self, answer: FreshnessResponse, sender: tuple[str, int]) -> None:
+        sent_at = self._freshness_requests.get(answer.nonce)
+        if sent_at is None:
             return
         if answer.version > self._active_configuration.version:
-            self._note_newer(Endpoint(*sender))
+            self._on_newer(Endpoint(*sender))
             return
-        self._active_configuration.confirm(answer.version, asked - answer.age_ms / 1000)
+        self._active_configuration.confirm(answer.version, sent_at - answer.age_ms / 1000)
 
     def _apply_loads(self) -> None:
         now = read_clock()
         loads: dict[str, Load] = {}
-        for name, (heard, hint) in list(self._heard.items()):
-            if now - heard > STALE_SECONDS:
-                del self._heard[name]
+        for name, (received_at, hint) in list(self._received.items()):
+            if now - received_at > STALE_SECONDS:
+                del self._received[name]
                 continue
-            for told in hint.loads:
-                load = loads.setdefault(told.target, Load())
-                load.add(Load(told.requests, told.memory, told.unread))
+            for load_hint in hint.loads:
+                load = loads.setdefault(load_hint.target, Load())
+                load.add(Load(load_hint.requests, load_hint.memory, load_hint.unread))
         self._fleet.set_others(loads)
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -51,7 +51,7 @@
         self.peers = GatewayPeers(
             settings, self.state, store, vocabulary, mock.Mock(), random.Random(number)
         )
-        self.gossip = self.peers.gossip
+        self.hint_exchange = self.peers.hint_exchange
         self.registry = self.peers._registry
 
     @property
@@ -64,7 +64,7 @@
     async def asyncSetUp(self) -> None:
         self.now = 1000.0
         self.lost = False
-        for module in ("gossip", "gateway_registry"):
+        for module in ("hint_exchange", "gateway_registry"):
             patch = mock.patch(
                 f"bamboopier_proxy.{module}.read_clock", side_effect=lambda: self.now
             )
@@ -96,9 +96,9 @@
         def send(hint: Hint, to: Endpoint) -> None:
             for other in self.gateways:
                 if Endpoint(other.host, PORT) == to and not self.lost:
-                    other.gossip._receive(hint, (gateway.host, PORT))
+                    other.hint_exchange._receive(hint, (gateway.host, PORT))
 
-        patch = mock.patch.object(gateway.gossip._socket, "send", side_effect=send)
+        patch = mock.patch.object(gateway.hint_exchange._socket, "send", side_effect=send)
         patch.start()
         self.addCleanup(patch.stop)
 
@@ -109,7 +109,7 @@
             self.now += TICK_SECONDS
             for gateway in self.gateways if running is None else running:
                 gateway.pauses.note_tick(self.now)
-                gateway.gossip._send_loads()
+                gateway.hint_exchange._send_loads()
 
     def count_all(self) -> list[int]:
         """Return how many gateways each counts."""
@@ -140,7 +140,7 @@
         self.now += SILENT_SECONDS + 5
         self.lost = True
         for gateway in self.gateways:
-            gateway.gossip._send_loads()
+            gateway.hint_exchange._send_loads()
         self.assertLessEqual(self.flood_cold_target(0.25), COLD_MOST)
         self.assertEqual(self.count_all(), [GATEWAYS] * GATEWAYS)
 
@@ -152,7 +152,7 @@
         self.lost = True
         for gateway in self.gateways:
             gateway.pauses.note_tick(self.now)
-            gateway.gossip._send_loads()
+            gateway.hint_exchange._send_loads()
         self.assertEqual(self.count_all(), [GATEWAYS] * GATEWAYS)
 
     async def test_a_gateway_that_is_gone_is_counted_no_longer(self) -> None:
@@ -202,7 +202,7 @@
         for gateway in rest:
             await gateway.registry.read()
         sent = mock.Mock()
-        with mock.patch.object(gone.gossip, "_receive", sent):
+        with mock.patch.object(gone.hint_exchange, "_receive", sent):
             self.run_all(READ_SECONDS, rest)
         self.assertEqual(sent.call_count, len(rest))
         self.assertEqual([g.counted for g in rest], [GATEWAYS - 1] * 3)
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -98,7 +98,7 @@
     ),
     Mutation(
         "registered gateways that are silent get hints",
-        f"{PROXY}/gossip.py",
+        f"{PROXY}/hint_exchange.py",
         ", *silent]:\n",
         "]:\n",
         "libraries/proxy",
