--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -22,7 +22,7 @@
 from bamboopier_objects.object_follower import ObjectFollower
 
 from .hint_socket import HintSocket
-from .load_announcer import LoadAnnouncer
+from .weight_load_announcer import WeightLoadAnnouncer
 from .observers import WeightsObserver
 from .pause_watch import PauseWatch
 from .settings_watch import SettingsWatch
@@ -86,7 +86,7 @@
                 weights,
                 lease,
                 slots,
-                LoadAnnouncer(store, vocabulary.gateways_prefix, socket),
+                WeightLoadAnnouncer(store, vocabulary.gateways_prefix, socket),
                 directory,
                 generator,
             )
--- a/libraries/proxy/src/bamboopier_proxy/load_announcer.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_load_announcer.py
@@ -25,7 +25,7 @@
 GATEWAYS_SECONDS = 5.0
 
 
-class LoadAnnouncer:
+class WeightLoadAnnouncer:
     """Sends hints to all registered gateways."""
 
     def __init__(self, store: Store, prefix: str, socket: HintSocket) -> None:
@@ -34,7 +34,7 @@
         self._socket = socket
         self._gateways: dict[str, GatewayEntry] = {}
         self._read_at = float("-inf")
-        self._told_at = float("-inf")
+        self._sent_at = float("-inf")
 
     async def refresh(self) -> None:
         """Read the list of gateways unless that was done a moment ago."""
@@ -49,25 +49,25 @@
     def announce_drain(self, target: str, model: str) -> None:
         """Tell that the target takes short answers only; repeated when it is due."""
         if self._is_due():
-            self._tell(WeightLoadHint(target, model, 0, 0, int(HINT_SECONDS * 1000)))
+            self._send(WeightLoadHint(target, model, 0, 0, int(HINT_SECONDS * 1000)))
 
     def announce_load(self, target: str, model: str) -> None:
         """Tell that the target takes nothing; repeated when it is due."""
         if self._is_due():
-            self._tell(WeightLoadHint(target, model, 0, int(HINT_SECONDS * 1000)))
+            self._send(WeightLoadHint(target, model, 0, int(HINT_SECONDS * 1000)))
 
     def announce_end(self, target: str, model: str, version: int) -> None:
         """Tell that the target serves on ``version``."""
-        self._tell(WeightLoadHint(target, model, version, 0))
+        self._send(WeightLoadHint(target, model, version, 0))
 
     def reset(self) -> None:
         """Make the next hint due at once: it says something else than the last."""
-        self._told_at = float("-inf")
+        self._sent_at = float("-inf")
 
     def _is_due(self) -> bool:
-        return read_clock() - self._told_at >= REPEAT_SECONDS
+        return read_clock() - self._sent_at >= REPEAT_SECONDS
 
-    def _tell(self, hint: WeightLoadHint) -> None:
-        self._told_at = read_clock()
+    def _send(self, hint: WeightLoadHint) -> None:
+        self._sent_at = read_clock()
         for gateway in self._gateways.values():
             self._socket.send(hint, gateway.endpoint)
--- a/libraries/proxy/src/bamboopier_proxy/weight_roller.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_roller.py
@@ -29,7 +29,7 @@
     from bamboopier_agent.load_slots import LoadSlots
     from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 
-    from .load_announcer import LoadAnnouncer
+    from .weight_load_announcer import WeightLoadAnnouncer
     from .settings import Endpoint
     from .target_directory import TargetDirectory
     from .target_orders import TargetOrders, TargetReport
@@ -65,7 +65,7 @@
         weights: WeightVersions,
         lease: LeaseKeeper,
         slots: LoadSlots,
-        announcer: LoadAnnouncer,
+        announcer: WeightLoadAnnouncer,
         directory: TargetDirectory,
         random: random.Random,
     ) -> None:
--- a/libraries/proxy/tests/test_load_announcer.py
+++ b/libraries/proxy/tests/test_weight_load_announcer.py
@@ -10,10 +10,10 @@
 
 from bamboopier_objects.errors import PlatformUnavailableError
 from bamboopier_objects.objects import Listing, StoredObject
-from bamboopier_proxy.load_announcer import (
+from bamboopier_proxy.weight_load_announcer import (
     GATEWAYS_SECONDS,
     HINT_SECONDS,
-    LoadAnnouncer,
+    WeightLoadAnnouncer,
 )
 from bamboopier_proxy.gateway_registry import GatewayEntry
 
@@ -22,13 +22,13 @@
     def setUp(self) -> None:
         self.now = 100.0
         patch = mock.patch(
-            "bamboopier_proxy.load_announcer.read_clock", side_effect=lambda: self.now
+            "bamboopier_proxy.weight_load_announcer.read_clock", side_effect=lambda: self.now
         )
         patch.start()
         self.addCleanup(patch.stop)
         self.store = mock.AsyncMock()
         self.socket = mock.Mock()
-        self.announcer = LoadAnnouncer(self.store, "gateways/", self.socket)
+        self.announcer = WeightLoadAnnouncer(self.store, "gateways/", self.socket)
 
     def list_gateways(self, *hosts: str) -> None:
         """Let these be in the store, and one entry that cannot be read."""
@@ -37,7 +37,7 @@
         objects = [StoredObject(f"gateways/{n}", 1, v) for n, v in values.items()]
         self.store.list.return_value = Ok(Listing(1, tuple(objects)))
 
-    def list_told(self) -> list[str]:
+    def list_receivers(self) -> list[str]:
         return [call.args[1].host for call in self.socket.send.call_args_list]
 
     async def test_a_hint_is_repeated_before_it_lapses(self) -> None:
@@ -48,8 +48,8 @@
         for _ in range(30):
             self.announcer.announce_drain("i-1", "m")
             self.now += HINT_SECONDS / 30
-        self.assertGreaterEqual(len(self.list_told()), 3)
-        self.assertLess(len(self.list_told()), 6)
+        self.assertGreaterEqual(len(self.list_receivers()), 3)
+        self.assertLess(len(self.list_receivers()), 6)
 
     async def test_a_load_is_told_at_once_after_a_drain(self) -> None:
         self.list_gateways("10.0.0.1")
@@ -73,7 +73,7 @@
         self.now += GATEWAYS_SECONDS
         await self.announcer.refresh()
         self.announcer.announce_end("i-1", "m", 2)
-        self.assertEqual(self.list_told(), ["10.0.0.2"])
+        self.assertEqual(self.list_receivers(), ["10.0.0.2"])
 
 
 if __name__ == "__main__":
