--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -28,7 +28,7 @@
 from .settings_watch import SettingsWatch
 from .target_directory import TargetDirectory
 from .weight_ages import WeightAges, follow_weights
-from .weight_roller import WeightRoller
+from .weight_updater import WeightUpdater
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -79,7 +79,7 @@
             socket = await stack.enter_async_context(
                 HintSocket(settings.host, settings.first_port, lambda *_: None)
             )
-            roller = WeightRoller(
+            updater = WeightUpdater(
                 settings.vm,
                 settings.target,
                 orders,
@@ -94,7 +94,7 @@
 
             def note_named(named: NamedWeights, since: float) -> None:
                 ages.note_heard(named.model, named.version, since)
-                roller.changed.set()
+                updater.changed.set()
 
             follower = ObjectFollower(
                 store,
@@ -108,7 +108,7 @@
             await stack.enter_async_context(
                 keep_running(follow_weights(ages, follower))
             )
-            await stack.enter_async_context(keep_running(roller.run()))
+            await stack.enter_async_context(keep_running(updater.run()))
             watch = SettingsWatch(
                 settings,
                 read_settings,
--- a/libraries/proxy/src/bamboopier_proxy/weight_roller.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_updater.py
@@ -36,31 +36,31 @@
 
 # Seconds between two looks at the target while nothing is to be done: it may have come
 # back with older weights. Its report costs nothing on its own machine.
-REVIEW_SECONDS = 1.0
+IDLE_POLL_SECONDS = 1.0
 # Seconds for which the list of targets is taken as it was read.
 DIRECTORY_SECONDS = 0.5
 # Seconds until the next try for a slot, and between two looks at a drain or a load.
-SLOT_SECONDS = 0.25
-LOOK_SECONDS = 0.08
+SLOT_RETRY_SECONDS = 0.25
+POLL_SECONDS = 0.08
 # Seconds after which a load that does not show is ordered again: three times what one
 # takes, and an order without an answer is carried out within twelve seconds or not.
-LOAD_SECONDS = 6.0
+LOAD_TIMEOUT_SECONDS = 6.0
 # Seconds of a drain after which the target takes everything again while it waits for a
 # slot: whoever holds the slots may be gone.
-HOPE_SECONDS = 7.0
+DRAIN_TIMEOUT_SECONDS = 7.0
 # Seconds between telling the gateways and the order: datagrams take a few ms.
-TELL_SECONDS = 0.03
+ANNOUNCEMENT_DELAY_SECONDS = 0.03
 
 log = structlog.get_logger()
 
 
-class WeightRoller:
+class WeightUpdater:
     """Compares, orders, and waits for the end of a load."""
 
     def __init__(
         self,
         vm: str,
-        place: Endpoint,
+        endpoint: Endpoint,
         orders: TargetOrders,
         weights: WeightVersions,
         lease: LeaseKeeper,
@@ -70,14 +70,14 @@
         random: random.Random,
     ) -> None:
         self._vm = vm
-        self._place = place
+        self._endpoint = endpoint
         self._orders = orders
         self._weights = weights
         self._lease = lease
         self._slots = slots
         self._announcer = announcer
         self._directory = directory
-        self._directory_read = float("-inf")
+        self._directory_read_at = float("-inf")
         # The version that the target has to load, and since when that is known here.
         self._wanted: tuple[str, int] | None = None
         self._wanted_since = 0.0
@@ -92,15 +92,15 @@
             behind = await self.reconcile()
             self.changed.clear()
             try:
-                async with asyncio.timeout(self._draw_pause(behind)):
+                async with asyncio.timeout(self._choose_pause(behind)):
                     await self.changed.wait()
             except TimeoutError:
                 continue
 
-    def _draw_pause(self, behind: bool) -> float:
+    def _choose_pause(self, behind: bool) -> float:
         if self._drain is not None and not self._drain.over:
-            return LOOK_SECONDS
-        seconds = SLOT_SECONDS if behind else REVIEW_SECONDS
+            return POLL_SECONDS
+        seconds = SLOT_RETRY_SECONDS if behind else IDLE_POLL_SECONDS
         return seconds * self._random.uniform(0.7, 1.0)
 
     async def reconcile(self) -> bool:
@@ -109,13 +109,13 @@
         if report is None:
             return False
         wanted = self._find_wanted(report)
-        self._note_wanted(wanted)
+        self._set_wanted(wanted)
         if wanted is None:
             return False
         if report.busy or not await self._refresh_directory():
             return True
         self._target = report.name or self._directory.find_name(
-            self._place.host, self._place.port
+            self._endpoint.host, self._endpoint.port
         )
         if not await self._is_drained(wanted, report):
             return True
@@ -125,14 +125,14 @@
             await self._load(wanted, slot)
         return True
 
-    def _note_wanted(self, wanted: tuple[str, int] | None) -> None:
+    def _set_wanted(self, wanted: tuple[str, int] | None) -> None:
         if wanted is None:
             self._drain = None
         if wanted != self._wanted:
             self._wanted = wanted
             self._wanted_since = read_clock()
 
-    def _find_named(self, wanted: tuple[str, int]) -> float:
+    def _find_published_at(self, wanted: tuple[str, int]) -> float:
         """Return since when ``wanted`` is named, by what is known of it now.
 
         The turns of all targets count from the naming. Counted from when this agent
@@ -146,7 +146,7 @@
         model, newest = wanted
         versions = self._directory.list_versions(model)
         delay = find_delay(versions, newest, self._target)
-        return read_clock() - self._find_named(wanted) >= delay
+        return read_clock() - self._find_published_at(wanted) >= delay
 
     async def _is_drained(self, wanted: tuple[str, int], report: TargetReport) -> bool:
         """Say whether the order would have to wait for next to nothing."""
@@ -161,10 +161,10 @@
                 target=self._target,
                 weight_version=wanted[1],
                 running=report.running,
-                waited=round(read_clock() - self._find_named(wanted), 3),
+                waited=round(read_clock() - self._find_published_at(wanted), 3),
             )
         now = read_clock()
-        if self._drain.find_age(now) < HOPE_SECONDS:
+        if self._drain.find_age(now) < DRAIN_TIMEOUT_SECONDS:
             self._announcer.announce_drain(self._target, wanted[0])
         self._drain.take_runs(now, report.runs)
         return self._drain.over
@@ -172,11 +172,11 @@
     async def _refresh_directory(self) -> bool:
         """Read the targets' list unless that was done a moment ago."""
         now = read_clock()
-        if now - self._directory_read < DIRECTORY_SECONDS:
+        if now - self._directory_read_at < DIRECTORY_SECONDS:
             return True
         if not await self._directory.read():
             return False
-        self._directory_read = now
+        self._directory_read_at = now
         return True
 
     def _find_wanted(self, report: TargetReport) -> tuple[str, int] | None:
@@ -193,7 +193,7 @@
         model, version = wanted
         self._announcer.reset()
         self._announcer.announce_load(self._target, model)
-        await asyncio.sleep(TELL_SECONDS)
+        await asyncio.sleep(ANNOUNCEMENT_DELAY_SECONDS)
         report = await self._read()
         if report is None or report.busy:
             return
@@ -211,7 +211,7 @@
         )
         answer = await self._orders.order_weights(order)
         self._drain = None
-        fault = answer.err_value if isinstance(answer, Err) else None
+        error = answer.err_value if isinstance(answer, Err) else None
         log.info(
             "weights ordered",
             model=model,
@@ -222,17 +222,17 @@
             target=order.target,
             running=report.running,
             waiting=report.waiting,
-            fault=fault.value if fault else "",
+            fault=error.value if error else "",
         )
-        if fault is OrderFault.MISDIRECTED:
-            self._directory_read = float("-inf")
-        if fault in (None, OrderFault.UNKNOWN):
+        if error is OrderFault.MISDIRECTED:
+            self._directory_read_at = float("-inf")
+        if error in (None, OrderFault.UNKNOWN):
             await self._wait_until_loaded(model, version)
 
     async def _wait_until_loaded(self, model: str, version: int) -> None:
         started = read_clock()
-        while read_clock() - started < LOAD_SECONDS:
-            await asyncio.sleep(LOOK_SECONDS)
+        while read_clock() - started < LOAD_TIMEOUT_SECONDS:
+            await asyncio.sleep(POLL_SECONDS)
             report = await self._read()
             if report is None:
                 continue
