--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -15,7 +15,7 @@
 from .answer import BrokenAnswerError
 from .delivery import CallerGoneError
 from .event_splitter import EventSplitter
-from .limit_notes import note_limit
+from .limit_updates import record_limit
 from .target_pool import ConnectError
 
 if TYPE_CHECKING:
@@ -160,7 +160,7 @@
         said = self._dialect.read_answer(answer.status, answer.headers)
         self._note_marks(call, sent, said)
         if (said.sealed or said.not_run) and not said.misdirected:
-            note_limit(sent.state, started, said, call.request_id)
+            record_limit(sent.state, started, said, call.request_id)
         if said.not_run or said.misdirected:
             await answer.read_all(MAX_HELD_BYTES)
             cause = Cause.MISDIRECTED if said.misdirected else Cause.NOT_RUN
--- a/libraries/proxy/src/bamboopier_proxy/limit_hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_hints.py
@@ -12,7 +12,7 @@
 from bamboopier_decisions.forwarding.rate_limit import NEVER, LimitNews
 
 from .hints import TargetLimitHint
-from .limit_notes import take_limit_news
+from .limit_updates import apply_limit_update
 
 if TYPE_CHECKING:
     import random
@@ -52,7 +52,7 @@
         for hint in hints:
             state = self._fleet.find(hint.target)
             if state is not None and state.entry.born == hint.started_ms:
-                take_limit_news(state, _make_news(now, hint), sender)
+                apply_limit_update(state, _make_news(now, hint), sender)
 
 
 def _make_hint(now: float, state: TargetState) -> TargetLimitHint:
--- a/libraries/proxy/src/bamboopier_proxy/limit_records.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_records.py
@@ -22,7 +22,7 @@
 from bamboopier_objects.errors import VersionConflictError
 from bamboopier_objects.objects import ABSENT
 
-from .limit_notes import take_limit_news
+from .limit_updates import apply_limit_update
 
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.fleet import Fleet
@@ -106,7 +106,7 @@
             del self._waiting[name]
             if state.entry.born == entry.born:
                 news = LimitNews(entry.per_second, now, NEVER, now)
-                take_limit_news(state, news, "store")
+                apply_limit_update(state, news, "store")
 
     async def _write_all(self) -> None:
         for name in self._fleet.names:
--- a/libraries/proxy/src/bamboopier_proxy/limit_notes.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_updates.py
@@ -17,23 +17,23 @@
 log = structlog.get_logger()
 
 
-def note_limit(
-    state: TargetState, sent_at: float, said: AnswerMarks, request_id: str
+def record_limit(
+    state: TargetState, sent_at: float, metadata: AnswerMarks, request_id: str
 ) -> None:
     """Take in an answer of the target itself to a request sent at ``sent_at``."""
-    if said.names_limit and said.limit_per_second is None:
+    if metadata.names_limit and metadata.limit_per_second is None:
         # It still says that it is in need: what it said before stands.
         log.warning("limit not read", target=state.entry.name, request_id=request_id)
         return
-    if said.limit_per_second is None:
+    if metadata.limit_per_second is None:
         changed = state.limit.note_unnamed(sent_at)
     else:
-        changed = state.limit.note_named(read_clock(), said.limit_per_second)
+        changed = state.limit.note_named(read_clock(), metadata.limit_per_second)
     if changed:
         _log_limit(state, request_id=request_id)
 
 
-def take_limit_news(state: TargetState, news: LimitNews, sender: str) -> None:
+def apply_limit_update(state: TargetState, news: LimitNews, sender: str) -> None:
     """Take in what another gateway was told."""
     if state.limit.take_news(read_clock(), news):
         _log_limit(state, sender=sender)
--- a/libraries/proxy/tests/test_limit_hints.py
+++ b/libraries/proxy/tests/test_limit_hints.py
@@ -10,7 +10,7 @@
 from bamboopier_decisions.forwarding.fleet import Fleet
 from bamboopier_proxy.hints import LoadHint, decode, encode
 from bamboopier_proxy.limit_hints import MAX_TARGETS, TELL_SECONDS, LimitHints
-from bamboopier_proxy.limit_notes import note_limit
+from bamboopier_proxy.limit_updates import record_limit
 from bamboopier_proxy.messages import AnswerMarks
 
 from .forwarder_builders import make_declared, make_entry
@@ -42,7 +42,7 @@
     def setUp(self) -> None:
         self.now = 100.0
         for target in ("log", "read_clock"):
-            patch = mock.patch(f"bamboopier_proxy.limit_notes.{target}")
+            patch = mock.patch(f"bamboopier_proxy.limit_updates.{target}")
             started = patch.start()
             started.return_value = self.now
             self.addCleanup(patch.stop)
@@ -96,7 +96,7 @@
         assert state is not None
         state.limit.note_named(99.0, 1.5)
         said = AnswerMarks("r", True, False, False, "i-1", 0, 0.0, names_limit=True)
-        note_limit(state, 99.5, said, "r")
+        record_limit(state, 99.5, said, "r")
         self.assertTrue(state.limit.in_force)
         self.assertEqual(state.limit.per_second, 1.5)
 
