--- a/libraries/proxy/src/bamboopier_proxy/hint_exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/hint_exchange.py
@@ -199,7 +199,7 @@
         now = read_clock()
         self._received[hint.sender] = (now, hint)
         self._registry.record_hint(hint.sender, *sender)
-        self._limits.take(now, hint.sender, hint.limits)
+        self._limits.apply(now, hint.sender, hint.limits)
         for found in hint.crashes:
             self._quarantine.note_break(now, found.fingerprint, found.target)
 
--- a/libraries/proxy/src/bamboopier_proxy/limit_hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_hints.py
@@ -23,7 +23,7 @@
 
 # Seconds for which something is told again: datagrams are lost, each reaches some of
 # the others, and one that starts knows nothing.
-TELL_SECONDS = 10.0
+REPEAT_SECONDS = 10.0
 # Targets in one hint, drawn anew each time where there are more.
 MAX_TARGETS = 8
 
@@ -38,48 +38,48 @@
     def list_hints(self, now: float) -> list[TargetLimitHint]:
         """Return what this gateway was told lately."""
         states = (self._fleet.find(name) for name in self._fleet.names)
-        told = [
+        reported = [
             state
             for state in states
-            if state is not None and now - state.limit.known_at < TELL_SECONDS
+            if state is not None and now - state.limit.known_at < REPEAT_SECONDS
         ]
-        if len(told) > MAX_TARGETS:
-            told = self._random.sample(told, MAX_TARGETS)
-        return [_make_hint(now, state) for state in told]
+        if len(reported) > MAX_TARGETS:
+            reported = self._random.sample(reported, MAX_TARGETS)
+        return [_make_hint(now, state) for state in reported]
 
-    def take(self, now: float, sender: str, hints: Iterable[TargetLimitHint]) -> None:
+    def apply(self, now: float, sender: str, hints: Iterable[TargetLimitHint]) -> None:
         """Take what another gateway was told."""
         for hint in hints:
             state = self._fleet.find(hint.target)
             if state is not None and state.entry.born == hint.started_ms:
-                apply_limit_update(state, _make_news(now, hint), sender)
+                apply_limit_update(state, _make_update(now, hint), sender)
 
 
 def _make_hint(now: float, state: TargetState) -> TargetLimitHint:
-    news = state.limit.make_news()
+    update = state.limit.make_news()
     return TargetLimitHint(
         state.entry.name,
         state.entry.born,
-        news.per_second,
-        _write_age(now, news.named_at),
-        _write_age(now, news.ended_at),
-        _write_age(now, news.since) or 0,
+        update.per_second,
+        _encode_age(now, update.named_at),
+        _encode_age(now, update.ended_at),
+        _encode_age(now, update.since) or 0,
     )
 
 
-def _make_news(now: float, hint: TargetLimitHint) -> LimitNews:
+def _make_update(now: float, hint: TargetLimitHint) -> LimitNews:
     return LimitNews(
         hint.per_second,
-        _read_age(now, hint.named_age),
-        _read_age(now, hint.ended_age),
+        _decode_age(now, hint.named_age),
+        _decode_age(now, hint.ended_age),
         now - hint.since_age / 1000,
     )
 
 
-def _write_age(now: float, at: float) -> int | None:
+def _encode_age(now: float, at: float) -> int | None:
     # Rounded up: news must not look newer than they are.
     return math.ceil((now - at) * 1000) if at > NEVER else None
 
 
-def _read_age(now: float, age: int | None) -> float:
+def _decode_age(now: float, age: int | None) -> float:
     return now - age / 1000 if age is not None else NEVER
--- a/libraries/proxy/src/bamboopier_proxy/limit_records.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_records.py
@@ -105,8 +105,8 @@
                 continue
             del self._waiting[name]
             if state.entry.born == entry.born:
-                news = LimitNews(entry.per_second, now, NEVER, now)
-                apply_limit_update(state, news, "store")
+                update = LimitNews(entry.per_second, now, NEVER, now)
+                apply_limit_update(state, update, "store")
 
     async def _write_all(self) -> None:
         for name in self._fleet.names:
--- a/libraries/proxy/src/bamboopier_proxy/limit_updates.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_updates.py
@@ -33,9 +33,9 @@
         _log_limit(state, request_id=request_id)
 
 
-def apply_limit_update(state: TargetState, news: LimitNews, sender: str) -> None:
+def apply_limit_update(state: TargetState, update: LimitNews, sender: str) -> None:
     """Take in what another gateway was told."""
-    if state.limit.take_news(read_clock(), news):
+    if state.limit.take_news(read_clock(), update):
         _log_limit(state, sender=sender)
 
 
--- a/libraries/proxy/tests/test_limit_hints.py
+++ b/libraries/proxy/tests/test_limit_hints.py
@@ -9,7 +9,7 @@
 
 from bamboopier_decisions.forwarding.fleet import Fleet
 from bamboopier_proxy.hints import LoadHint, decode, encode
-from bamboopier_proxy.limit_hints import MAX_TARGETS, TELL_SECONDS, LimitHints
+from bamboopier_proxy.limit_hints import MAX_TARGETS, REPEAT_SECONDS, LimitHints
 from bamboopier_proxy.limit_updates import record_limit
 from bamboopier_proxy.messages import AnswerMarks
 
@@ -46,40 +46,40 @@
             started = patch.start()
             started.return_value = self.now
             self.addCleanup(patch.stop)
-        self.told = make_fleet(["i-1"], self.now)
-        self.teller = LimitHints(self.told, random.Random(1))
+        self.sent = make_fleet(["i-1"], self.now)
+        self.sender = LimitHints(self.sent, random.Random(1))
 
-    def pass_on(self, fleet: Fleet, now: float) -> None:
+    def send_hints(self, fleet: Fleet, now: float) -> None:
         """Hand on what is told at ``now``, as it goes over the network."""
-        hint = LoadHint("g-1", 1, 1, [], [], self.teller.list_hints(now))
+        hint = LoadHint("g-1", 1, 1, [], [], self.sender.list_hints(now))
         received = decode(encode(hint))
         assert isinstance(received, LoadHint)
-        LimitHints(fleet, random.Random(2)).take(now, "g-1", received.limits)
+        LimitHints(fleet, random.Random(2)).apply(now, "g-1", received.limits)
 
     def test_a_limit_and_its_end_reach_the_others(self) -> None:
         other = make_fleet(["i-1"], self.now)
-        find_limit(self.told, "i-1").note_named(100.0, 1.5)
-        self.pass_on(other, 100.2)
+        find_limit(self.sent, "i-1").note_named(100.0, 1.5)
+        self.send_hints(other, 100.2)
         self.assertTrue(find_limit(other, "i-1").in_force)
         self.assertEqual(find_limit(other, "i-1").per_second, 1.5)
-        find_limit(self.told, "i-1").note_unnamed(101.0)
-        self.pass_on(other, 101.2)
+        find_limit(self.sent, "i-1").note_unnamed(101.0)
+        self.send_hints(other, 101.2)
         self.assertFalse(find_limit(other, "i-1").in_force)
 
     def test_another_start_of_the_target_has_no_limit(self) -> None:
         # Guards against a target that restarted under its name and is left idle.
         other = make_fleet(["i-1"], self.now, born=2)
-        find_limit(self.told, "i-1").note_named(100.0, 1.5)
-        self.pass_on(other, 100.2)
+        find_limit(self.sent, "i-1").note_named(100.0, 1.5)
+        self.send_hints(other, 100.2)
         self.assertFalse(find_limit(other, "i-1").in_force)
 
     def test_only_what_answers_said_lately_is_told(self) -> None:
         other = make_fleet(["i-1"], self.now)
-        find_limit(self.told, "i-1").note_named(100.0, 1.5)
-        self.pass_on(other, 100.2)
+        find_limit(self.sent, "i-1").note_named(100.0, 1.5)
+        self.send_hints(other, 100.2)
         again = LimitHints(other, random.Random(3))
         self.assertEqual(again.list_hints(100.3), [])
-        self.assertEqual(self.teller.list_hints(100.1 + TELL_SECONDS), [])
+        self.assertEqual(self.sender.list_hints(100.1 + REPEAT_SECONDS), [])
 
     def test_a_hint_of_many_targets_fits_a_datagram(self) -> None:
         names = [f"i-{n:010x}" for n in range(50)]
@@ -92,7 +92,7 @@
         self.assertLess(len(encode(hint)), 500)
 
     def test_what_cannot_be_read_changes_nothing(self) -> None:
-        state = self.told.find("i-1")
+        state = self.sent.find("i-1")
         assert state is not None
         state.limit.note_named(99.0, 1.5)
         said = AnswerMarks("r", True, False, False, "i-1", 0, 0.0, names_limit=True)
