--- a/libraries/proxy/src/bamboopier_proxy/limit_records.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_records.py
@@ -33,13 +33,13 @@
     from .vocabulary import Store
 
 # Seconds between two looks at what has changed.
-LOOK_SECONDS = 0.5
+CHECK_SECONDS = 0.5
 RETRY_SECONDS = 0.4
 # Seconds for which an entry that was read waits for its target to be listed.
-WAIT_SECONDS = 10.0
+ENTRY_WAIT_SECONDS = 10.0
 # A limit is written again when it is so many times what is written, or less than one
 # part in so many.
-CHANGE = 2.0
+MIN_CHANGE_FACTOR = 2.0
 # Names the choice of the gateway that writes.
 WRITER = "limit-records"
 
@@ -64,7 +64,7 @@
         self._fleet = fleet
         self._registry = registry
         # Entries as this gateway last read or wrote them, with their versions.
-        self._known: dict[str, tuple[LimitEntry, int]] = {}
+        self._stored: dict[str, tuple[LimitEntry, int]] = {}
         # Entries read whose targets are not listed yet.
         self._waiting: dict[str, LimitEntry] = {}
 
@@ -74,13 +74,13 @@
             if await self._read():
                 break
             await asyncio.sleep(RETRY_SECONDS)
-        dropped_at = read_clock() + WAIT_SECONDS
+        expires_at = read_clock() + ENTRY_WAIT_SECONDS
         while True:
             self._apply()
-            if self._waiting and read_clock() >= dropped_at:
+            if self._waiting and read_clock() >= expires_at:
                 self._waiting.clear()
             await self._write_all()
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(CHECK_SECONDS)
 
     async def _read(self) -> bool:
         listing = await self._store.list(self._prefix)
@@ -93,7 +93,7 @@
             except msgspec.MsgspecError as error:
                 log.warning("entry set aside", key=found.key, reason=str(error))
                 continue
-            self._known[name] = entry, found.version
+            self._stored[name] = entry, found.version
             self._waiting[name] = entry
         return True
 
@@ -113,50 +113,50 @@
             state = self._fleet.find(name)
             if state is not None and state.limit.in_force:
                 await self._write(name, state)
-        for name in [n for n in self._known if not self._is_needed(n)]:
+        for name in [n for n in self._stored if not self._is_needed(n)]:
             await self._remove(name)
 
     def _is_needed(self, name: str) -> bool:
         state = self._fleet.find(name)
         is_needed = state is not None and state.limit.in_force
-        return is_needed or name in self._waiting or not self._writes(name)
+        return is_needed or name in self._waiting or not self._is_writer(name)
 
-    def _writes(self, name: str) -> bool:
+    def _is_writer(self, name: str) -> bool:
         first = self._registry.select_gateways(f"{WRITER}/{name}", 1)
         return any(self._registry.is_own(gateway) for gateway in first)
 
     async def _write(self, name: str, state: TargetState) -> None:
         entry = LimitEntry(state.entry.born, state.limit.per_second)
-        known, version = self._known.get(name, (None, ABSENT))
-        if known is not None and _is_alike(known, entry) or not self._writes(name):
+        stored, version = self._stored.get(name, (None, ABSENT))
+        if stored is not None and _is_close(stored, entry) or not self._is_writer(name):
             return
         value = msgspec.json.encode(entry)
         written = await self._store.write(self._prefix + name, value, version)
         if isinstance(written, Err):
-            self._note_failure(name, entry, written.err_value)
+            self._handle_failure(name, entry, written.err_value)
             return
-        self._known[name] = entry, written.ok_value
+        self._stored[name] = entry, written.ok_value
 
     async def _remove(self, name: str) -> None:
-        _, version = self._known.pop(name)
+        _, version = self._stored.pop(name)
         removed = await self._store.delete(self._prefix + name, version)
         if isinstance(removed, Err):
             reason = str(removed.err_value)
             log.warning("limit not removed", target=name, reason=reason)
 
-    def _note_failure(self, name: str, entry: LimitEntry, fault: PlatformError) -> None:
+    def _handle_failure(self, name: str, entry: LimitEntry, error: PlatformError) -> None:
         """Take in why nothing was written; the next look tries again."""
-        if isinstance(fault, VersionConflictError):
+        if isinstance(error, VersionConflictError):
             # Another start's, or a former writer's, which this one replaces.
             stale = LimitEntry(0, entry.per_second)
-            self._known[name] = stale, fault.found
+            self._stored[name] = stale, error.found
             return
-        log.warning("limit not written", target=name, reason=str(fault))
+        log.warning("limit not written", target=name, reason=str(error))
 
 
-def _is_alike(known: LimitEntry, entry: LimitEntry) -> bool:
+def _is_close(stored: LimitEntry, entry: LimitEntry) -> bool:
     return (
-        known.born == entry.born
-        and entry.per_second <= known.per_second * CHANGE
-        and known.per_second <= entry.per_second * CHANGE
+        stored.born == entry.born
+        and entry.per_second <= stored.per_second * MIN_CHANGE_FACTOR
+        and stored.per_second <= entry.per_second * MIN_CHANGE_FACTOR
     )
