--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -190,13 +190,13 @@
             self._changed(named, since)
 
 
-class ClosureObserver:
+class DrainObserver:
     """Keeps the data centres that are to get nothing."""
 
     def __init__(self, vocabulary: Vocabulary, fleet: Fleet) -> None:
         self._vocabulary = vocabulary
         self._fleet = fleet
-        self._closed: set[str] = set()
+        self._drained: set[str] = set()
 
     def take_listing(
         self, listing: Listing, away_seconds: float, known_until: float
@@ -210,11 +210,11 @@
     ) -> None:
         """Take one closure, or its end."""
         name = change.key.removeprefix(self._vocabulary.closures_prefix)
-        closed = self._closed - {name}
-        self._apply(closed | {name} if change.value is not None else closed)
-
-    def _apply(self, closed: set[str]) -> None:
-        if closed != self._closed:
-            log.info("data centres closed", data_centres=sorted(closed))
-        self._closed = closed
-        self._fleet.close_data_centres(closed)
+        drained = self._drained - {name}
+        self._apply(drained | {name} if change.value is not None else drained)
+
+    def _apply(self, drained: set[str]) -> None:
+        if drained != self._drained:
+            log.info("data centres closed", data_centres=sorted(drained))
+        self._drained = drained
+        self._fleet.close_data_centres(drained)
--- a/libraries/proxy/src/bamboopier_proxy/store_followers.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_followers.py
@@ -9,7 +9,7 @@
 
 from .configuration_follower import ConfigurationFollower
 from .monitored_store import MonitoredStore
-from .observers import ClosureObserver, TargetObserver, WeightsObserver
+from .observers import DrainObserver, TargetObserver, WeightsObserver
 from .weight_ages import WeightAges, follow_weights
 
 if TYPE_CHECKING:
@@ -59,7 +59,7 @@
             WeightsObserver(vocabulary, state.weights, state.pauses, self._note_named),
         )
         self._closures = self._follow(
-            vocabulary.closures_prefix, ClosureObserver(vocabulary, state.fleet)
+            vocabulary.closures_prefix, DrainObserver(vocabulary, state.fleet)
         )
 
     @property
