--- a/libraries/objects/src/bamboopier_objects/object_follower.py
+++ b/libraries/objects/src/bamboopier_objects/object_follower.py
@@ -36,7 +36,7 @@
 class ObjectObserver(Protocol):
     """What is told of the objects below a prefix."""
 
-    def take_listing(
+    def apply_listing(
         self, listing: Listing, away_seconds: float, known_until: float
     ) -> None:
         """Take the whole list; the store did not answer for ``away_seconds``.
@@ -46,7 +46,7 @@
         """
         ...
 
-    def take_change(
+    def apply_change(
         self, change: ChangedObject, known_until: float, *, late: bool
     ) -> None:
         """Take one object that changed, told by a watch as it happened.
@@ -102,7 +102,7 @@
             self._note_failure(asked, f"revision {listing.revision} is an older one")
             return False
         away = self._note_answer()
-        self._observer.take_listing(listing, away, self._known_until)
+        self._observer.apply_listing(listing, away, self._known_until)
         self._known_until = asked
         self._revision = listing.revision
         self.loaded.set()
@@ -128,7 +128,7 @@
             now = self._read_clock()
             late = now - asked > self._wait_seconds + ANSWER_SECONDS
             for change in batch.changes:
-                self._observer.take_change(change, self._known_until, late=late)
+                self._observer.apply_change(change, self._known_until, late=late)
             # An answer that is read late says nothing of what changed after the store
             # made it: at once when there are changes, else at the end of the wait.
             made = asked if batch.changes else asked + self._wait_seconds
--- a/libraries/objects/tests/test_object_follower.py
+++ b/libraries/objects/tests/test_object_follower.py
@@ -51,10 +51,10 @@
         with mock.patch("bamboopier_objects.object_follower.log"):
             task = asyncio.create_task(follower.run())
             async with asyncio.timeout(10):
-                while self.observer.take_listing.call_count < expected:  # noqa: ASYNC110
+                while self.observer.apply_listing.call_count < expected:  # noqa: ASYNC110
                     await asyncio.sleep(0.005)
             task.cancel()
-        return [call.args[2] for call in self.observer.take_listing.call_args_list]
+        return [call.args[2] for call in self.observer.apply_listing.call_args_list]
 
     async def test_the_first_list_says_nothing_of_when(self) -> None:
         self.assertEqual(await self.follow(), [float("-inf")])
--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -44,7 +44,7 @@
         self._availability = availability
         self._wake = wake
 
-    def take_listing(
+    def apply_listing(
         self, listing: Listing, away_seconds: float, known_until: float
     ) -> None:
         """Take all entries.
@@ -70,7 +70,7 @@
         )
         self._wake()
 
-    def take_change(
+    def apply_change(
         self, change: ChangedObject, known_until: float, *, late: bool
     ) -> None:
         """Take one entry that changed or is gone."""
@@ -125,7 +125,7 @@
         # Told of a version that was named while this process ran, and since when.
         self._changed = changed
 
-    def take_listing(
+    def apply_listing(
         self, listing: Listing, away_seconds: float, known_until: float
     ) -> None:
         """Take all named versions.
@@ -142,7 +142,7 @@
         for found in listing.objects:
             self._take(found.key, found.value, since, guessed)
 
-    def take_change(
+    def apply_change(
         self,
         change: ChangedObject,
         known_until: float = float("-inf"),
@@ -198,14 +198,14 @@
         self._fleet = fleet
         self._drained: set[str] = set()
 
-    def take_listing(
+    def apply_listing(
         self, listing: Listing, away_seconds: float, known_until: float
     ) -> None:
         """Take all closures."""
         prefix = self._vocabulary.closures_prefix
         self._apply({found.key.removeprefix(prefix) for found in listing.objects})
 
-    def take_change(
+    def apply_change(
         self, change: ChangedObject, known_until: float, *, late: bool
     ) -> None:
         """Take one closure, or its end."""
--- a/libraries/proxy/tests/test_weight_ages.py
+++ b/libraries/proxy/tests/test_weight_ages.py
@@ -154,9 +154,9 @@
         )
         self.store.write.return_value = Ok(5)
         before = Listing(5, (StoredObject("v/m", 5, b"1"),))
-        observer.take_listing(before, 0.0, float("-inf"))
+        observer.apply_listing(before, 0.0, float("-inf"))
         after = Listing(9, (StoredObject("v/m", 9, b"2"),))
-        observer.take_listing(after, 10.0, NOW - 10.0)
+        observer.apply_listing(after, 10.0, NOW - 10.0)
         await self.ages.finish()
         self.assertEqual(self.weights.find_oldest_allowed(NOW + 1.0, "m"), 1)
 
@@ -257,9 +257,9 @@
 
             observer = WeightsObserver(vocabulary, weights, pauses, note)
             before = Listing(5, (StoredObject("v/m", 5, b"1"),))
-            observer.take_listing(before, 0.0, float("-inf"))
+            observer.apply_listing(before, 0.0, float("-inf"))
             after = Listing(9, (StoredObject("v/m", 9, b"2"),))
-            observer.take_listing(after, seconds, NOW - seconds)
+            observer.apply_listing(after, seconds, NOW - seconds)
             heard.append(weights)
             written.append(ages.finish())
         await asyncio.gather(*written)
--- a/libraries/proxy/tests/test_weights_observer.py
+++ b/libraries/proxy/tests/test_weights_observer.py
@@ -56,12 +56,12 @@
 
     def tell(self, version: int) -> None:
         """Tell of a version as a watch does."""
-        self.observer.take_change(ChangedObject("v/m", 9, str(version).encode()))
+        self.observer.apply_change(ChangedObject("v/m", 9, str(version).encode()))
 
     def list(self, version: int, known_until: float) -> None:
         """Tell of a version as a list does."""
         found = StoredObject("v/m", 9, str(version).encode())
-        self.observer.take_listing(Listing(9, (found,)), 0.0, known_until)
+        self.observer.apply_listing(Listing(9, (found,)), 0.0, known_until)
 
     def test_what_a_watch_tells_was_named_just_now(self) -> None:
         self.tell(2)
