--- a/libraries/objects/src/bamboopier_objects/object_follower.py
+++ b/libraries/objects/src/bamboopier_objects/object_follower.py
@@ -37,9 +37,9 @@
     """What is told of the objects below a prefix."""
 
     def apply_listing(
-        self, listing: Listing, away_seconds: float, known_until: float
+        self, listing: Listing, outage_seconds: float, known_until: float
     ) -> None:
-        """Take the whole list; the store did not answer for ``away_seconds``.
+        """Take the whole list; the store did not answer for ``outage_seconds``.
 
         All changes until ``known_until`` have been told: what is new in the list may
         have changed at any time since. It is minus infinity for the first list.
--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -45,7 +45,7 @@
         self._wake = wake
 
     def apply_listing(
-        self, listing: Listing, away_seconds: float, known_until: float
+        self, listing: Listing, outage_seconds: float, known_until: float
     ) -> None:
         """Take all entries.
 
@@ -117,16 +117,16 @@
         vocabulary: Vocabulary,
         weights: WeightVersions,
         pauses: Pauses,
-        changed: Callable[[NamedWeights, float], None],
+        on_published: Callable[[NamedWeights, float], None],
     ) -> None:
         self._vocabulary = vocabulary
         self._weights = weights
         self._pauses = pauses
         # Told of a version that was named while this process ran, and since when.
-        self._changed = changed
+        self._on_published = on_published
 
     def apply_listing(
-        self, listing: Listing, away_seconds: float, known_until: float
+        self, listing: Listing, outage_seconds: float, known_until: float
     ) -> None:
         """Take all named versions.
 
@@ -136,11 +136,11 @@
         """
         now = read_clock()
         paused = self._pauses.find_unread_since(now) < now
-        was_away = away_seconds >= OUTAGE_SECONDS and not paused
-        guessed = was_away and math.isfinite(known_until)
+        was_outage = outage_seconds >= OUTAGE_SECONDS and not paused
+        guessed = was_outage and math.isfinite(known_until)
         since = now if guessed else known_until
         for found in listing.objects:
-            self._take(found.key, found.value, since, guessed)
+            self._apply(found.key, found.value, since, guessed)
 
     def apply_change(
         self,
@@ -152,10 +152,10 @@
         """Take a newly named version."""
         if change.value is None:
             return
-        since = self._find_told_since(known_until, late)
-        self._take(change.key, change.value, since, False)
+        since = self._find_published_since(known_until, late)
+        self._apply(change.key, change.value, since, False)
 
-    def _find_told_since(self, known_until: float, late: bool) -> float:
+    def _find_published_since(self, known_until: float, late: bool) -> float:
         """Return since when a change may have happened that is read now.
 
         News that waited while this process paused is as old as the pause, and what was
@@ -169,7 +169,7 @@
             return known_until
         return max(known_until, unread_since)
 
-    def _take(self, key: str, value: bytes, since: float, guessed: bool) -> None:
+    def _apply(self, key: str, value: bytes, since: float, guessed: bool) -> None:
         """Take one version that was named at ``since`` at the earliest."""
         decoded = self._vocabulary.decode_weights(value)
         if isinstance(decoded, Err):
@@ -187,7 +187,7 @@
             guessed=guessed,
         )
         if math.isfinite(since):
-            self._changed(named, since)
+            self._on_published(named, since)
 
 
 class DrainObserver:
@@ -199,7 +199,7 @@
         self._drained: set[str] = set()
 
     def apply_listing(
-        self, listing: Listing, away_seconds: float, known_until: float
+        self, listing: Listing, outage_seconds: float, known_until: float
     ) -> None:
         """Take all closures."""
         prefix = self._vocabulary.closures_prefix
--- a/libraries/proxy/tests/test_weights_observer.py
+++ b/libraries/proxy/tests/test_weights_observer.py
@@ -54,17 +54,17 @@
             vocabulary, self.weights, self.pauses, self.changed
         )
 
-    def tell(self, version: int) -> None:
+    def send_by_watch(self, version: int) -> None:
         """Tell of a version as a watch does."""
         self.observer.apply_change(ChangedObject("v/m", 9, str(version).encode()))
 
-    def list(self, version: int, known_until: float) -> None:
+    def send_by_list(self, version: int, known_until: float) -> None:
         """Tell of a version as a list does."""
         found = StoredObject("v/m", 9, str(version).encode())
         self.observer.apply_listing(Listing(9, (found,)), 0.0, known_until)
 
     def test_what_a_watch_tells_was_named_just_now(self) -> None:
-        self.tell(2)
+        self.send_by_watch(2)
         self.assertEqual(self.weights.find_since("m"), 100.0)
         self.changed.assert_called_once_with(NamedWeights("m", 2), 100.0)
 
@@ -72,26 +72,26 @@
         # The process stands still for 3.3 s. The watch's answer is the first thing it
         # reads then, and says nothing of when the version was named.
         self.now = 103.3
-        self.tell(2)
+        self.send_by_watch(2)
         self.assertEqual(self.weights.find_since("m"), 100.0)
         self.assertEqual(self.log.info.call_args.kwargs["age_seconds"], 3.3)
 
     def test_a_list_after_a_silent_watch_goes_back_to_its_start(self) -> None:
-        self.list(1, NEVER)
-        self.list(2, 98.5)
+        self.send_by_list(1, NEVER)
+        self.send_by_list(2, 98.5)
         self.assertEqual(self.weights.find_since("m"), 98.5)
         self.changed.assert_called_once_with(NamedWeights("m", 2), 98.5)
 
     def test_the_first_list_says_nothing_of_when(self) -> None:
-        self.list(4, NEVER)
+        self.send_by_list(4, NEVER)
         self.assertEqual(self.weights.find_oldest_allowed(self.now, "m"), 4)
         self.changed.assert_not_called()
         self.assertIsNone(self.log.info.call_args.kwargs["age_seconds"])
 
     def test_a_version_that_is_listed_again_keeps_its_time(self) -> None:
-        self.tell(2)
+        self.send_by_watch(2)
         self.now = 108.0
-        self.list(2, 106.0)
+        self.send_by_list(2, 106.0)
         self.assertEqual(self.weights.find_since("m"), 100.0)
 
 
@@ -130,10 +130,10 @@
 
     async def follow(self, *watches: Callable[[], Answer]) -> None:
         """Answer the watches that follow a list of version 1."""
-        left = list(watches)
+        left = send_by_list(watches)
         listing = Listing(7, (StoredObject("v/m", 7, b"1"),))
         store = mock.AsyncMock()
-        store.list.return_value = Ok(listing)
+        store.send_by_list.return_value = Ok(listing)
 
         async def watch(*_: object) -> Answer:
             if not left:
