--- a/libraries/proxy/src/bamboopier_proxy/part_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_follower.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PartAnswer:
+class PartReply:
     """News with the place from which to ask on."""
 
     news: PartNews
@@ -56,7 +56,7 @@
 
     async def read_news(
         self, address: str, position: int, seconds: float
-    ) -> Result[PartAnswer, str]:
+    ) -> Result[PartReply, str]:
         """Wait up to ``seconds`` for what changed after ``position``."""
         ...
 
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -20,7 +20,7 @@
 from bamboopier_objects.http_caller import HttpCaller
 from bamboopier_proxy.part_follower import (
     DIRECT_GATEWAYS,
-    PartAnswer,
+    PartReply,
     PartFollower,
 )
 from bamboopier_proxy.part_relay import PartRelay
@@ -46,10 +46,10 @@
 
     async def read_news(
         self, address: str, position: int, seconds: float
-    ) -> Result[PartAnswer, str]:
+    ) -> Result[PartReply, str]:
         self.questions += 1
         await asyncio.sleep(0.01)
-        return Ok(PartAnswer(PartNews(1, 1, ()), 0))
+        return Ok(PartReply(PartNews(1, 1, ()), 0))
 
 
 class CountedRelay(PartRelay):
@@ -74,12 +74,12 @@
 
     async def read_news(
         self, address: str, position: int, seconds: float
-    ) -> Result[PartAnswer, str]:
+    ) -> Result[PartReply, str]:
         await asyncio.sleep(0)
         self._clock[0] += self._delays.pop(0) if self._delays else 0.0
         self.asked += 1
         epoch = min(self.asked, 2)
-        return Ok(PartAnswer(PartNews(epoch, int(self._clock[0] * 1000), ()), 0))
+        return Ok(PartReply(PartNews(epoch, int(self._clock[0] * 1000), ()), 0))
 
 
 class SettleTests(unittest.IsolatedAsyncioTestCase):
