--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -38,7 +38,7 @@
     from collections.abc import Callable
 
     from .dialect import Dialect
-    from .part_follower import PartStores
+    from .part_follower import PartStoreClient
     from .settings import ProxySettings
     from .vocabulary import Store, Vocabulary
 
@@ -56,7 +56,7 @@
     store: Store,
     vocabulary: Vocabulary,
     dialect: Dialect,
-    part_stores: PartStores,
+    part_store_client: PartStoreClient,
     read_settings: Callable[[], ProxySettings],
 ) -> None:
     """Serve until SIGTERM, then let every request finish."""
@@ -68,7 +68,7 @@
     state = GatewayState(settings, vocabulary, pause_watch.pauses)
     pause_watch.listeners.append(state.availability.record_pause)
     followers = StoreFollowers(state, store, vocabulary, generator)
-    peers = GatewayPeers(settings, state, store, vocabulary, part_stores, generator)
+    peers = GatewayPeers(settings, state, store, vocabulary, part_store_client, generator)
     pool = TargetPool(dialect.name_request_id())
     begins = BeginWatch(state.weights)
     forwarder = Forwarder(
--- a/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
@@ -25,7 +25,7 @@
     from typing import Any, Self
 
     from .gateway_state import GatewayState
-    from .part_follower import PartStores
+    from .part_follower import PartStoreClient
     from .settings import ProxySettings
     from .vocabulary import Store, Vocabulary
 
@@ -44,7 +44,7 @@
         state: GatewayState,
         store: Store,
         vocabulary: Vocabulary,
-        part_stores: PartStores,
+        part_store_client: PartStoreClient,
         random: random.Random,
     ) -> None:
         self._settings = settings
@@ -61,7 +61,7 @@
             state.loader, state.active_configuration, self._caller
         )
         relay = PartRelay(state.kept, self._caller)
-        self._parts = PartFollower(part_stores, state.kept, relay, self._registry, random)
+        self._parts = PartFollower(part_store_client, state.kept, relay, self._registry, random)
         self._limits = LimitRecords(
             store, vocabulary.limits_prefix, state.fleet, self._registry
         )
--- a/libraries/proxy/src/bamboopier_proxy/part_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_follower.py
@@ -51,10 +51,10 @@
     position: int
 
 
-class PartStores(Protocol):
+class PartStoreClient(Protocol):
     """Calls to the stores."""
 
-    async def read_news(
+    async def read_updates(
         self, address: str, position: int, seconds: float
     ) -> Result[PartReply, str]:
         """Wait up to ``seconds`` for what changed after ``position``."""
@@ -66,7 +66,7 @@
 
     def __init__(
         self,
-        stores: PartStores,
+        stores: PartStoreClient,
         kept: KeptParts,
         relay: PartRelay,
         registry: GatewayRegistry,
@@ -126,7 +126,7 @@
         answered = False
         while True:
             asked = read_clock()
-            answer = await self._stores.read_news(address, position, WAIT_SECONDS)
+            answer = await self._stores.read_updates(address, position, WAIT_SECONDS)
             store = self._kept.find(address)
             if store is None:
                 return
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -44,7 +44,7 @@
     def __init__(self) -> None:
         self.questions = 0
 
-    async def read_news(
+    async def read_updates(
         self, address: str, position: int, seconds: float
     ) -> Result[PartReply, str]:
         self.questions += 1
@@ -72,7 +72,7 @@
         self._delays = [0.0, 4.0]
         self.asked = 0
 
-    async def read_news(
+    async def read_updates(
         self, address: str, position: int, seconds: float
     ) -> Result[PartReply, str]:
         await asyncio.sleep(0)
