--- a/libraries/proxy/src/bamboopier_proxy/part_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_follower.py
@@ -24,18 +24,18 @@
     from .gateway_registry import GatewayRegistry
 
 # Seconds a question waits for news; stores charge for shorter ones than 0.2 s.
-WAIT_SECONDS = 0.4
+POLL_TIMEOUT_SECONDS = 0.4
 # Seconds between two looks at the declared stores.
-ARRANGE_SECONDS = 1.0
+TASK_UPDATE_SECONDS = 1.0
 # Seconds between two questions: news arrive in groups, and beliefs stay fresh.
-PAUSE_SECONDS = 0.25
+POLL_PAUSE_SECONDS = 0.25
 # Seconds between two questions to a store that does not answer.
 RETRY_SECONDS = 0.4
 # Gateways that ask the stores: two thirds of the questions that a store holds at once,
 # as two gateways may differ for a while in who the first are.
 DIRECT_GATEWAYS = 8
 # Seconds between two questions to another gateway.
-RELAY_SECONDS = 0.35
+RELAY_POLL_SECONDS = 0.35
 
 # Names the choice of gateways that ask the stores.
 RELAY = "part-relay"
@@ -66,13 +66,13 @@
 
     def __init__(
         self,
-        stores: PartStoreClient,
+        client: PartStoreClient,
         kept: KeptParts,
         relay: PartRelay,
         registry: GatewayRegistry,
         random: random.Random,
     ) -> None:
-        self._stores = stores
+        self._client = client
         self._kept = kept
         self._relay = relay
         self._registry = registry
@@ -83,13 +83,13 @@
         """Start and end tasks as stores and gateways come and go, until cancelled."""
         try:
             while True:
-                self._arrange()
-                await asyncio.sleep(ARRANGE_SECONDS)
+                self._update_tasks()
+                await asyncio.sleep(TASK_UPDATE_SECONDS)
         finally:
             for task in self._tasks.values():
                 task.cancel()
 
-    def _arrange(self) -> None:
+    def _update_tasks(self) -> None:
         first = self._registry.select_gateways(RELAY, DIRECT_GATEWAYS)
         if any(self._registry.is_own(name) for name in first):
             wanted = {store.address for store in self._kept.stores}
@@ -100,10 +100,10 @@
         for name in over:
             self._tasks.pop(name).cancel()
         for name in wanted - self._tasks.keys():
-            work = self._ask_gateways() if name == RELAY else self._follow(name)
+            work = self._poll_gateways() if name == RELAY else self._poll_store(name)
             self._tasks[name] = asyncio.create_task(work)
 
-    async def _ask_gateways(self) -> None:
+    async def _poll_gateways(self) -> None:
         """Ask one of the first gateways; another when that one has no news."""
         log.info("news of stores asked of gateways")
         turn = self._random.randrange(DIRECT_GATEWAYS)
@@ -119,14 +119,14 @@
                 reason = answer.err_value if isinstance(answer, Err) else "no news"
                 log.warning("gateway without news", gateway=str(gateway), reason=reason)
                 turn += 1
-            await asyncio.sleep(RELAY_SECONDS)
+            await asyncio.sleep(RELAY_POLL_SECONDS)
 
-    async def _follow(self, address: str) -> None:
+    async def _poll_store(self, address: str) -> None:
         position = 0
         answered = False
         while True:
-            asked = read_clock()
-            answer = await self._stores.read_updates(address, position, WAIT_SECONDS)
+            sent_at = read_clock()
+            answer = await self._client.read_updates(address, position, POLL_TIMEOUT_SECONDS)
             store = self._kept.find(address)
             if store is None:
                 return
@@ -139,11 +139,11 @@
                 await asyncio.sleep(RETRY_SECONDS)
                 continue
             found = answer.ok_value
-            if store.take(asked, read_clock(), found.news):
+            if store.take(sent_at, read_clock(), found.news):
                 log.info("store regained", store=address, epoch=found.news.epoch)
                 # What lay there before its start is gone; ask from its beginning.
                 position = 0 if answered else found.position
             else:
                 position = found.position
             answered = True
-            await asyncio.sleep(PAUSE_SECONDS)
+            await asyncio.sleep(POLL_PAUSE_SECONDS)
--- a/libraries/proxy/src/bamboopier_proxy/part_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_relay.py
@@ -30,7 +30,7 @@
 CALL_SECONDS = 0.6
 
 
-class NewsPosition(msgspec.Struct, array_like=True):
+class UpdatePosition(msgspec.Struct, array_like=True):
     """Up to where the asking gateway knows the changes of a store."""
 
     address: str
@@ -38,25 +38,25 @@
     position: int
 
 
-class StoreNews(msgspec.Struct, array_like=True):
+class StoreUpdate(msgspec.Struct, array_like=True):
     """What the answering gateway knows of a store beyond the position."""
 
     address: str
     epoch: int
     position: int
     # Since the store answered last.
-    heard_ms: int
+    response_age_ms: int
     # For how long this start of it had been known then; below 0 if it was seen later.
-    known_ms: int
+    instance_known_ms: int
     clock_ms: int
     # ``changes`` are all parts there, not those after the position.
-    whole: bool
+    is_snapshot: bool
     # Scope, part, tokens; 0 tokens for one that is gone.
     changes: list[tuple[str, str, int]]
 
 
-_questions = msgspec.msgpack.Decoder(list[NewsPosition])
-_answers = msgspec.msgpack.Decoder(list[StoreNews])
+_request_decoder = msgspec.msgpack.Decoder(list[UpdatePosition])
+_response_decoder = msgspec.msgpack.Decoder(list[StoreUpdate])
 
 
 class PartRelay:
@@ -67,18 +67,18 @@
         self._caller = caller
         # The other side's position for each store, by its address.
         self._positions: dict[str, int] = {}
-        self._asked = ""
+        self._requested_gateway = ""
 
     def answer(self, body: bytes) -> web.Response:
         """Return the news of all stores that are trusted here."""
         try:
-            questions = _questions.decode(body)
+            positions = _request_decoder.decode(body)
         except msgspec.MsgspecError as error:
             return web.Response(status=400, text=str(error))
         now = read_clock()
-        known = {q.address: q for q in questions}
+        known = {q.address: q for q in positions}
         news = [
-            _describe(now, store, known.get(store.address))
+            _make_update(now, store, known.get(store.address))
             for store in self._kept.stores
             if store.trusts(now)
         ]
@@ -86,19 +86,19 @@
 
     async def request(self, gateway: Endpoint) -> Result[int, str]:
         """Take the news that a gateway has; return how many stores it trusts."""
-        if self._asked != str(gateway):
+        if self._requested_gateway != str(gateway):
             # Each gateway counts changes in its own way.
             self._positions.clear()
-            self._asked = str(gateway)
-        questions = [
-            NewsPosition(s.address, s.epoch, self._positions.get(s.address, -1))
+            self._requested_gateway = str(gateway)
+        positions = [
+            UpdatePosition(s.address, s.epoch, self._positions.get(s.address, -1))
             for s in self._kept.stores
         ]
-        asked_at = read_clock()
+        sent_at = read_clock()
         answer = await self._caller.call(
             "POST",
             f"http://{gateway}{PATH}",
-            msgspec.msgpack.encode(questions),
+            msgspec.msgpack.encode(positions),
             patience=CALL_SECONDS,
         )
         if isinstance(answer, Err):
@@ -106,41 +106,41 @@
         if answer.ok_value.status != 200:
             return Err(f"status {answer.ok_value.status}")
         try:
-            news = _answers.decode(answer.ok_value.body)
+            news = _response_decoder.decode(answer.ok_value.body)
         except msgspec.MsgspecError as error:
             return Err(str(error))
         read_at = read_clock()
         for found in news:
-            self._take(asked_at, read_at, found)
+            self._take(sent_at, read_at, found)
         return Ok(len(news))
 
-    def _take(self, asked_at: float, read_at: float, found: StoreNews) -> None:
+    def _take(self, sent_at: float, read_at: float, found: StoreUpdate) -> None:
         store = self._kept.find(found.address)
         if store is None:
             return
         # Until the answer was made. The way here is not added: a start must not look
         # older than it is.
-        known = (found.heard_ms + found.known_ms) / 1000
+        known = (found.response_age_ms + found.instance_known_ms) / 1000
         news = PartNews(
             found.epoch,
             found.clock_ms,
             tuple(PartChange(*change) for change in found.changes),
-            found.whole,
+            found.is_snapshot,
             max(0.0, known),
         )
         if store.is_former(news):
             return
-        store.take(asked_at - found.heard_ms / 1000, read_at, news)
+        store.take(sent_at - found.response_age_ms / 1000, read_at, news)
         self._positions[found.address] = found.position
 
 
-def _describe(now: float, store: PartStore, known: NewsPosition | None) -> StoreNews:
+def _make_update(now: float, store: PartStore, known: UpdatePosition | None) -> StoreUpdate:
     changes = None
     if known is not None and known.epoch == store.epoch:
         changes = store.list_changes(known.position)
-    whole = changes is None
+    is_snapshot = changes is None
     listed = store.list_parts() if changes is None else changes
-    return StoreNews(
+    return StoreUpdate(
         store.address,
         store.epoch,
         store.position,
@@ -150,6 +150,6 @@
         # start look older than it is.
         math.floor(store.known_seconds * 1000) - 1,
         store.clock_ms,
-        whole,
+        is_snapshot,
         [(change.scope, change.part, change.tokens) for change in listed],
     )
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -42,12 +42,12 @@
     """Counts questions to the stores."""
 
     def __init__(self) -> None:
-        self.questions = 0
+        self.requests = 0
 
     async def read_updates(
         self, address: str, position: int, seconds: float
     ) -> Result[PartReply, str]:
-        self.questions += 1
+        self.requests += 1
         await asyncio.sleep(0.01)
         return Ok(PartReply(PartNews(1, 1, ()), 0))
 
@@ -57,10 +57,10 @@
 
     def __init__(self, kept: KeptParts) -> None:
         super().__init__(kept, HttpCaller(""))
-        self.asked: set[str] = set()
+        self.requested: set[str] = set()
 
     async def request(self, gateway: Endpoint) -> Result[int, str]:
-        self.asked.add(str(gateway))
+        self.requested.add(str(gateway))
         return Err("not there")
 
 
@@ -70,15 +70,15 @@
     def __init__(self, clock: list[float]) -> None:
         self._clock = clock
         self._delays = [0.0, 4.0]
-        self.asked = 0
+        self.requested = 0
 
     async def read_updates(
         self, address: str, position: int, seconds: float
     ) -> Result[PartReply, str]:
         await asyncio.sleep(0)
         self._clock[0] += self._delays.pop(0) if self._delays else 0.0
-        self.asked += 1
-        epoch = min(self.asked, 2)
+        self.requested += 1
+        epoch = min(self.requested, 2)
         return Ok(PartReply(PartNews(epoch, int(self._clock[0] * 1000), ()), 0))
 
 
@@ -98,14 +98,14 @@
         module = "bamboopier_proxy.part_follower"
         with (
             mock.patch(f"{module}.read_clock", side_effect=lambda: clock[0]),
-            mock.patch(f"{module}.PAUSE_SECONDS", 0.01),
+            mock.patch(f"{module}.POLL_PAUSE_SECONDS", 0.01),
             mock.patch(f"{module}.log"),
         ):
             stores = RestartedStore(clock)
             follower = PartFollower(stores, kept, CountedRelay(kept), registry, generator)
             task = asyncio.create_task(follower.run())
             async with asyncio.timeout(5):
-                while stores.asked < 4:  # noqa: ASYNC110
+                while stores.requested < 4:  # noqa: ASYNC110
                     await asyncio.sleep(0.005)
             task.cancel()
         store = kept.find(ADDRESS)
@@ -131,21 +131,21 @@
         )
         await asyncio.sleep(0.2)
         task.cancel()
-        return stores.questions, len(relay.asked)
+        return stores.requests, len(relay.requested)
 
     async def test_few_gateways_ask_the_stores_themselves(self) -> None:
-        questions, asked = await self.follow(DIRECT_GATEWAYS, "g-0")
-        self.assertGreater(questions, 0)
-        self.assertEqual(asked, 0)
+        requests, requested = await self.follow(DIRECT_GATEWAYS, "g-0")
+        self.assertGreater(requests, 0)
+        self.assertEqual(requested, 0)
 
     async def test_of_many_gateways_eight_ask_the_stores(self) -> None:
         # Each of 21 gateways decides for itself. More than eight would be turned away
         # by the stores, fewer than one would leave all without news.
         direct = 0
         for number in range(21):
-            questions, asked = await self.follow(21, f"g-{number}")
-            self.assertEqual(questions > 0, asked == 0)
-            direct += questions > 0
+            requests, requested = await self.follow(21, f"g-{number}")
+            self.assertEqual(requests > 0, requested == 0)
+            direct += requests > 0
         self.assertEqual(direct, DIRECT_GATEWAYS)
 
 
