--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -86,7 +86,7 @@
     ingress = Ingress(
         dialect, state.active_configuration, forwarder, metrics, settings.memory_bytes, generator
     )
-    watch = SettingsWatch(settings, read_settings, state.take_settings)
+    watch = SettingsWatch(settings, read_settings, state.apply_settings)
 
     def is_ready() -> bool:
         return (
@@ -109,8 +109,8 @@
             await stack.enter_async_context(peers)
             for work in (
                 pause_watch.run(),
-                *followers.list_work(),
-                *peers.list_work(),
+                *followers.list_coroutines(),
+                *peers.list_coroutines(),
                 state.room.run(),
                 watch.run(),
                 pool.run(),
@@ -127,7 +127,7 @@
             readiness = await serve_readiness(settings.readiness, is_ready)
             stack.callback(readiness.close)
             listener = await stack.enter_async_context(
-                CallerListener(settings.callers, ingress.handle, state.read_limits)
+                CallerListener(settings.callers, ingress.handle, state.find_caller_limits)
             )
             log.info("gateway started", vm=settings.vm, listen=str(settings.callers))
             await signals.wait_for_first()
--- a/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
@@ -52,7 +52,7 @@
             store,
             vocabulary.gateways_prefix,
             random,
-            state.take_count,
+            state.set_gateway_count,
             state.pauses,
         )
         # Other gateways know this one by its address.
@@ -99,7 +99,7 @@
     ) -> None:
         await self._stack.aclose()
 
-    def list_work(self) -> list[Coroutine[Any, Any, None]]:
+    def list_coroutines(self) -> list[Coroutine[Any, Any, None]]:
         """Return what has to run until the gateway stops."""
         settings = self._settings
         entry = GatewayEntry(settings.host, settings.first_port, self.hint_exchange.started_ms)
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -27,7 +27,7 @@
 # Taken for the number of gateways until it is known. Failure answered: all gateways
 # start anew while engines come back cold; counted as one, each would send them all they
 # bear. With so many a cold engine gets nothing, and repeats have next to no slack.
-UNCOUNTED_GATEWAYS = 1000
+ASSUMED_GATEWAYS = 1000
 
 log = structlog.get_logger()
 
@@ -40,7 +40,7 @@
     ) -> None:
         self.pauses = pauses
         self.fleet = Fleet()
-        self.fleet.gateways, self.fleet.place = UNCOUNTED_GATEWAYS, None
+        self.fleet.gateways, self.fleet.place = ASSUMED_GATEWAYS, None
         self.kept = KeptParts()
         self.weights = WeightVersions(settings.version_seconds)
         self.shares = RetryShares(settings.retries)
@@ -50,13 +50,13 @@
         self.loader = ConfigurationLoader(vocabulary, self.active_configuration)
         self._services: tuple[str, ...] = ()
 
-    def take_settings(self, changed: ProxySettings) -> None:
+    def apply_settings(self, changed: ProxySettings) -> None:
         """Take the bounds of changed settings."""
         self.active_configuration.currency.set_limit(changed.key_seconds)
         self.weights.set_allowed(changed.version_seconds)
         self.shares.set_bounds(changed.retries)
 
-    def take_count(self, count: int, place: int) -> None:
+    def set_gateway_count(self, count: int, place: int) -> None:
         """Take how many gateways share the bounds, and which of them this one is."""
         self.fleet.gateways, self.fleet.place = count, place
         log.info("gateways counted", gateways=count, place=place)
@@ -66,7 +66,7 @@
         for service in self._services:
             self.room.wake(service)
 
-    def read_limits(self) -> CallerLimits:
+    def find_caller_limits(self) -> CallerLimits:
         """Return what callers may send."""
         table = self.active_configuration.table
         return table.declared.limits if table is not None else CallerLimits()
--- a/libraries/proxy/src/bamboopier_proxy/store_followers.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_followers.py
@@ -67,7 +67,7 @@
         """Say whether targets and weights were read at least once."""
         return self._targets.loaded.is_set() and self._weights.loaded.is_set()
 
-    def list_work(self) -> list[Coroutine[Any, Any, None]]:
+    def list_coroutines(self) -> list[Coroutine[Any, Any, None]]:
         """Return what has to run until the gateway stops."""
         return [
             self._configuration.run(),
