--- a/libraries/proxy/src/bamboopier_proxy/target_orders.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_orders.py
@@ -10,7 +10,7 @@
     from result import Result
 
 
-class OrderFault(StrEnum):
+class OrderError(StrEnum):
     """Why an order is not, or not certainly, carried out."""
 
     # Another order is in progress, or others were accepted meanwhile.
@@ -66,6 +66,6 @@
         """Return what the target says of itself now."""
         ...
 
-    async def order_weights(self, order: WeightOrder) -> Result[None, OrderFault]:
+    async def order_weights(self, order: WeightOrder) -> Result[None, OrderError]:
         """Order a version; Ok means that it is being loaded or is loaded."""
         ...
--- a/libraries/proxy/src/bamboopier_proxy/weight_updater.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_updater.py
@@ -20,7 +20,7 @@
 from bamboopier_decisions.forwarding.load_drain import LoadDrain
 from bamboopier_decisions.forwarding.roll_order import count_loads, find_delay
 
-from .target_orders import OrderFault, WeightOrder
+from .target_orders import OrderError, WeightOrder
 
 if TYPE_CHECKING:
     import random
@@ -224,9 +224,9 @@
             waiting=report.waiting,
             fault=error.value if error else "",
         )
-        if error is OrderFault.MISDIRECTED:
+        if error is OrderError.MISDIRECTED:
             self._directory_read_at = float("-inf")
-        if error in (None, OrderFault.UNKNOWN):
+        if error in (None, OrderError.UNKNOWN):
             await self._wait_until_loaded(model, version)
 
     async def _wait_until_loaded(self, model: str, version: int) -> None:
