--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -27,7 +27,7 @@
 from .pause_watch import PauseWatch
 from .settings_watch import SettingsWatch
 from .target_directory import TargetDirectory
-from .weight_ages import WeightAges, follow_weights
+from .publish_times import PublishTimes, follow_weights
 from .weight_updater import WeightUpdater
 
 if TYPE_CHECKING:
@@ -90,23 +90,23 @@
                 directory,
                 generator,
             )
-            ages = WeightAges(store, vocabulary.ages_prefix, weights, generator)
+            publish_times = PublishTimes(store, vocabulary.ages_prefix, weights, generator)
 
-            def note_named(named: NamedWeights, since: float) -> None:
-                ages.note_heard(named.model, named.version, since)
+            def record_published(named: NamedWeights, since: float) -> None:
+                publish_times.read_if_late(named.model, named.version, since)
                 updater.changed.set()
 
             follower = ObjectFollower(
                 store,
                 vocabulary.weights_prefix,
-                WeightsObserver(vocabulary, weights, pause_watch.pauses, note_named),
+                WeightsObserver(vocabulary, weights, pause_watch.pauses, record_published),
                 WATCH_SECONDS,
                 generator,
                 read_clock,
             )
             await stack.enter_async_context(keep_running(pause_watch.run()))
             await stack.enter_async_context(
-                keep_running(follow_weights(ages, follower))
+                keep_running(follow_weights(publish_times, follower))
             )
             await stack.enter_async_context(keep_running(updater.run()))
             watch = SettingsWatch(
--- a/libraries/proxy/src/bamboopier_proxy/weight_ages.py
+++ b/libraries/proxy/src/bamboopier_proxy/publish_times.py
@@ -43,25 +43,25 @@
 # reader's is behind.
 ENTRY_ERROR_SECONDS = 2 * CLOCK_ERROR_SECONDS
 # Gateways write a little apart, so that most find the entry written.
-SPREAD_SECONDS = 0.4
+WRITE_SPREAD_SECONDS = 0.4
 # Seconds after a naming within which a process heard of it at once.
-PROMPT_SECONDS = 1.0
+TIMELY_SECONDS = 1.0
 RETRY_SECONDS = 0.4
-TRIES = 5
+MAX_TRIES = 5
 # Seconds for which entries are kept whose time is over: longer than any day's clock
 # error and any time allowed for older weights.
-KEEP_SECONDS = 3600.0
+RETENTION_SECONDS = 3600.0
 # Seconds after a start, or after the news, until all is written that was named just
-# before: the last to write begins after three times ``SPREAD_SECONDS``.
+# before: the last to write begins after three times ``WRITE_SPREAD_SECONDS``.
 SETTLE_SECONDS = 1.4
 # Seconds within which a start removes what is long over: processes that start together
 # find it removed by the first of them.
-TIDY_SECONDS = 20.0
+CLEANUP_SPREAD_SECONDS = 20.0
 
 log = structlog.get_logger()
 
 
-class NamedAt(msgspec.Struct):
+class PublishedAt(msgspec.Struct):
     """When a version may have been named at the earliest, in seconds since 1970."""
 
     seconds: float
@@ -69,14 +69,14 @@
     guessed: bool = False
 
 
-class Created(StrEnum):
+class CreateOutcome(StrEnum):
     """What became of the wish to write an entry."""
 
-    YES = "yes"
+    CREATED = "yes"
     # It was there.
-    FOUND = "found"
+    EXISTS = "found"
     # The store took none.
-    REFUSED = "refused"
+    FAILED = "refused"
 
 
 class _Entry(msgspec.Struct):
@@ -87,18 +87,18 @@
     guessed: bool
 
 
-async def follow_weights(ages: WeightAges, follower: ObjectFollower) -> None:
+async def follow_weights(publish_times: PublishTimes, follower: ObjectFollower) -> None:
     """Follow the named versions, once it is known since when those there are named.
 
     Without that a gateway that starts anew refuses all older weights, and an agent
     counts its target's turn from its own start. Nothing else is waited for: a process
     that removed old entries first would not be ready until the store has taken all.
     """
-    await ages.learn()
-    await asyncio.gather(follower.run(), ages.read_again(follower.loaded), ages.tidy())
+    await publish_times.read_entries()
+    await asyncio.gather(follower.run(), publish_times.retry_unknown(follower.loaded), publish_times.clean_up_later())
 
 
-class WeightAges:
+class PublishTimes:
     """Entries below a prefix, one for each model and version."""
 
     def __init__(
@@ -110,31 +110,31 @@
         self._random = random
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def note_named(self, model: str, version: int, since: float) -> None:
+    def record_published(self, model: str, version: int, since: float) -> None:
         """Write down that a version was named, at ``since`` at the earliest."""
         self._start(self._write(model, version, since))
 
-    def note_heard(self, model: str, version: int, since: float) -> None:
+    def read_if_late(self, model: str, version: int, since: float) -> None:
         """Read what others wrote of a version, unless it was heard of at once."""
         guessed = self._weights.is_guessed(model, version)
-        if _find_rank(read_clock() - since, guessed) > 0:
-            self._start(self._learn_of(model, version))
+        if _find_write_rank(read_clock() - since, guessed) > 0:
+            self._start(self._read_until_written(model, version))
 
     async def finish(self) -> None:
         """Wait until all that is being read and written is done or given up."""
         await asyncio.gather(*self._tasks)
 
-    async def read(self) -> None:
+    async def clean_up(self) -> None:
         """Read all entries, and remove those that say nothing any more."""
-        for entries in (await self.learn()).values():
-            await self._remove_but_newest(entries)
+        for entries in (await self.read_entries()).values():
+            await self._remove_all_but_newest(entries)
 
-    async def tidy(self) -> None:
+    async def clean_up_later(self) -> None:
         """Remove old entries some time after a start."""
-        await asyncio.sleep(self._random.uniform(0, TIDY_SECONDS))
-        await self.read()
+        await asyncio.sleep(self._random.uniform(0, CLEANUP_SPREAD_SECONDS))
+        await self.clean_up()
 
-    async def learn(self) -> OldEntries:
+    async def read_entries(self) -> OldEntries:
         """Read all entries, again and again until the store answers.
 
         Returns those whose time is long over, by model.
@@ -149,12 +149,12 @@
             entry = self._decode(found)
             if entry is None:
                 continue
-            self._learn(entry)
-            if entry.age > KEEP_SECONDS:
+            self._apply_entry(entry)
+            if entry.age > RETENTION_SECONDS:
                 old.setdefault(entry.model, []).append((entry.version, found))
         return old
 
-    async def read_again(self, loaded: asyncio.Event) -> None:
+    async def retry_unknown(self, loaded: asyncio.Event) -> None:
         """Read once more after a start, if the age of a version is still unknown.
 
         Versions named just before the start are written down just after it. Not known
@@ -163,26 +163,26 @@
         await loaded.wait()
         await asyncio.sleep(SETTLE_SECONDS)
         if self._weights.has_unknown_age():
-            await self.learn()
+            await self.read_entries()
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _learn_of(self, model: str, version: int) -> None:
+    async def _read_until_written(self, model: str, version: int) -> None:
         """Read until somebody has had the time to write a version down."""
-        await self.learn()
+        await self.read_entries()
         if not self._weights.is_written(model, version):
             await asyncio.sleep(SETTLE_SECONDS)
-            await self.learn()
+            await self.read_entries()
 
     def _decode(self, found: StoredObject) -> _Entry | None:
         """Return what an entry says; None if it is broken."""
         name = found.key.removeprefix(self._prefix)
         model, _, version = name.rpartition("/")
         try:
-            named = msgspec.json.decode(found.value, type=NamedAt)
+            named = msgspec.json.decode(found.value, type=PublishedAt)
             number = int(version)
         except (msgspec.MsgspecError, ValueError) as error:
             log.warning("entry set aside", key=name, reason=str(error))
@@ -190,7 +190,7 @@
         age = max(0.0, time.time() - named.seconds) + ENTRY_ERROR_SECONDS
         return _Entry(model, number, age, named.guessed)
 
-    def _learn(self, entry: _Entry) -> None:
+    def _apply_entry(self, entry: _Entry) -> None:
         since = read_clock() - entry.age
         self._weights.learn_age(
             entry.model, entry.version, since, guessed=entry.guessed
@@ -203,7 +203,7 @@
             guessed=entry.guessed,
         )
 
-    async def _remove_but_newest(self, entries: list[tuple[int, StoredObject]]) -> None:
+    async def _remove_all_but_newest(self, entries: list[tuple[int, StoredObject]]) -> None:
         """Remove entries of a model whose time is long over, but for the newest.
 
         That one still says that what is older may not serve. Nothing in the store
@@ -223,32 +223,32 @@
         age = read_clock() - since
         named_at = time.time() - age
         guessed = self._weights.is_guessed(model, version)
-        rank = _find_rank(age, guessed)
-        await asyncio.sleep(SPREAD_SECONDS * (rank + self._random.random()))
+        rank = _find_write_rank(age, guessed)
+        await asyncio.sleep(WRITE_SPREAD_SECONDS * (rank + self._random.random()))
         key = f"{self._prefix}{model}/{version}"
-        value = msgspec.json.encode(NamedAt(named_at, guessed))
+        value = msgspec.json.encode(PublishedAt(named_at, guessed))
         created = await self._create(key, value)
-        if created is Created.REFUSED:
+        if created is CreateOutcome.FAILED:
             log.warning("naming not written", model=model, weight_version=version)
-        if rank > 0 and created is not Created.YES:
+        if rank > 0 and created is not CreateOutcome.CREATED:
             # A process that heard late knows less than the others, of this version and
             # of those named before it that it never heard of.
-            await self.learn()
+            await self.read_entries()
 
-    async def _create(self, key: str, value: bytes) -> Created:
+    async def _create(self, key: str, value: bytes) -> CreateOutcome:
         """Write an entry unless it is there."""
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             written = await self._store.write(key, value, ABSENT)
-            fault = written.err_value if isinstance(written, Err) else None
-            if fault is None:
-                return Created.YES
-            if isinstance(fault, VersionConflictError):
-                return Created.FOUND
+            error = written.err_value if isinstance(written, Err) else None
+            if error is None:
+                return CreateOutcome.CREATED
+            if isinstance(error, VersionConflictError):
+                return CreateOutcome.EXISTS
             await asyncio.sleep(RETRY_SECONDS)
-        return Created.REFUSED
+        return CreateOutcome.FAILED
 
 
-def _find_rank(age: float, guessed: bool) -> int:
+def _find_write_rank(age: float, guessed: bool) -> int:
     """Return who writes first: those that heard at once, those that guess, the others.
 
     A guess is that weights were named as the store came back for all. One that stood
@@ -257,4 +257,4 @@
     """
     if guessed:
         return 1
-    return 2 if age > PROMPT_SECONDS else 0
+    return 2 if age > TIMELY_SECONDS else 0
--- a/libraries/proxy/src/bamboopier_proxy/store_followers.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_followers.py
@@ -10,7 +10,7 @@
 from .configuration_follower import ConfigurationFollower
 from .monitored_store import MonitoredStore
 from .observers import DrainObserver, TargetObserver, WeightsObserver
-from .weight_ages import WeightAges, follow_weights
+from .publish_times import PublishTimes, follow_weights
 
 if TYPE_CHECKING:
     import random
@@ -45,7 +45,7 @@
     ) -> None:
         self._store = MonitoredStore(store, state.availability)
         self._random = random
-        self._ages = WeightAges(store, vocabulary.ages_prefix, state.weights, random)
+        self._publish_times = PublishTimes(store, vocabulary.ages_prefix, state.weights, random)
         self._configuration = ConfigurationFollower(
             store, vocabulary, state.loader, state.availability, random
         )
@@ -56,7 +56,7 @@
         )
         self._weights = self._follow(
             vocabulary.weights_prefix,
-            WeightsObserver(vocabulary, state.weights, state.pauses, self._note_named),
+            WeightsObserver(vocabulary, state.weights, state.pauses, self._on_published),
         )
         self._closures = self._follow(
             vocabulary.closures_prefix, DrainObserver(vocabulary, state.fleet)
@@ -72,7 +72,7 @@
         return [
             self._configuration.run(),
             self._targets.run(),
-            follow_weights(self._ages, self._weights),
+            follow_weights(self._publish_times, self._weights),
             self._closures.run(),
         ]
 
@@ -83,5 +83,5 @@
             self._store, prefix, observer, seconds, self._random, read_clock
         )
 
-    def _note_named(self, named: NamedWeights, since: float) -> None:
-        self._ages.note_named(named.model, named.version, since)
+    def _on_published(self, named: NamedWeights, since: float) -> None:
+        self._publish_times.record_published(named.model, named.version, since)
--- a/libraries/proxy/tests/test_weight_ages.py
+++ b/libraries/proxy/tests/test_publish_times.py
@@ -20,11 +20,11 @@
 from bamboopier_objects.objects import ABSENT, Listing, StoredObject
 from bamboopier_proxy.observers import WeightsObserver
 from bamboopier_proxy.vocabulary import NamedWeights
-from bamboopier_proxy.weight_ages import (
+from bamboopier_proxy.publish_times import (
     CLOCK_ERROR_SECONDS,
     ENTRY_ERROR_SECONDS,
-    NamedAt,
-    WeightAges,
+    PublishedAt,
+    PublishTimes,
     follow_weights,
 )
 
@@ -36,26 +36,26 @@
 NOW, TODAY = 100.0, 1_000_000.0
 
 
-class WeightAgesTests(unittest.IsolatedAsyncioTestCase):
+class PublishTimesTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        module = "bamboopier_proxy.weight_ages"
+        module = "bamboopier_proxy.publish_times"
         self.enterContext(mock.patch(f"{module}.read_clock", return_value=NOW))
         self.enterContext(mock.patch(f"{module}.time.time", return_value=TODAY))
-        self.enterContext(mock.patch(f"{module}.SPREAD_SECONDS", 0.0))
+        self.enterContext(mock.patch(f"{module}.WRITE_SPREAD_SECONDS", 0.0))
         self.enterContext(mock.patch(f"{module}.log"))
         self.store = mock.AsyncMock()
         self.weights = WeightVersions(12.0)
-        self.ages = WeightAges(self.store, "ages/", self.weights, random.Random(1))
+        self.publish_times = PublishTimes(self.store, "ages/", self.weights, random.Random(1))
 
     async def name(self, since: float) -> None:
         """Hear of version 2, named at ``since`` at the earliest."""
         self.weights.name("m", 2, since)
-        self.ages.note_named("m", 2, since)
-        await self.ages.finish()
+        self.publish_times.record_published("m", 2, since)
+        await self.publish_times.finish()
 
     def let_others_have_written(self, age: float) -> None:
         """Let the entry stand, written for ``age`` seconds ago."""
-        value = msgspec.json.encode(NamedAt(TODAY - age))
+        value = msgspec.json.encode(PublishedAt(TODAY - age))
         self.store.write.return_value = Err(VersionConflictError(KEY, ABSENT, 5))
         listing = Listing(5, (StoredObject(KEY, 5, value),))
         self.store.list.return_value = Ok(listing)
@@ -67,7 +67,7 @@
         await self.name(NOW - 3.3)
         key, value, version = self.store.write.call_args.args
         self.assertEqual((key, version), (KEY, ABSENT))
-        written = msgspec.json.decode(value, type=NamedAt)
+        written = msgspec.json.decode(value, type=PublishedAt)
         self.assertAlmostEqual(written.seconds, TODAY - 3.3)
 
     async def test_who_knows_little_reads_what_others_wrote(self) -> None:
@@ -87,18 +87,18 @@
         unavailable = PlatformUnavailableError("busy")
         self.store.write.return_value = Err(unavailable)
         self.weights.name("m", 2, NOW, guessed=True)
-        with mock.patch("bamboopier_proxy.weight_ages.RETRY_SECONDS", 0.01):
-            self.ages.note_named("m", 2, NOW)
-            await self.ages.finish()
+        with mock.patch("bamboopier_proxy.publish_times.RETRY_SECONDS", 0.01):
+            self.publish_times.record_published("m", 2, NOW)
+            await self.publish_times.finish()
         self.assertLessEqual(self.weights.find_since("m"), NOW - 10.0)
 
     async def test_what_is_guessed_is_written_as_a_guess(self) -> None:
         self.store.write.return_value = Ok(5)
         self.weights.name("m", 2, NOW, guessed=True)
-        self.ages.note_named("m", 2, NOW)
-        await self.ages.finish()
+        self.publish_times.record_published("m", 2, NOW)
+        await self.publish_times.finish()
         value = self.store.write.call_args.args[1]
-        self.assertTrue(msgspec.json.decode(value, type=NamedAt).guessed)
+        self.assertTrue(msgspec.json.decode(value, type=PublishedAt).guessed)
 
     async def test_who_heard_at_once_asks_nobody(self) -> None:
         self.let_others_have_written(age=1.0)
@@ -114,19 +114,19 @@
         # when that was named. Engines that have neither then serve callers until the
         # time of version 3 is over, up to 15 s after version 2 was named: 12 are
         # allowed.
-        ages = {2: 10.0, 3: 1.0}
+        publish_times = {2: 10.0, 3: 1.0}
         entries = {
             f"ages/m/{version}": StoredObject(
-                f"ages/m/{version}", 5, msgspec.json.encode(NamedAt(TODAY - age))
+                f"ages/m/{version}", 5, msgspec.json.encode(PublishedAt(TODAY - age))
             )
-            for version, age in ages.items()
+            for version, age in publish_times.items()
         }
         self.store.write.return_value = Err(VersionConflictError("", ABSENT, 5))
         self.store.list.return_value = Ok(Listing(5, tuple(entries.values())))
         self.weights.name("m", 1, float("-inf"))
         self.weights.name("m", 3, NOW - 15.0)
-        self.ages.note_named("m", 3, NOW - 15.0)
-        await self.ages.finish()
+        self.publish_times.record_published("m", 3, NOW - 15.0)
+        await self.publish_times.finish()
         self.assertEqual(self.weights.find_oldest_allowed(NOW + 1.0, "m"), 2)
 
     async def test_weights_named_as_the_store_returns_to_all_spare_older_ones(
@@ -148,7 +148,7 @@
             vocabulary,
             self.weights,
             Pauses(NOW),
-            lambda named, since: self.ages.note_named(
+            lambda named, since: self.publish_times.record_published(
                 named.model, named.version, since
             ),
         )
@@ -157,23 +157,23 @@
         observer.apply_listing(before, 0.0, float("-inf"))
         after = Listing(9, (StoredObject("v/m", 9, b"2"),))
         observer.apply_listing(after, 10.0, NOW - 10.0)
-        await self.ages.finish()
+        await self.publish_times.finish()
         self.assertEqual(self.weights.find_oldest_allowed(NOW + 1.0, "m"), 1)
 
     async def test_entries_that_say_nothing_any_more_are_removed(self) -> None:
         # Weights are named for two years, and nothing in the store lapses by itself. A
         # start would read thousands of entries. Of those that are long over, the
         # newest still says that what is older may not serve.
-        ages = {1: 9000.0, 2: 8000.0, 3: 7000.0, 4: 60.0}
+        publish_times = {1: 9000.0, 2: 8000.0, 3: 7000.0, 4: 60.0}
         entries = [
             StoredObject(
-                f"ages/m/{version}", version, msgspec.json.encode(NamedAt(TODAY - age))
+                f"ages/m/{version}", version, msgspec.json.encode(PublishedAt(TODAY - age))
             )
-            for version, age in ages.items()
+            for version, age in publish_times.items()
         ]
         self.store.list.return_value = Ok(Listing(9, tuple(entries)))
         self.store.delete.return_value = Ok(None)
-        await self.ages.read()
+        await self.publish_times.clean_up()
         removed = [call.args for call in self.store.delete.call_args_list]
         self.assertEqual(removed, [("ages/m/1", 1), ("ages/m/2", 2)])
 
@@ -182,12 +182,12 @@
         # gateway starts, removes the entries that are long over one after the other,
         # and only then reads which weights are named: callers find it not ready for
         # twelve seconds. Here the store answers no removal at all.
-        ages = {version: 90_000.0 - 2000.0 * version for version in range(1, 41)}
+        publish_times = {version: 90_000.0 - 2000.0 * version for version in range(1, 41)}
         entries = [
             StoredObject(
-                f"ages/m/{version}", version, msgspec.json.encode(NamedAt(TODAY - age))
+                f"ages/m/{version}", version, msgspec.json.encode(PublishedAt(TODAY - age))
             )
-            for version, age in ages.items()
+            for version, age in publish_times.items()
         ]
         self.store.list.return_value = Ok(Listing(50, tuple(entries)))
 
@@ -196,7 +196,7 @@
 
         self.store.delete.side_effect = answer_nothing
         follower = mock.AsyncMock(loaded=asyncio.Event())
-        task = asyncio.create_task(follow_weights(self.ages, follower))
+        task = asyncio.create_task(follow_weights(self.publish_times, follower))
         await asyncio.sleep(0.1)
         task.cancel()
         follower.run.assert_called_once_with()
@@ -211,7 +211,7 @@
         self.assertLessEqual(self.weights.find_since("m"), NOW - 9.0)
 
 
-class SharedAgesTests(unittest.IsolatedAsyncioTestCase):
+class SharedPublishTimesTests(unittest.IsolatedAsyncioTestCase):
     """Gateways that write to one store."""
 
     def setUp(self) -> None:
@@ -219,13 +219,13 @@
         self.store = mock.AsyncMock()
         self.store.write.side_effect = self.write
         self.store.list.side_effect = self.read_all
-        for name in ("weight_ages", "observers"):
+        for name in ("publish_times", "observers"):
             module = f"bamboopier_proxy.{name}"
             self.enterContext(mock.patch(f"{module}.read_clock", return_value=NOW))
             self.enterContext(mock.patch(f"{module}.log"))
-        module = "bamboopier_proxy.weight_ages"
+        module = "bamboopier_proxy.publish_times"
         self.enterContext(mock.patch(f"{module}.time.time", return_value=TODAY))
-        self.enterContext(mock.patch(f"{module}.SPREAD_SECONDS", 0.05))
+        self.enterContext(mock.patch(f"{module}.WRITE_SPREAD_SECONDS", 0.05))
 
     async def write(
         self, key: str, value: bytes, _: int
@@ -250,10 +250,10 @@
         )
         for pauses in gateways:
             weights = WeightVersions(12.0)
-            ages = WeightAges(self.store, "ages/", weights, random.Random(1))
+            publish_times = PublishTimes(self.store, "ages/", weights, random.Random(1))
 
-            def note(named: NamedWeights, since: float, to: WeightAges = ages) -> None:
-                to.note_named(named.model, named.version, since)
+            def note(named: NamedWeights, since: float, to: PublishTimes = publish_times) -> None:
+                to.record_published(named.model, named.version, since)
 
             observer = WeightsObserver(vocabulary, weights, pauses, note)
             before = Listing(5, (StoredObject("v/m", 5, b"1"),))
@@ -261,7 +261,7 @@
             after = Listing(9, (StoredObject("v/m", 9, b"2"),))
             observer.apply_listing(after, seconds, NOW - seconds)
             heard.append(weights)
-            written.append(ages.finish())
+            written.append(publish_times.finish())
         await asyncio.gather(*written)
         return heard
 
--- a/libraries/proxy/tests/test_store_followers.py
+++ b/libraries/proxy/tests/test_store_followers.py
@@ -17,7 +17,7 @@
 from bamboopier_objects.objects import Listing, StoredObject
 from bamboopier_proxy.store_followers import StoreFollowers
 from bamboopier_proxy.vocabulary import NamedWeights
-from bamboopier_proxy.weight_ages import NamedAt, follow_weights
+from bamboopier_proxy.publish_times import PublishedAt, follow_weights
 
 NAMED = StoredObject("v/m", 7, b"2")
 # Seconds after which the entry that another gateway wrote should have been read.
@@ -51,12 +51,12 @@
         followers = StoreFollowers(state, store, vocabulary, random.Random(1))
         with (
             mock.patch("bamboopier_proxy.observers.log"),
-            mock.patch("bamboopier_proxy.weight_ages.log"),
+            mock.patch("bamboopier_proxy.publish_times.log"),
         ):
-            follow = follow_weights(followers._ages, followers._weights)
+            follow = follow_weights(followers._publish_times, followers._weights)
             task = asyncio.create_task(follow)
             await asyncio.sleep(0.1)
-            value = msgspec.json.encode(NamedAt(time.time()))
+            value = msgspec.json.encode(PublishedAt(time.time()))
             entries.append(StoredObject("a/m/2", 8, value))
             await asyncio.sleep(SETTLED_SECONDS)
             task.cancel()
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -6,7 +6,7 @@
 
 PROXY = "libraries/proxy/src/bamboopier_proxy"
 OBSERVER = "tests.test_weights_observer.WeightsObserverTests"
-AGES = "tests.test_weight_ages.WeightAgesTests"
+AGES = "tests.test_publish_times.PublishTimesTests"
 SENDS = "tests.test_sends.SendTests"
 FOLLOWED = "tests.test_weights_observer.FollowedWeightsTests"
 PEERS = "tests.test_gateway_peers.GatewayCountTests"
@@ -34,7 +34,7 @@
     ),
     Mutation(
         "what is written is the earliest time, not that of hearing",
-        f"{PROXY}/weight_ages.py",
+        f"{PROXY}/publish_times.py",
         "        named_at = time.time() - age\n",
         "        named_at = time.time()\n",
         "libraries/proxy",
@@ -163,11 +163,11 @@
     ),
     Mutation(
         "who knows only that weights may be old writes last",
-        f"{PROXY}/weight_ages.py",
-        "    return 2 if age > PROMPT_SECONDS else 0\n",
+        f"{PROXY}/publish_times.py",
+        "    return 2 if age > TIMELY_SECONDS else 0\n",
         "    return 0\n",
         "libraries/proxy",
-        "tests.test_weight_ages.SharedAgesTests"
+        "tests.test_publish_times.SharedPublishTimesTests"
         ".test_one_gateway_s_pause_ends_no_older_weights_at_all_others",
     ),
     Mutation(
