--- a/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
@@ -31,14 +31,14 @@
 
 # Bytes up to which a configuration is read after each watch: half of the 22 KB a second
 # that a node may spend on control.
-SMALL_BYTES = 10_000
+SMALL_CONFIGURATION_BYTES = 10_000
 # Seconds that a watch lasts after which a small configuration is read. A read is also
 # what first shows that the store is away, before entries of targets lapse.
 SMALL_WATCH_SECONDS = 0.9
 # Seconds that a watch lasts which has to prove a large one.
 LARGE_WATCH_SECONDS = 0.8
 # The same after a new version: one that took long to arrive is an old proof by then.
-PROMPT_WATCH_SECONDS = 0.05
+SHORT_WATCH_SECONDS = 0.05
 # Seconds between two questions while they fail.
 RETRY_SECONDS = 0.25
 
@@ -66,7 +66,7 @@
         self._position: WatchPosition | None = None
         self._wait_seconds = SMALL_WATCH_SECONDS
         # Watches in a row whose history was gone.
-        self._gaps = 0
+        self._gap_count = 0
         # Bytes of the configuration as it lies in the store.
         self._size = 0
 
@@ -79,110 +79,110 @@
                 done = True
             if done and self._position is not None:
                 done = await self._watch(self._position)
-            if not done or self._has_gap_again():
+            if not done or self._has_repeated_gap():
                 pause = RETRY_SECONDS * self._random.uniform(0.9, 1.0)
                 await asyncio.sleep(pause)
 
-    def _has_gap_again(self) -> bool:
+    def _has_repeated_gap(self) -> bool:
         """Say whether a watch failed right after the read that a gap made necessary."""
-        return self._position is None and self._gaps > 1
+        return self._position is None and self._gap_count > 1
 
     @property
     def _is_small(self) -> bool:
-        return self._size <= SMALL_BYTES
+        return self._size <= SMALL_CONFIGURATION_BYTES
 
     async def read(self) -> bool:
         """Read once; False when it must be tried again soon."""
-        asked = read_clock()
+        sent_at = read_clock()
         if self._is_small:
             # The answer of a large one is long on its way, from a store that serves.
-            self._availability.record_sent(asked)
+            self._availability.record_sent(sent_at)
         # A list says at which revision of the store it holds; the object's own may be
         # older than the store's history.
         answer = await self._store.list(self._key)
         now = read_clock()
         if isinstance(answer, Err):
-            self._availability.record_failure(asked)
-            self._note_failure(asked, str(answer.err_value))
+            self._availability.record_failure(sent_at)
+            self._record_failure(sent_at, str(answer.err_value))
             return False
-        self._availability.record_response(asked, now)
-        self._note_answer(now)
+        self._availability.record_response(sent_at, now)
+        self._record_response(now)
         listing = answer.ok_value
         found = next((o for o in listing.objects if o.key == self._key), None)
-        if found is None or not self._take(found, asked):
+        if found is None or not self._load(found, sent_at):
             return False
         self._position = WatchPosition(listing.revision)
-        self._choose_wait(prompt=False)
+        self._choose_wait(short=False)
         return True
 
     async def _watch(self, position: WatchPosition) -> bool:
         """Watch once; False when it must be tried again soon."""
         seconds = self._wait_seconds
-        asked = read_clock()
+        sent_at = read_clock()
         answer = await self._store.watch_values(self._key, position.revision, seconds)
         now = read_clock()
         if isinstance(answer, Err):
-            return self._take_failure(asked, answer.err_value)
-        self._availability.record_response(asked, asked)
-        self._note_answer(now)
-        self._gaps = 0
+            return self._handle_watch_error(sent_at, answer.err_value)
+        self._availability.record_response(sent_at, sent_at)
+        self._record_response(now)
+        self._gap_count = 0
         batch = answer.ok_value
         if batch.changes:
-            return self._take_changes(asked, batch)
+            return self._apply_changes(sent_at, batch)
         # Without a change it is made at the end of the wait.
-        made = min(asked + seconds, now)
+        made = min(sent_at + seconds, now)
         self._loader.confirm(position.note_unchanged(made, now, batch.revision))
-        self._choose_wait(prompt=False)
+        self._choose_wait(short=False)
         return True
 
-    def _take_changes(self, asked: float, batch: ChangeBatch) -> bool:
+    def _apply_changes(self, sent_at: float, batch: ChangeBatch) -> bool:
         """Take the newest version told; read again where there is none."""
         found = [c for c in batch.changes if c.key == self._key]
         if not found or found[-1].value is None:
             self._position = None
             return True
         last = StoredObject(self._key, found[-1].version, found[-1].value)
-        if not self._take(last, asked):
+        if not self._load(last, sent_at):
             return False
         self._position = WatchPosition(last.version)
-        self._choose_wait(prompt=True)
+        self._choose_wait(short=True)
         return True
 
-    def _take(self, found: StoredObject, asked: float) -> bool:
-        if not self._loader.load(found, asked):
+    def _load(self, found: StoredObject, sent_at: float) -> bool:
+        if not self._loader.load(found, sent_at):
             return False
         self._size = len(found.value)
         return True
 
-    def _choose_wait(self, *, prompt: bool) -> None:
+    def _choose_wait(self, *, short: bool) -> None:
         if self._is_small:
             self._wait_seconds = SMALL_WATCH_SECONDS
         else:
-            self._wait_seconds = PROMPT_WATCH_SECONDS if prompt else LARGE_WATCH_SECONDS
-
-    def _take_failure(self, asked: float, fault: PlatformError) -> bool:
-        if isinstance(fault, WatchGapError):
-            self._availability.record_response(asked, asked)
-            self._note_answer(read_clock())
-            log.info("watch gap", key="configuration", reason=str(fault))
-            self._gaps += 1
+            self._wait_seconds = SHORT_WATCH_SECONDS if short else LARGE_WATCH_SECONDS
+
+    def _handle_watch_error(self, sent_at: float, error: PlatformError) -> bool:
+        if isinstance(error, WatchGapError):
+            self._availability.record_response(sent_at, sent_at)
+            self._record_response(read_clock())
+            log.info("watch gap", key="configuration", reason=str(error))
+            self._gap_count += 1
             self._position = None
             return True
-        self._note_failure(asked, str(fault))
+        self._record_failure(sent_at, str(error))
         # The revision stands: what changed since is told when the store is back.
-        self._choose_wait(prompt=True)
+        self._choose_wait(short=True)
         return False
 
-    def _note_failure(self, asked: float, reason: str) -> None:
+    def _record_failure(self, sent_at: float, reason: str) -> None:
         self._loader.store_available = False
         if self._failing_since is None:
-            self._failing_since = asked
+            self._failing_since = sent_at
             log.warning("store lost", key="configuration", reason=reason)
 
-    def _note_answer(self, now: float) -> None:
+    def _record_response(self, now: float) -> None:
         self._loader.store_available = True
         if self._failing_since is None:
             return
-        away = now - self._failing_since
+        outage = now - self._failing_since
         self._failing_since = None
-        log.info("store regained", key="configuration", away_seconds=round(away, 3))
+        log.info("store regained", key="configuration", away_seconds=round(outage, 3))
