--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -92,14 +92,14 @@
             )
             publish_times = PublishTimes(store, vocabulary.ages_prefix, weights, generator)
 
-            def record_published(named: NamedWeights, since: float) -> None:
+            def on_published(named: NamedWeights, since: float) -> None:
                 publish_times.read_if_late(named.model, named.version, since)
                 updater.changed.set()
 
             follower = ObjectFollower(
                 store,
                 vocabulary.weights_prefix,
-                WeightsObserver(vocabulary, weights, pause_watch.pauses, record_published),
+                WeightsObserver(vocabulary, weights, pause_watch.pauses, on_published),
                 WATCH_SECONDS,
                 generator,
                 read_clock,
--- a/libraries/proxy/src/bamboopier_proxy/configuration_loader.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_loader.py
@@ -59,7 +59,7 @@
             self._undecodable_revision = found.version
             return True
         self.stored = found
-        self._active_configuration.take(decoded.ok_value, asked_at, read_clock(), len(found.value))
+        self._active_configuration.update(decoded.ok_value, asked_at, read_clock(), len(found.value))
         return True
 
     def confirm(self, proved_at: float) -> None:
--- a/libraries/proxy/tests/test_weights_observer.py
+++ b/libraries/proxy/tests/test_weights_observer.py
@@ -130,10 +130,10 @@
 
     async def follow(self, *watches: Callable[[], Answer]) -> None:
         """Answer the watches that follow a list of version 1."""
-        left = send_by_list(watches)
+        left = list(watches)
         listing = Listing(7, (StoredObject("v/m", 7, b"1"),))
         store = mock.AsyncMock()
-        store.send_by_list.return_value = Ok(listing)
+        store.list.return_value = Ok(listing)
 
         async def watch(*_: object) -> Answer:
             if not left:
