--- a/libraries/proxy/src/bamboopier_proxy/target_orders.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_orders.py
@@ -33,7 +33,7 @@
     # Empty where the target does not tell its name.
     name: str
     # Milliseconds since 1970 of its start.
-    born: int
+    started_ms: int
     versions: dict[str, int]
     # An order is being carried out.
     busy: bool
