--- a/libraries/proxy/tests/test_active_configuration.py
+++ b/libraries/proxy/tests/test_active_configuration.py
@@ -21,13 +21,13 @@
         patch.start()
         self.addCleanup(patch.stop)
 
-    def test_an_older_version_changes_and_proves_nothing(self) -> None:
+    def test_an_older_version_is_ignored(self) -> None:
         self.active_configuration.update(declare(7), 10.0, 10.1)
         self.active_configuration.update(declare(5), 14.0, 14.1)
         self.assertEqual((self.active_configuration.version, self.applied), (7, [7]))
         self.assertFalse(self.active_configuration.currency.covers(15.0))
 
-    def test_only_the_version_in_force_is_confirmed(self) -> None:
+    def test_only_the_active_version_is_confirmed(self) -> None:
         # Another gateway answers that its own, newer version is current. That says
         # nothing of the older one here: a key may be missing in the newer.
         self.active_configuration.update(declare(7), 10.0, 10.1)
--- a/libraries/proxy/tests/test_configuration_loader.py
+++ b/libraries/proxy/tests/test_configuration_loader.py
@@ -37,12 +37,12 @@
     def load(self, revision: int, value: bytes, asked_at: float) -> bool:
         return self.loader.load(StoredObject("", revision, value), asked_at)
 
-    def test_the_same_revision_proves_again(self) -> None:
+    def test_the_same_revision_confirms_freshness(self) -> None:
         self.load(10, b"3", 100.0)
         self.assertTrue(self.load(10, b"3", 104.0))
         self.assertEqual(self.active_configuration.currency.proved_at, 104.0)
 
-    def test_an_older_revision_from_another_gateway_proves_nothing(self) -> None:
+    def test_an_older_revision_from_another_gateway_is_ignored(self) -> None:
         # Another gateway's answer was held up on its way: it has the version before,
         # and must neither come into force nor make the present one look fresh.
         self.load(11, b"4", 100.0)
@@ -50,7 +50,7 @@
         self.assertEqual(self.active_configuration.version, 4)
         self.assertEqual(self.active_configuration.currency.proved_at, 100.0)
 
-    def test_what_cannot_be_decoded_is_not_handed_on(self) -> None:
+    def test_an_undecodable_value_is_not_relayed(self) -> None:
         # A broken value lies in the store. What is in force stays, is no longer proved
         # by reads, and is what other gateways get.
         self.load(10, b"3", 100.0)
--- a/libraries/proxy/tests/test_configuration_relay.py
+++ b/libraries/proxy/tests/test_configuration_relay.py
@@ -14,7 +14,7 @@
 
 
 class SendRateTests(unittest.TestCase):
-    def test_copies_for_many_leave_half_of_the_weakest_link(self) -> None:
+    def test_copies_use_at_most_half_of_the_weakest_link(self) -> None:
         # Guards against several gateways that are turned away by the store and ask the
         # same one for a megabyte each: its own callers would wait for seconds.
         loader = mock.Mock(stored=StoredObject("", 5, b"x" * MEGABYTE))
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -130,7 +130,7 @@
                     sent += 1
         return sent
 
-    async def test_gateways_that_wake_together_share_what_a_cold_target_bears(
+    async def test_gateways_resumed_together_share_the_limit_of_a_cold_target(
         self,
     ) -> None:
         # All gateways are suspended for a while and go on at once, and their hints
@@ -144,7 +144,7 @@
         self.assertLessEqual(self.flood_cold_target(0.25), COLD_MOST)
         self.assertEqual(self.count_all(), [GATEWAYS] * GATEWAYS)
 
-    async def test_a_pause_known_before_the_list_is_looked_at_is_no_silence(
+    async def test_a_pause_recorded_before_the_count_is_no_silence(
         self,
     ) -> None:
         # As above, but what notes pauses runs first.
@@ -155,7 +155,7 @@
             gateway.hint_exchange._send_loads()
         self.assertEqual(self.count_all(), [GATEWAYS] * GATEWAYS)
 
-    async def test_a_gateway_that_is_gone_is_counted_no_longer(self) -> None:
+    async def test_a_removed_gateway_is_no_longer_counted(self) -> None:
         # A machine is taken away. The others' parts grow once it has been silent for
         # long, also if one of them is suspended for a moment meanwhile: its own time
         # counts before and after that.
@@ -167,7 +167,7 @@
         self.run_all(2.0, rest)
         self.assertEqual([g.counted for g in rest], [GATEWAYS - 1] * 3)
 
-    async def test_gateways_that_were_cut_off_find_each_other_again(self) -> None:
+    async def test_partitioned_gateways_rediscover_each_other(self) -> None:
         # No hint arrives for longer than a silent gateway is counted: all are alone.
         # When hints arrive again, nobody sends any, since each knows of no other one.
         # From then on each takes whole shares of what all may send to a cold engine or
@@ -182,7 +182,7 @@
         self.run_all(1.0)
         self.assertEqual(self.count_all(), [GATEWAYS] * GATEWAYS)
 
-    async def test_a_gateway_that_has_not_read_the_list_spares_cold_targets(
+    async def test_a_gateway_without_the_list_sends_nothing_to_cold_targets(
         self,
     ) -> None:
         # All gateways lose power, and engines come back cold. The gateways run again
@@ -194,7 +194,7 @@
         self.gateways[0].registry.record_hint("g-1", "10.0.0.1", PORT)
         self.assertEqual(self.flood_cold_target(0.25), 0)
 
-    async def test_a_gateway_that_is_gone_gets_a_hint_for_each_read_alone(self) -> None:
+    async def test_a_removed_gateway_gets_one_hint_per_read(self) -> None:
         # A machine is taken away, and its entry stays. It is not counted again for
         # that, and hints to its address cost next to nothing.
         gone, *rest = self.gateways
--- a/libraries/proxy/tests/test_gateway_registry.py
+++ b/libraries/proxy/tests/test_gateway_registry.py
@@ -21,7 +21,7 @@
 
 
 class GatewayRegistryTests(unittest.IsolatedAsyncioTestCase):
-    async def test_a_long_list_is_read_seldom(self) -> None:
+    async def test_a_long_list_is_read_less_often(self) -> None:
         # Guards against a whole list being read at one interval whatever its length:
         # 340 gateways would each spend 9 KB a second on it.
         value = msgspec.json.encode(GatewayEntry("10.0.0.1", 7000, 1))
--- a/libraries/proxy/tests/test_hints.py
+++ b/libraries/proxy/tests/test_hints.py
@@ -19,7 +19,7 @@
 
 
 class HintTests(unittest.TestCase):
-    def test_every_hint_survives_its_way(self) -> None:
+    def test_every_hint_round_trips(self) -> None:
         loads = [TargetLoadHint("i-1", 3, 1000, 500)]
         hints: list[Hint] = [
             LoadHint("gateway-1", 4, 123, loads, [CrashHint(b"\x00\xff", "i-2")]),
@@ -31,7 +31,7 @@
             with self.subTest(hint):
                 self.assertEqual(decode(encode(hint)), hint)
 
-    def test_what_is_no_hint_is_dropped(self) -> None:
+    def test_invalid_datagrams_are_dropped(self) -> None:
         for data in (b"", b"\x00", b"hello", b"\x93\xa4load", bytes(1400)):
             with self.subTest(data):
                 self.assertIsNone(decode(data))
--- a/libraries/proxy/tests/test_limit_hints.py
+++ b/libraries/proxy/tests/test_limit_hints.py
@@ -56,7 +56,7 @@
         assert isinstance(received, LoadHint)
         LimitHints(fleet, random.Random(2)).apply(now, "g-1", received.limits)
 
-    def test_a_limit_and_its_end_reach_the_others(self) -> None:
+    def test_a_limit_and_its_end_reach_other_gateways(self) -> None:
         other = make_fleet(["i-1"], self.now)
         find_limit(self.sent, "i-1").note_named(100.0, 1.5)
         self.send_hints(other, 100.2)
@@ -66,14 +66,14 @@
         self.send_hints(other, 101.2)
         self.assertFalse(find_limit(other, "i-1").in_force)
 
-    def test_another_start_of_the_target_has_no_limit(self) -> None:
+    def test_another_instance_of_the_target_has_no_limit(self) -> None:
         # Guards against a target that restarted under its name and is left idle.
         other = make_fleet(["i-1"], self.now, born=2)
         find_limit(self.sent, "i-1").note_named(100.0, 1.5)
         self.send_hints(other, 100.2)
         self.assertFalse(find_limit(other, "i-1").in_force)
 
-    def test_only_what_answers_said_lately_is_told(self) -> None:
+    def test_only_limits_of_recent_responses_are_sent(self) -> None:
         other = make_fleet(["i-1"], self.now)
         find_limit(self.sent, "i-1").note_named(100.0, 1.5)
         self.send_hints(other, 100.2)
@@ -91,7 +91,7 @@
         hint = LoadHint("g-1", 1, 1, [], [], hints)
         self.assertLess(len(encode(hint)), 500)
 
-    def test_what_cannot_be_read_changes_nothing(self) -> None:
+    def test_an_unreadable_limit_changes_nothing(self) -> None:
         state = self.sent.find("i-1")
         assert state is not None
         state.limit.note_named(99.0, 1.5)
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -83,7 +83,7 @@
 
 
 class SettleTests(unittest.IsolatedAsyncioTestCase):
-    async def test_a_start_is_not_known_longer_than_it_was_seen(self) -> None:
+    async def test_an_instance_is_not_known_longer_than_it_was_observed(self) -> None:
         # A gateway is suspended for four seconds between taking the time of a question
         # and sending it. A store began anew just before it wakes. The gateway takes
         # that start for four seconds old and tells engines to write there at once,
@@ -133,12 +133,12 @@
         task.cancel()
         return stores.requests, len(relay.requested)
 
-    async def test_few_gateways_ask_the_stores_themselves(self) -> None:
+    async def test_few_gateways_poll_the_stores_directly(self) -> None:
         requests, requested = await self.follow(DIRECT_GATEWAYS, "g-0")
         self.assertGreater(requests, 0)
         self.assertEqual(requested, 0)
 
-    async def test_of_many_gateways_eight_ask_the_stores(self) -> None:
+    async def test_eight_of_many_gateways_poll_the_stores(self) -> None:
         # Each of 21 gateways decides for itself. More than eight would be turned away
         # by the stores, fewer than one would leave all without news.
         direct = 0
--- a/libraries/proxy/tests/test_part_relay.py
+++ b/libraries/proxy/tests/test_part_relay.py
@@ -93,7 +93,7 @@
         assert store is not None
         return store.trusts(self.now) and store.has(SCOPE, part, 500)
 
-    async def test_changes_are_handed_on_once(self) -> None:
+    async def test_changes_are_relayed_once(self) -> None:
         self.hear(7, *(PartChange(SCOPE, f"p{n}", 500) for n in range(100)))
         await self.request()
         self.hear(7, PartChange(SCOPE, "new", 500), PartChange(SCOPE, "p1", 0))
@@ -103,7 +103,7 @@
         self.assertTrue(self.has("p2"))
         self.assertLess(self.caller.sizes[1], self.caller.sizes[0] / 10)
 
-    async def test_trust_counts_from_when_the_store_answered(self) -> None:
+    async def test_validity_counts_from_the_response_of_the_store(self) -> None:
         # The store goes silent. The gateway that asks it goes on answering others with
         # what it heard last; nobody fetches from the store for longer than that one.
         self.hear(7, PartChange(SCOPE, "p", 500))
@@ -113,7 +113,7 @@
         self.now += TRUST_SECONDS - 1.0
         self.assertFalse(self.has("p"))
 
-    async def test_a_store_that_restarts_is_believed_to_be_empty(self) -> None:
+    async def test_a_restarted_store_is_assumed_empty(self) -> None:
         self.hear(7, PartChange(SCOPE, "p", 500))
         await self.request()
         self.hear(8, PartChange(SCOPE, "q", 500))
@@ -121,7 +121,7 @@
         self.assertFalse(self.has("p"))
         self.assertTrue(self.has("q"))
 
-    async def test_a_gateway_that_starts_may_save_in_a_store_long_known(self) -> None:
+    async def test_a_new_gateway_may_save_in_a_store_known_to_others(self) -> None:
         # The store has been up for long, which a gateway that has just started cannot
         # know by itself. It must not save in one that may have restarted a moment ago.
         self.hear(7)
@@ -138,7 +138,7 @@
         assert store is not None
         self.assertTrue(store.may_save(self.now, 500))
 
-    async def test_a_start_looks_no_older_than_the_first_gateway_saw_it(self) -> None:
+    async def test_an_instance_looks_no_older_than_first_observed(self) -> None:
         # Answers come late, at the gateway that asks the store as well as at the one
         # that asks that gateway. A store that restarted a moment before the first one
         # read of it is written to by neither of them too early.
@@ -163,7 +163,7 @@
                     other.take(now, now, PartNews(epoch, 5000, ()))
                     self.assertEqual(other.may_save(now, 500), now > seen + 3)
 
-    async def test_a_start_is_known_from_what_is_heard_of_it_later(self) -> None:
+    async def test_later_updates_refine_the_age_of_an_instance(self) -> None:
         # The first news told little of how long the start is known. Later ones that
         # come quickly tell more, and never more than is true.
         self.caller.travel = functools.partial(self.pass_time, 0.3)
@@ -180,7 +180,7 @@
         self.assertFalse(store.may_save(seen + SETTLE_SECONDS - 1e-6, 500))
         self.assertTrue(store.may_save(seen + SETTLE_SECONDS + 0.01, 500))
 
-    async def test_another_gateway_counts_in_its_own_way(self) -> None:
+    async def test_positions_are_specific_to_a_gateway(self) -> None:
         # The gateway that was asked is gone; another one has seen the same changes in
         # other numbers. What is known is taken anew and not added to.
         self.hear(7, PartChange(SCOPE, "p", 500))
@@ -249,7 +249,7 @@
         plan = self.third.plan(self.now, SCOPE, [(part, 500)], 0)
         return plan is not None and bool(plan.save[0])
 
-    async def test_a_part_that_was_lost_is_not_believed_there_again(self) -> None:
+    async def test_a_lost_part_is_not_fetched_after_an_outdated_update(self) -> None:
         # The gateway that told of the new start is gone, so the third one asks the
         # other, which has not heard of it yet. A prompt whose shared part the store
         # lost at its restart is sent with a fetch from there: the engine finds nothing,
@@ -258,7 +258,7 @@
         await self.request(self.slow, SECOND)
         self.assertFalse(self.fetches("lost"))
 
-    async def test_nothing_is_saved_soon_after_a_start_that_was_known(self) -> None:
+    async def test_nothing_is_saved_soon_after_a_known_restart(self) -> None:
         # As above. The former start has been known for long, so the third gateway has
         # parts written to the store at once, while others may still fetch by what they
         # know of that start: they could read half a part, and a caller's answer would
@@ -271,14 +271,14 @@
             await self.request(self.slow, SECOND)
             self.assertEqual(self.saves("new"), self.now >= self.began + SETTLE_SECONDS)
 
-    async def test_a_start_later_than_the_known_one_is_taken(self) -> None:
+    async def test_an_instance_later_than_the_known_one_is_accepted(self) -> None:
         # The other one has heard more by now, and of one more start.
         self.now += 0.1
         self.hear(self.slow, self.former - 1, PartChange(SCOPE, "new", 500))
         await self.request(self.slow, SECOND)
         self.assertTrue(self.fetches("new"))
 
-    async def test_changes_are_whole_after_news_that_were_not_taken(self) -> None:
+    async def test_changes_are_complete_after_a_rejected_update(self) -> None:
         # The other one hears of the new start after it was asked once. All that it
         # knows of that start is believed, and nothing of the former one.
         await self.request(self.slow, SECOND)
--- a/libraries/proxy/tests/test_publish_times.py
+++ b/libraries/proxy/tests/test_publish_times.py
@@ -60,7 +60,7 @@
         listing = Listing(5, (StoredObject(KEY, 5, value),))
         self.store.list.return_value = Ok(listing)
 
-    async def test_the_earliest_time_is_written_not_that_of_hearing(self) -> None:
+    async def test_the_earliest_time_is_written_not_that_of_receipt(self) -> None:
         # A gateway that stood still is the only one left, and one that starts later
         # goes by what it wrote.
         self.store.write.return_value = Ok(5)
@@ -70,13 +70,13 @@
         written = msgspec.json.decode(value, type=PublishedAt)
         self.assertAlmostEqual(written.seconds, TODAY - 3.3)
 
-    async def test_who_knows_little_reads_what_others_wrote(self) -> None:
+    async def test_a_late_receiver_reads_the_time_others_wrote(self) -> None:
         self.let_others_have_written(age=1.0)
         await self.name(NOW - 9.0)
         since = self.weights.find_since("m")
         self.assertAlmostEqual(since, NOW - 1.0 - ENTRY_ERROR_SECONDS)
 
-    async def test_a_guess_that_cannot_be_written_is_corrected_by_what_others_wrote(
+    async def test_a_guess_that_cannot_be_written_is_corrected_from_the_store(
         self,
     ) -> None:
         # A gateway was cut off as weights were named, and takes them for named at its
@@ -92,7 +92,7 @@
             await self.publish_times.finish()
         self.assertLessEqual(self.weights.find_since("m"), NOW - 10.0)
 
-    async def test_what_is_guessed_is_written_as_a_guess(self) -> None:
+    async def test_a_guess_is_written_as_a_guess(self) -> None:
         self.store.write.return_value = Ok(5)
         self.weights.name("m", 2, NOW, guessed=True)
         self.publish_times.record_published("m", 2, NOW)
@@ -100,13 +100,13 @@
         value = self.store.write.call_args.args[1]
         self.assertTrue(msgspec.json.decode(value, type=PublishedAt).guessed)
 
-    async def test_who_heard_at_once_asks_nobody(self) -> None:
+    async def test_a_timely_receiver_reads_nothing(self) -> None:
         self.let_others_have_written(age=1.0)
         await self.name(NOW)
         self.store.list.assert_not_called()
         self.assertEqual(self.weights.find_since("m"), NOW)
 
-    async def test_who_knows_little_learns_of_each_version_named_meanwhile(
+    async def test_a_late_receiver_reads_all_versions_published_meanwhile(
         self,
     ) -> None:
         # Version 2 was named 10 s ago and version 3 one second ago; others wrote both
@@ -129,7 +129,7 @@
         await self.publish_times.finish()
         self.assertEqual(self.weights.find_oldest_allowed(NOW + 1.0, "m"), 2)
 
-    async def test_weights_named_as_the_store_returns_to_all_spare_older_ones(
+    async def test_weights_published_at_the_recovery_allow_older_ones(
         self,
     ) -> None:
         # The store is down for all for ten seconds, and new weights are named as it
@@ -160,7 +160,7 @@
         await self.publish_times.finish()
         self.assertEqual(self.weights.find_oldest_allowed(NOW + 1.0, "m"), 1)
 
-    async def test_entries_that_say_nothing_any_more_are_removed(self) -> None:
+    async def test_obsolete_entries_are_removed(self) -> None:
         # Weights are named for two years, and nothing in the store lapses by itself. A
         # start would read thousands of entries. Of those that are long over, the
         # newest still says that what is older may not serve.
@@ -177,7 +177,7 @@
         removed = [call.args for call in self.store.delete.call_args_list]
         self.assertEqual(removed, [("ages/m/1", 1), ("ages/m/2", 2)])
 
-    async def test_removing_what_is_long_over_delays_no_start(self) -> None:
+    async def test_removing_obsolete_entries_delays_no_start(self) -> None:
         # Weights were named 40 times in a day, and the store takes 0.3 s for a call. A
         # gateway starts, removes the entries that are long over one after the other,
         # and only then reads which weights are named: callers find it not ready for
@@ -201,7 +201,7 @@
         task.cancel()
         follower.run.assert_called_once_with()
 
-    async def test_two_clocks_that_are_off_make_no_version_younger(self) -> None:
+    async def test_clock_errors_make_no_version_look_younger(self) -> None:
         # The clock of the machine that wrote an entry is three seconds ahead, that of
         # the reader as much behind: each is off by what one may be. A gateway that
         # heard late then takes weights named nine seconds ago for six seconds old, and
@@ -265,7 +265,7 @@
         await asyncio.gather(*written)
         return heard
 
-    async def test_one_gateway_s_pause_ends_no_older_weights_at_all_others(
+    async def test_a_pause_of_one_gateway_expires_no_weights_at_others(
         self,
     ) -> None:
         # The store is down for all for five seconds; weights are named as it returns.
--- a/libraries/proxy/tests/test_store_availability.py
+++ b/libraries/proxy/tests/test_store_availability.py
@@ -55,7 +55,7 @@
             observer.apply_listing(Listing(9, ()), 3.5, 100.0)
         self.assertEqual(fleet.list_service("chat", 103.6), [])
 
-    async def test_a_large_configuration_on_its_way_is_no_outage(self) -> None:
+    async def test_a_large_configuration_in_transfer_is_no_outage(self) -> None:
         # Guards against a target that goes while a weak link carries a megabyte: taken
         # for an outage of the store, it would get requests for two seconds more.
         availability = StoreAvailability()
@@ -78,7 +78,7 @@
             await follower.read()
         self.assertEqual(seen[1], False)
 
-    async def test_a_large_version_told_by_a_watch_is_no_outage(self) -> None:
+    async def test_a_large_version_received_by_a_watch_is_no_outage(self) -> None:
         # Guards against the same while a new version arrives by a watch, which a weak
         # link ends seconds after its wait is over.
         availability = StoreAvailability()
@@ -108,7 +108,7 @@
                 await follower.run()
         self.assertEqual(seen, [False])
 
-    def test_a_store_that_takes_no_call_for_a_second_was_away(self) -> None:
+    def test_a_store_that_accepts_no_call_for_a_second_had_an_outage(self) -> None:
         # Its last call was taken at 100.0 and the next at 101.2; entries have lapsed.
         availability = StoreAvailability()
         availability.record_response(100.0, 100.0)
@@ -118,7 +118,7 @@
         self.assertTrue(availability.is_recovering(101.2))
         self.assertFalse(availability.is_recovering(103.5))
 
-    def test_one_call_that_fails_among_others_is_no_outage(self) -> None:
+    def test_one_failed_call_among_others_is_no_outage(self) -> None:
         # A read's connection goes silent for the 1.5 s that it may last, while watches
         # are made and answered.
         availability = StoreAvailability()
@@ -130,7 +130,7 @@
         availability.record_response(102.0, 102.0)
         self.assertFalse(availability.is_recovering(102.0))
 
-    def test_an_outage_that_ends_before_a_call_has_failed_is_noted(self) -> None:
+    def test_an_outage_that_ends_before_a_call_fails_is_detected(self) -> None:
         # The store answers nobody from 100.0 to 101.3. A read made at 100.8 has not yet
         # failed as a list is answered.
         availability = StoreAvailability()
@@ -140,7 +140,7 @@
         availability.record_response(101.5, 101.5)
         self.assertTrue(availability.is_recovering(101.5))
 
-    def test_a_read_that_waits_for_the_store_s_return_tells_of_it(self) -> None:
+    def test_a_read_pending_during_an_outage_reveals_it(self) -> None:
         availability = StoreAvailability()
         availability.record_response(100.0, 100.0)
         availability.record_sent(100.2)
@@ -149,7 +149,7 @@
         availability.record_response(100.2, 101.3)
         self.assertTrue(availability.is_recovering(101.4))
 
-    def test_a_read_that_waited_through_a_pause_tells_of_no_outage(self) -> None:
+    def test_a_read_pending_during_a_pause_is_no_outage(self) -> None:
         availability = StoreAvailability()
         availability.record_response(100.0, 100.0)
         availability.record_sent(100.5)
@@ -168,7 +168,7 @@
         availability.record_response(101.5, 101.5)
         self.assertTrue(availability.is_recovering(101.5))
 
-    def test_entries_that_lapse_before_the_first_answer_may_come_back(self) -> None:
+    def test_entries_that_expire_before_the_first_response_may_return(self) -> None:
         # A watch that outlived the outage tells of them before another call is taken.
         availability = StoreAvailability()
         availability.record_response(100.0, 100.0)
@@ -176,7 +176,7 @@
         self.assertFalse(availability.is_recovering(100.9))
         self.assertTrue(availability.is_recovering(101.1))
 
-    def test_a_store_that_answers_slowly_is_not_away(self) -> None:
+    def test_a_slow_store_is_not_unavailable(self) -> None:
         # Each answer takes 0.3 s, and each read follows the last after 0.9 s.
         availability = StoreAvailability()
         for asked in (100.0, 101.2, 102.4, 103.6):
@@ -185,7 +185,7 @@
             availability.record_response(asked, asked + 0.3)
             self.assertFalse(availability.is_recovering(asked + 0.3))
 
-    def test_a_gateway_that_stood_still_takes_the_store_for_there(self) -> None:
+    def test_a_suspended_gateway_assumes_no_outage(self) -> None:
         # It is suspended from 100.5 to 104.5, with a read under way. That runs out of
         # time as the gateway runs again; the next is answered. A connection that the
         # store closed meanwhile makes a further call fail.
@@ -207,7 +207,7 @@
         availability.record_response(106.0, 106.0)
         self.assertTrue(availability.is_recovering(106.0))
 
-    def test_an_outage_that_begins_after_a_pause_is_noted(self) -> None:
+    def test_an_outage_that_starts_after_a_pause_is_detected(self) -> None:
         # A call is answered before the gateway notes that it stood still.
         availability = StoreAvailability()
         availability.record_response(104.4, 104.4)
@@ -229,7 +229,7 @@
             await store.list("t/")
         return availability
 
-    async def test_a_watch_that_fails_is_no_sign_of_an_outage(self) -> None:
+    async def test_a_failed_watch_is_no_sign_of_an_outage(self) -> None:
         failed = Err(PlatformUnavailableError("no answer"))
         listing = Ok(Listing(9, ()))
         availability = await self.call_store(
@@ -237,7 +237,7 @@
         )
         self.assertFalse(availability.is_recovering(103.5))
 
-    async def test_a_list_that_fails_is_one(self) -> None:
+    async def test_a_failed_list_is_a_sign_of_an_outage(self) -> None:
         failed = Err(PlatformUnavailableError("status 503"))
         availability = await self.call_store(
             **{"watch_values.return_value": failed, "list.return_value": failed}
--- a/libraries/proxy/tests/test_store_followers.py
+++ b/libraries/proxy/tests/test_store_followers.py
@@ -25,7 +25,7 @@
 
 
 class StartTests(unittest.IsolatedAsyncioTestCase):
-    async def test_a_start_right_after_a_naming_spares_older_weights(self) -> None:
+    async def test_a_start_right_after_a_publication_allows_older_weights(self) -> None:
         # New weights are named, and a gateway starts before any other has written that
         # down, which takes up to 0.4 s. It finds the version and nobody's word on its
         # age, takes it for as old as can be and never asks again: callers there get 503
--- a/libraries/proxy/tests/test_weight_load_announcer.py
+++ b/libraries/proxy/tests/test_weight_load_announcer.py
@@ -40,7 +40,7 @@
     def list_receivers(self) -> list[str]:
         return [call.args[1].host for call in self.socket.send.call_args_list]
 
-    async def test_a_hint_is_repeated_before_it_lapses(self) -> None:
+    async def test_a_hint_is_repeated_before_it_expires(self) -> None:
         # One datagram in a row may be lost without a gateway sending long answers.
         self.list_gateways("10.0.0.1")
         with mock.patch("bamboopier_proxy.gateway_registry.log"):
@@ -51,7 +51,7 @@
         self.assertGreaterEqual(len(self.list_receivers()), 3)
         self.assertLess(len(self.list_receivers()), 6)
 
-    async def test_a_load_is_told_at_once_after_a_drain(self) -> None:
+    async def test_a_load_is_announced_at_once_after_a_drain(self) -> None:
         self.list_gateways("10.0.0.1")
         with mock.patch("bamboopier_proxy.gateway_registry.log"):
             await self.announcer.refresh()
@@ -61,7 +61,7 @@
         hints = [call.args[0] for call in self.socket.send.call_args_list]
         self.assertEqual([hint.busy_ms > 0 for hint in hints], [False, True])
 
-    async def test_the_list_is_read_anew_and_kept_while_the_store_is_away(self) -> None:
+    async def test_the_list_is_reread_and_retained_during_a_store_outage(self) -> None:
         # A gateway is replaced by one at another address; then the store goes away.
         self.list_gateways("10.0.0.1")
         with mock.patch("bamboopier_proxy.gateway_registry.log"):
--- a/libraries/proxy/tests/test_weights_observer.py
+++ b/libraries/proxy/tests/test_weights_observer.py
@@ -63,12 +63,12 @@
         found = StoredObject("v/m", 9, str(version).encode())
         self.observer.apply_listing(Listing(9, (found,)), 0.0, known_until)
 
-    def test_what_a_watch_tells_was_named_just_now(self) -> None:
+    def test_a_version_received_by_a_watch_was_published_now(self) -> None:
         self.send_by_watch(2)
         self.assertEqual(self.weights.find_since("m"), 100.0)
         self.changed.assert_called_once_with(NamedWeights("m", 2), 100.0)
 
-    def test_what_was_told_during_a_pause_may_be_as_old_as_that(self) -> None:
+    def test_a_version_received_after_a_pause_may_be_as_old_as_it(self) -> None:
         # The process stands still for 3.3 s. The watch's answer is the first thing it
         # reads then, and says nothing of when the version was named.
         self.now = 103.3
@@ -76,19 +76,19 @@
         self.assertEqual(self.weights.find_since("m"), 100.0)
         self.assertEqual(self.log.info.call_args.kwargs["age_seconds"], 3.3)
 
-    def test_a_list_after_a_silent_watch_goes_back_to_its_start(self) -> None:
+    def test_a_list_after_a_silent_watch_dates_from_its_start(self) -> None:
         self.send_by_list(1, NEVER)
         self.send_by_list(2, 98.5)
         self.assertEqual(self.weights.find_since("m"), 98.5)
         self.changed.assert_called_once_with(NamedWeights("m", 2), 98.5)
 
-    def test_the_first_list_says_nothing_of_when(self) -> None:
+    def test_the_first_list_gives_no_publication_time(self) -> None:
         self.send_by_list(4, NEVER)
         self.assertEqual(self.weights.find_oldest_allowed(self.now, "m"), 4)
         self.changed.assert_not_called()
         self.assertIsNone(self.log.info.call_args.kwargs["age_seconds"])
 
-    def test_a_version_that_is_listed_again_keeps_its_time(self) -> None:
+    def test_a_version_listed_again_retains_its_time(self) -> None:
         self.send_by_watch(2)
         self.now = 108.0
         self.send_by_list(2, 106.0)
@@ -162,7 +162,7 @@
         self.run_for(seconds)
         return Ok(ChangeBatch(9, (ChangedObject("v/m", 9, b"2"),)))
 
-    async def test_weights_named_after_a_pause_spare_older_ones_for_their_time(
+    async def test_weights_published_after_a_pause_allow_older_ones(
         self,
     ) -> None:
         # A gateway stands still for six seconds. It then lists the weights and watches
@@ -178,7 +178,7 @@
         )
         self.assertEqual(self.weights.find_oldest_allowed(self.now, "m"), 1)
 
-    async def test_what_a_watch_tells_late_may_be_as_old_as_the_watch(self) -> None:
+    async def test_a_late_watch_response_may_be_as_old_as_the_watch(self) -> None:
         # Weights are named as a gateway makes a watch of two seconds. The answer is
         # held up until 2.75 s later, just before the watch would be given up.
         # Counted from the reading, callers are answered on older weights up to 12.15 s
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -22,7 +22,7 @@
         "        unread_since = self._pauses.find_unread_since(now)\n",
         "        unread_since = now\n",
         "libraries/proxy",
-        f"{OBSERVER}.test_what_was_told_during_a_pause_may_be_as_old_as_that",
+        f"{OBSERVER}.test_a_version_received_after_a_pause_may_be_as_old_as_it",
     ),
     Mutation(
         "weights found by a list may be as old as the watch that failed",
@@ -30,7 +30,7 @@
         "        since = now if guessed else known_until\n",
         "        since = now\n",
         "libraries/proxy",
-        f"{OBSERVER}.test_a_list_after_a_silent_watch_goes_back_to_its_start",
+        f"{OBSERVER}.test_a_list_after_a_silent_watch_dates_from_its_start",
     ),
     Mutation(
         "what is written is the earliest time, not that of hearing",
@@ -38,7 +38,7 @@
         "        named_at = time.time() - age\n",
         "        named_at = time.time()\n",
         "libraries/proxy",
-        f"{AGES}.test_the_earliest_time_is_written_not_that_of_hearing",
+        f"{AGES}.test_the_earliest_time_is_written_not_that_of_receipt",
     ),
     Mutation(
         "a request whose caller has left is taken back by a reset",
@@ -78,7 +78,7 @@
         "        return self._pauses.read_run(read_clock())\n",
         "        return read_clock()\n",
         "libraries/proxy",
-        f"{PEERS}.test_gateways_that_wake_together_share_what_a_cold_target_bears",
+        f"{PEERS}.test_gateways_resumed_together_share_the_limit_of_a_cold_target",
     ),
     Mutation(
         "a pause that has not been noted yet is no silence of the others",
@@ -86,7 +86,7 @@
         "        return now - self._paused - pending\n",
         "        return now - self._paused\n",
         "libraries/proxy",
-        f"{PEERS}.test_gateways_that_wake_together_share_what_a_cold_target_bears",
+        f"{PEERS}.test_gateways_resumed_together_share_the_limit_of_a_cold_target",
     ),
     Mutation(
         "a pause that was noted is no silence of the others",
@@ -94,7 +94,7 @@
         "        self._paused += gap\n",
         "        pass\n",
         "libraries/proxy",
-        f"{PEERS}.test_a_pause_known_before_the_list_is_looked_at_is_no_silence",
+        f"{PEERS}.test_a_pause_recorded_before_the_count_is_no_silence",
     ),
     Mutation(
         "registered gateways that are silent get hints",
@@ -102,7 +102,7 @@
         ", *silent]:\n",
         "]:\n",
         "libraries/proxy",
-        f"{PEERS}.test_gateways_that_were_cut_off_find_each_other_again",
+        f"{PEERS}.test_partitioned_gateways_rediscover_each_other",
     ),
     Mutation(
         "a cold target gets less than one a second from each of many gateways",
@@ -119,7 +119,7 @@
         "        self.fleet.gateways, self.fleet.place = ASSUMED_GATEWAYS, None\n",
         "",
         "libraries/proxy",
-        f"{PEERS}.test_a_gateway_that_has_not_read_the_list_spares_cold_targets",
+        f"{PEERS}.test_a_gateway_without_the_list_sends_nothing_to_cold_targets",
     ),
     Mutation(
         "a hint does not make known how many gateways there are",
@@ -127,7 +127,7 @@
         "        if self._has_list and counted != self._reported_count:\n",
         "        if counted != self._reported_count:\n",
         "libraries/proxy",
-        f"{PEERS}.test_a_gateway_that_has_not_read_the_list_spares_cold_targets",
+        f"{PEERS}.test_a_gateway_without_the_list_sends_nothing_to_cold_targets",
     ),
     Mutation(
         "news of a store's former start are not taken when they are handed on",
@@ -135,7 +135,7 @@
         "        if store.is_former(news):\n            return\n",
         "",
         "libraries/proxy",
-        f"{STARTS}.test_nothing_is_saved_soon_after_a_start_that_was_known",
+        f"{STARTS}.test_nothing_is_saved_soon_after_a_known_restart",
     ),
     Mutation(
         "a start that is later by the stores' clock is taken when it is handed on",
@@ -143,7 +143,7 @@
         " and news.clock_ms < self.clock_ms\n",
         "\n",
         "libraries/proxy",
-        f"{STARTS}.test_a_start_later_than_the_known_one_is_taken",
+        f"{STARTS}.test_an_instance_later_than_the_known_one_is_accepted",
     ),
     Mutation(
         "what was told before a change bounds its age after a pause",
@@ -151,7 +151,7 @@
         "        return max(known_until, unread_since)\n",
         "        return unread_since\n",
         "libraries/proxy",
-        f"{FOLLOWED}.test_weights_named_after_a_pause_spare_older_ones_for_their_time",
+        f"{FOLLOWED}.test_weights_published_after_a_pause_allow_older_ones",
     ),
     Mutation(
         "what a watch tells late may be as old as the watch",
@@ -159,7 +159,7 @@
         "            return known_until\n",
         "            return now\n",
         "libraries/proxy",
-        f"{FOLLOWED}.test_what_a_watch_tells_late_may_be_as_old_as_the_watch",
+        f"{FOLLOWED}.test_a_late_watch_response_may_be_as_old_as_the_watch",
     ),
     Mutation(
         "who knows only that weights may be old writes last",
@@ -168,7 +168,7 @@
         "    return 0\n",
         "libraries/proxy",
         "tests.test_publish_times.SharedPublishTimesTests"
-        ".test_one_gateway_s_pause_ends_no_older_weights_at_all_others",
+        ".test_a_pause_of_one_gateway_expires_no_weights_at_others",
     ),
     Mutation(
         "a guess makes no version younger than is known",
