--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -22,13 +22,13 @@
 from bamboopier_objects.object_follower import ObjectFollower
 
 from .hint_socket import HintSocket
-from .load_announcer import LoadAnnouncer
+from .weight_load_announcer import WeightLoadAnnouncer
 from .observers import WeightsObserver
 from .pause_watch import PauseWatch
 from .settings_watch import SettingsWatch
 from .target_directory import TargetDirectory
-from .weight_ages import WeightAges, follow_weights
-from .weight_roller import WeightRoller
+from .publish_times import PublishTimes, follow_weights
+from .weight_updater import WeightUpdater
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -79,36 +79,36 @@
             socket = await stack.enter_async_context(
                 HintSocket(settings.host, settings.first_port, lambda *_: None)
             )
-            roller = WeightRoller(
+            updater = WeightUpdater(
                 settings.vm,
                 settings.target,
                 orders,
                 weights,
                 lease,
                 slots,
-                LoadAnnouncer(store, vocabulary.gateways_prefix, socket),
+                WeightLoadAnnouncer(store, vocabulary.gateways_prefix, socket),
                 directory,
                 generator,
             )
-            ages = WeightAges(store, vocabulary.ages_prefix, weights, generator)
+            publish_times = PublishTimes(store, vocabulary.ages_prefix, weights, generator)
 
-            def note_named(named: NamedWeights, since: float) -> None:
-                ages.note_heard(named.model, named.version, since)
-                roller.changed.set()
+            def on_published(named: NamedWeights, since: float) -> None:
+                publish_times.read_if_late(named.model, named.version, since)
+                updater.changed.set()
 
             follower = ObjectFollower(
                 store,
                 vocabulary.weights_prefix,
-                WeightsObserver(vocabulary, weights, pause_watch.pauses, note_named),
+                WeightsObserver(vocabulary, weights, pause_watch.pauses, on_published),
                 WATCH_SECONDS,
                 generator,
                 read_clock,
             )
             await stack.enter_async_context(keep_running(pause_watch.run()))
             await stack.enter_async_context(
-                keep_running(follow_weights(ages, follower))
+                keep_running(follow_weights(publish_times, follower))
             )
-            await stack.enter_async_context(keep_running(roller.run()))
+            await stack.enter_async_context(keep_running(updater.run()))
             watch = SettingsWatch(
                 settings,
                 read_settings,
--- a/libraries/proxy/src/bamboopier_proxy/configuration_intake.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_loader.py
@@ -12,30 +12,30 @@
 if TYPE_CHECKING:
     from bamboopier_objects.objects import StoredObject
 
-    from .knowledge import Knowledge
+    from .active_configuration import ActiveConfiguration
     from .vocabulary import Vocabulary
 
 log = structlog.get_logger()
 
 
-class ConfigurationIntake:
+class ConfigurationLoader:
     """Decodes each stored version once and keeps the newest as it was stored."""
 
-    def __init__(self, vocabulary: Vocabulary, knowledge: Knowledge) -> None:
+    def __init__(self, vocabulary: Vocabulary, active_configuration: ActiveConfiguration) -> None:
         self._vocabulary = vocabulary
-        self._knowledge = knowledge
+        self._active_configuration = active_configuration
         # The newest that could be decoded; None before the first.
         self.stored: StoredObject | None = None
         # Whether the store answered the last question for it.
-        self.store_answers = True
+        self.store_available = True
         # Revision of a newer one that could not be decoded.
-        self._set_aside = 0
+        self._undecodable_revision = 0
 
     @property
     def _revision(self) -> int:
         return self.stored.version if self.stored is not None else 0
 
-    def take(self, found: StoredObject, asked_at: float) -> bool:
+    def load(self, found: StoredObject, asked_at: float) -> bool:
         """Take what was current at ``asked_at``; False for an older one.
 
         What cannot be decoded is set aside: what is in force stays, but nothing proves
@@ -49,20 +49,20 @@
             )
             return False
         if found.version == self._revision:
-            self._knowledge.confirm(self._knowledge.version, asked_at)
+            self._active_configuration.confirm(self._active_configuration.version, asked_at)
             return True
-        if found.version <= self._set_aside:
+        if found.version <= self._undecodable_revision:
             return True
         decoded = self._vocabulary.decode_configuration(found.value)
         if isinstance(decoded, Err):
             log.error("configuration set aside", reason=decoded.err_value)
-            self._set_aside = found.version
+            self._undecodable_revision = found.version
             return True
         self.stored = found
-        self._knowledge.take(decoded.ok_value, asked_at, read_clock(), len(found.value))
+        self._active_configuration.update(decoded.ok_value, asked_at, read_clock(), len(found.value))
         return True
 
     def confirm(self, proved_at: float) -> None:
         """Take in that nothing newer had been stored at ``proved_at``."""
-        if self._set_aside <= self._revision:
-            self._knowledge.confirm(self._knowledge.version, proved_at)
+        if self._undecodable_revision <= self._revision:
+            self._active_configuration.confirm(self._active_configuration.version, proved_at)
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -38,7 +38,7 @@
     from collections.abc import Callable
 
     from .dialect import Dialect
-    from .part_follower import PartStores
+    from .part_follower import PartStoreClient
     from .settings import ProxySettings
     from .vocabulary import Store, Vocabulary
 
@@ -56,7 +56,7 @@
     store: Store,
     vocabulary: Vocabulary,
     dialect: Dialect,
-    part_stores: PartStores,
+    part_store_client: PartStoreClient,
     read_settings: Callable[[], ProxySettings],
 ) -> None:
     """Serve until SIGTERM, then let every request finish."""
@@ -66,33 +66,33 @@
     metrics = ProxyMetrics()
     pause_watch = PauseWatch(metrics.registry)
     state = GatewayState(settings, vocabulary, pause_watch.pauses)
-    pause_watch.listeners.append(state.health.note_pause)
+    pause_watch.listeners.append(state.availability.record_pause)
     followers = StoreFollowers(state, store, vocabulary, generator)
-    peers = GatewayPeers(settings, state, store, vocabulary, part_stores, generator)
+    peers = GatewayPeers(settings, state, store, vocabulary, part_store_client, generator)
     pool = TargetPool(dialect.name_request_id())
     begins = BeginWatch(state.weights)
     forwarder = Forwarder(
         state.fleet,
-        state.knowledge,
+        state.active_configuration,
         SendPlanner(state.weights, state.kept),
         Exchange(pool, state.fleet, dialect, begins),
         state.room,
         metrics,
-        peers.gossip,
+        peers.hint_exchange,
         state.shares,
         settings.data_centre,
         generator,
     )
     ingress = Ingress(
-        dialect, state.knowledge, forwarder, metrics, settings.memory_bytes, generator
+        dialect, state.active_configuration, forwarder, metrics, settings.memory_bytes, generator
     )
-    watch = SettingsWatch(settings, read_settings, state.take_settings)
+    watch = SettingsWatch(settings, read_settings, state.apply_settings)
 
     def is_ready() -> bool:
         return (
             not ingress.stopping
             and followers.loaded
-            and state.knowledge.currency.covers(read_clock())
+            and state.active_configuration.currency.covers(read_clock())
         )
 
     metrics.dropped_lines.set_function(lambda: open_log_sink().dropped)
@@ -101,7 +101,7 @@
         "gateway",
         settings,
         is_ready,
-        lambda: state.knowledge.version,
+        lambda: state.active_configuration.version,
     )
     async with AsyncExitStack() as stack:
         with StopSignals() as signals:
@@ -109,8 +109,8 @@
             await stack.enter_async_context(peers)
             for work in (
                 pause_watch.run(),
-                *followers.list_work(),
-                *peers.list_work(),
+                *followers.list_coroutines(),
+                *peers.list_coroutines(),
                 state.room.run(),
                 watch.run(),
                 pool.run(),
@@ -127,7 +127,7 @@
             readiness = await serve_readiness(settings.readiness, is_ready)
             stack.callback(readiness.close)
             listener = await stack.enter_async_context(
-                CallerListener(settings.callers, ingress.handle, state.read_limits)
+                CallerListener(settings.callers, ingress.handle, state.find_caller_limits)
             )
             log.info("gateway started", vm=settings.vm, listen=str(settings.callers))
             await signals.wait_for_first()
--- a/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
@@ -8,14 +8,14 @@
 from bamboopier_decisions.quarantine.quarantine import Quarantine
 from bamboopier_objects.http_caller import HttpCaller
 
-from . import configuration_handover, part_relay
-from .configuration_handover import ConfigurationHandover
-from .gossip import Gossip
+from . import configuration_relay, part_relay
+from .configuration_relay import ConfigurationRelay
+from .hint_exchange import HintExchange
 from .limit_records import LimitRecords
 from .part_follower import PartFollower
 from .part_relay import PartRelay
 from .peer_server import PeerServer
-from .roster import GatewayEntry, Roster
+from .gateway_registry import GatewayEntry, GatewayRegistry
 from .settings import Endpoint
 
 if TYPE_CHECKING:
@@ -25,14 +25,14 @@
     from typing import Any, Self
 
     from .gateway_state import GatewayState
-    from .part_follower import PartStores
+    from .part_follower import PartStoreClient
     from .settings import ProxySettings
     from .vocabulary import Store, Vocabulary
 
 # Different targets that one request must have broken before it is refused, and for how
 # long: two could be chance, and a mistake must not starve a path that many ask for.
-BREAKS_TO_REFUSE = 3
-REFUSED_SECONDS = 30.0
+CRASHES_TO_QUARANTINE = 3
+QUARANTINE_SECONDS = 30.0
 
 
 class GatewayPeers:
@@ -44,50 +44,50 @@
         state: GatewayState,
         store: Store,
         vocabulary: Vocabulary,
-        part_stores: PartStores,
+        part_store_client: PartStoreClient,
         random: random.Random,
     ) -> None:
         self._settings = settings
-        self._roster = Roster(
+        self._registry = GatewayRegistry(
             store,
             vocabulary.gateways_prefix,
             random,
-            state.take_count,
+            state.set_gateway_count,
             state.pauses,
         )
         # Other gateways know this one by its address.
         self._caller = HttpCaller("", source=settings.host)
-        self._handover = ConfigurationHandover(
-            state.intake, state.knowledge, self._caller
+        self._configuration_relay = ConfigurationRelay(
+            state.loader, state.active_configuration, self._caller
         )
         relay = PartRelay(state.kept, self._caller)
-        self._parts = PartFollower(part_stores, state.kept, relay, self._roster, random)
+        self._parts = PartFollower(part_store_client, state.kept, relay, self._registry, random)
         self._limits = LimitRecords(
-            store, vocabulary.limits_prefix, state.fleet, self._roster
+            store, vocabulary.limits_prefix, state.fleet, self._registry
         )
         self._server = PeerServer(
             Endpoint(settings.host, settings.first_port),
-            self._roster.has_host,
+            self._registry.has_host,
             {
-                configuration_handover.PATH: self._handover.answer,
+                configuration_relay.PATH: self._configuration_relay.answer,
                 part_relay.PATH: relay.answer,
             },
         )
-        self.gossip = Gossip(
+        self.hint_exchange = HintExchange(
             settings.vm,
             settings.host,
             settings.first_port,
-            self._roster,
+            self._registry,
             state.fleet,
-            state.knowledge,
-            Quarantine(BREAKS_TO_REFUSE, REFUSED_SECONDS),
-            self._handover.ask,
+            state.active_configuration,
+            Quarantine(CRASHES_TO_QUARANTINE, QUARANTINE_SECONDS),
+            self._configuration_relay.request,
             random,
         )
         self._stack = AsyncExitStack()
 
     async def __aenter__(self) -> Self:
-        for part in (self._caller, self._handover, self._server, self.gossip):
+        for part in (self._caller, self._configuration_relay, self._server, self.hint_exchange):
             await self._stack.enter_async_context(part)
         return self
 
@@ -99,14 +99,14 @@
     ) -> None:
         await self._stack.aclose()
 
-    def list_work(self) -> list[Coroutine[Any, Any, None]]:
+    def list_coroutines(self) -> list[Coroutine[Any, Any, None]]:
         """Return what has to run until the gateway stops."""
         settings = self._settings
-        entry = GatewayEntry(settings.host, settings.first_port, self.gossip.born)
+        entry = GatewayEntry(settings.host, settings.first_port, self.hint_exchange.started_ms)
         return [
-            self._roster.register(settings.vm, entry),
-            self._roster.run(),
-            self.gossip.run(),
+            self._registry.register(settings.vm, entry),
+            self._registry.run(),
+            self.hint_exchange.run(),
             self._parts.run(),
             self._limits.run(),
         ]
--- a/libraries/proxy/src/bamboopier_proxy/gossip.py
+++ b/libraries/proxy/src/bamboopier_proxy/hint_exchange.py
@@ -20,12 +20,12 @@
 
 from .hint_socket import HintSocket
 from .hints import (
-    BreakHint,
+    CrashHint,
     Hint,
     LoadHint,
-    OrderHint,
-    ProofAnswer,
-    ProofQuestion,
+    WeightLoadHint,
+    FreshnessResponse,
+    FreshnessRequest,
     TargetLoadHint,
     encode,
 )
@@ -41,8 +41,8 @@
     from bamboopier_decisions.forwarding.fleet import Fleet
     from bamboopier_decisions.quarantine.quarantine import Quarantine
 
-    from .knowledge import Knowledge
-    from .roster import Roster
+    from .active_configuration import ActiveConfiguration
+    from .gateway_registry import GatewayRegistry
 
 # Seconds between two hints, and after which one says nothing any more.
 HINT_SECONDS = 0.25
@@ -56,16 +56,16 @@
 MAX_TARGETS = 24
 # Age of the own proof from which others are asked for theirs, in seconds: what a watch
 # proves of a large configuration is one to two seconds old.
-ASK_AGE_SECONDS = 2.0
+MAX_FRESH_SECONDS = 2.0
 # Seconds in which an answer to a question is awaited.
-QUESTION_SECONDS = 2.0
+FRESHNESS_TIMEOUT_SECONDS = 2.0
 # Breaks told again in each hint for so long: datagrams are lost.
-BREAK_SECONDS = 2.0
+CRASH_REPEAT_SECONDS = 2.0
 
 log = structlog.get_logger()
 
 
-class Gossip:
+class HintExchange:
     """This gateway's hints, and what the others told."""
 
     def __init__(
@@ -73,36 +73,36 @@
         name: str,
         host: str,
         port: int,
-        roster: Roster,
+        registry: GatewayRegistry,
         fleet: Fleet,
-        knowledge: Knowledge,
+        active_configuration: ActiveConfiguration,
         quarantine: Quarantine,
-        note_newer: Callable[[Endpoint], None],
+        on_newer: Callable[[Endpoint], None],
         random: random.Random,
     ) -> None:
         self._name = name
-        self._roster = roster
+        self._registry = registry
         self._fleet = fleet
-        self._knowledge = knowledge
+        self._active_configuration = active_configuration
         self._quarantine = quarantine
         # Told of a gateway that has a newer configuration.
-        self._note_newer = note_newer
+        self._on_newer = on_newer
         self._random = random
         self._socket = HintSocket(host, port, self._receive)
         self._port = port
-        self._born = int(time.time() * 1000)
+        self._started_ms = int(time.time() * 1000)
         self._numbers = itertools.count(1)
         self._nonces = itertools.count(random.getrandbits(32))
         # When each question was asked.
-        self._questions: dict[int, float] = {}
-        self._heard: dict[str, tuple[float, LoadHint]] = {}
-        self._breaks: list[tuple[float, BreakHint]] = []
+        self._freshness_requests: dict[int, float] = {}
+        self._received: dict[str, tuple[float, LoadHint]] = {}
+        self._crashes: list[tuple[float, CrashHint]] = []
         self._limits = LimitHints(fleet, random)
 
     @property
-    def born(self) -> int:
+    def started_ms(self) -> int:
         """Return the milliseconds since 1970 of this start."""
-        return self._born
+        return self._started_ms
 
     async def __aenter__(self) -> Self:
         await self._socket.__aenter__()
@@ -120,7 +120,7 @@
         """Tell the others of a target that broke while it had a request."""
         now = read_clock()
         self._quarantine.record_crash(now, fingerprint, target)
-        self._breaks.append((now, BreakHint(fingerprint, target)))
+        self._crashes.append((now, CrashHint(fingerprint, target)))
 
     def find_wait(self, fingerprint: bytes) -> float:
         """Return the seconds for which a request is refused; 0 when it is not."""
@@ -131,23 +131,23 @@
         while True:
             await asyncio.sleep(HINT_SECONDS)
             self._send_loads()
-            self._ask_for_proof()
+            self._request_freshness()
             self._apply_loads()
 
     def _send_loads(self) -> None:
         now = read_clock()
-        self._breaks = [b for b in self._breaks if now - b[0] < BREAK_SECONDS]
+        self._crashes = [b for b in self._crashes if now - b[0] < CRASH_REPEAT_SECONDS]
         hint = LoadHint(
             self._name,
             next(self._numbers),
-            self._born,
+            self._started_ms,
             self._list_loads(),
-            [b for _, b in self._breaks[:8]],
+            [b for _, b in self._crashes[:8]],
             self._limits.list_hints(now),
         )
         allowed = BYTES_PER_SECOND * HINT_SECONDS / len(encode(hint))
-        silent = self._draw(self._roster.take_silent(), MAX_PEERS)
-        for peer in [*self._draw_peers(max(1, int(allowed))), *silent]:
+        silent = self._sample(self._registry.pop_silent(), MAX_PEERS)
+        for peer in [*self._sample_peers(max(1, int(allowed))), *silent]:
             self._socket.send(hint, peer)
 
     def _list_loads(self) -> list[TargetLoadHint]:
@@ -159,51 +159,51 @@
             for s in busy[:MAX_TARGETS]
         ]
 
-    def _draw_peers(self, most: int = MAX_PEERS) -> list[Endpoint]:
-        return self._draw(list(self._roster.peers.values()), min(most, MAX_PEERS))
+    def _sample_peers(self, most: int = MAX_PEERS) -> list[Endpoint]:
+        return self._sample(list(self._registry.peers.values()), min(most, MAX_PEERS))
 
-    def _draw(self, peers: list[Endpoint], most: int) -> list[Endpoint]:
+    def _sample(self, peers: list[Endpoint], most: int) -> list[Endpoint]:
         return peers if len(peers) <= most else self._random.sample(peers, most)
 
-    def _ask_for_proof(self) -> None:
+    def _request_freshness(self) -> None:
         now = read_clock()
-        old = [n for n, at in self._questions.items() if now - at > QUESTION_SECONDS]
+        old = [n for n, at in self._freshness_requests.items() if now - at > FRESHNESS_TIMEOUT_SECONDS]
         for nonce in old:
-            del self._questions[nonce]
-        if self._knowledge.version == 0:
+            del self._freshness_requests[nonce]
+        if self._active_configuration.version == 0:
             return
-        if self._knowledge.currency.find_age(now) < ASK_AGE_SECONDS:
+        if self._active_configuration.currency.find_age(now) < MAX_FRESH_SECONDS:
             return
         nonce = next(self._nonces)
-        self._questions[nonce] = now
-        for peer in self._draw_peers():
-            self._socket.send(ProofQuestion(self._name, nonce), peer)
+        self._freshness_requests[nonce] = now
+        for peer in self._sample_peers():
+            self._socket.send(FreshnessRequest(self._name, nonce), peer)
 
     def _receive(self, hint: Hint, sender: tuple[str, int]) -> None:
         match hint:
             case LoadHint():
-                self._take_loads(hint, sender)
-            case OrderHint():
-                self._take_order(hint)
-            case ProofQuestion():
-                self._answer(hint, sender)
-            case ProofAnswer():
-                self._take_proof(hint, sender)
+                self._handle_load_hint(hint, sender)
+            case WeightLoadHint():
+                self._handle_weight_load(hint)
+            case FreshnessRequest():
+                self._handle_freshness_request(hint, sender)
+            case FreshnessResponse():
+                self._handle_freshness_response(hint, sender)
 
-    def _take_loads(self, hint: LoadHint, sender: tuple[str, int]) -> None:
-        known = self._heard.get(hint.sender)
+    def _handle_load_hint(self, hint: LoadHint, sender: tuple[str, int]) -> None:
+        known = self._received.get(hint.sender)
         if known is not None:
-            before = (known[1].born, known[1].number)
-            if (hint.born, hint.number) <= before:
+            before = (known[1].started_ms, known[1].number)
+            if (hint.started_ms, hint.number) <= before:
                 return
         now = read_clock()
-        self._heard[hint.sender] = (now, hint)
-        self._roster.note_heard(hint.sender, *sender)
-        self._limits.take(now, hint.sender, hint.limits)
-        for found in hint.breaks:
+        self._received[hint.sender] = (now, hint)
+        self._registry.record_hint(hint.sender, *sender)
+        self._limits.apply(now, hint.sender, hint.limits)
+        for found in hint.crashes:
             self._quarantine.record_crash(now, found.fingerprint, found.target)
 
-    def _take_order(self, hint: OrderHint) -> None:
+    def _handle_weight_load(self, hint: WeightLoadHint) -> None:
         state = self._fleet.find(hint.target)
         if state is None:
             return
@@ -224,33 +224,33 @@
             short_ms=hint.short_ms,
         )
 
-    def _answer(self, question: ProofQuestion, sender: tuple[str, int]) -> None:
-        age = self._knowledge.currency.find_age(read_clock())
-        if age > ASK_AGE_SECONDS * 3 or self._knowledge.version == 0:
+    def _handle_freshness_request(self, request: FreshnessRequest, sender: tuple[str, int]) -> None:
+        age = self._active_configuration.currency.find_age(read_clock())
+        if age > MAX_FRESH_SECONDS * 3 or self._active_configuration.version == 0:
             return
         # Rounded up: the proof must not look younger than it is.
-        answer = ProofAnswer(
-            question.nonce, self._knowledge.version, int(age * 1000) + 1
+        answer = FreshnessResponse(
+            request.nonce, self._active_configuration.version, int(age * 1000) + 1
         )
         self._socket.send(answer, Endpoint(*sender))
 
-    def _take_proof(self, answer: ProofAnswer, sender: tuple[str, int]) -> None:
-        asked = self._questions.get(answer.nonce)
-        if asked is None:
+    def _handle_freshness_response(self, answer: FreshnessResponse, sender: tuple[str, int]) -> None:
+        sent_at = self._freshness_requests.get(answer.nonce)
+        if sent_at is None:
             return
-        if answer.version > self._knowledge.version:
-            self._note_newer(Endpoint(*sender))
+        if answer.version > self._active_configuration.version:
+            self._on_newer(Endpoint(*sender))
             return
-        self._knowledge.confirm(answer.version, asked - answer.age_ms / 1000)
+        self._active_configuration.confirm(answer.version, sent_at - answer.age_ms / 1000)
 
     def _apply_loads(self) -> None:
         now = read_clock()
         loads: dict[str, Load] = {}
-        for name, (heard, hint) in list(self._heard.items()):
-            if now - heard > STALE_SECONDS:
-                del self._heard[name]
+        for name, (received_at, hint) in list(self._received.items()):
+            if now - received_at > STALE_SECONDS:
+                del self._received[name]
                 continue
-            for told in hint.loads:
-                load = loads.setdefault(told.target, Load())
-                load.add(Load(told.requests, told.memory, told.unread))
+            for load_hint in hint.loads:
+                load = loads.setdefault(load_hint.target, Load())
+                load.add(Load(load_hint.requests, load_hint.memory, load_hint.unread))
         self._fleet.set_others(loads)
--- a/libraries/proxy/src/bamboopier_proxy/hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/hints.py
@@ -22,7 +22,7 @@
     unread: int
 
 
-class BreakHint(msgspec.Struct, array_like=True):
+class CrashHint(msgspec.Struct, array_like=True):
     """A target that broke while it had a request."""
 
     fingerprint: bytes
@@ -37,7 +37,7 @@
 
     target: str
     # Milliseconds since 1970 of the target's start.
-    born: int
+    started_ms: int
     # From all gateways together.
     per_second: float
     # Since an answer named the limit last.
@@ -55,13 +55,13 @@
     # Grows with each hint of one start; a late one is dropped.
     number: int
     # Milliseconds since 1970 of the sender's start.
-    born: int
+    started_ms: int
     loads: list[TargetLoadHint]
-    breaks: list[BreakHint]
+    crashes: list[CrashHint]
     limits: list[TargetLimitHint] = []
 
 
-class OrderHint(msgspec.Struct, array_like=True, tag="order"):
+class WeightLoadHint(msgspec.Struct, array_like=True, tag="order"):
     """A target is about to load weights, loads them, or has loaded them."""
 
     target: str
@@ -74,14 +74,14 @@
     short_ms: int = 0
 
 
-class ProofQuestion(msgspec.Struct, array_like=True, tag="ask"):
+class FreshnessRequest(msgspec.Struct, array_like=True, tag="ask"):
     """Asks how long ago the configuration was proved current."""
 
     sender: str
     nonce: int
 
 
-class ProofAnswer(msgspec.Struct, array_like=True, tag="proof"):
+class FreshnessResponse(msgspec.Struct, array_like=True, tag="proof"):
     """Version in force at the answering gateway, and the age of its proof."""
 
     nonce: int
@@ -89,7 +89,7 @@
     age_ms: int
 
 
-Hint = LoadHint | OrderHint | ProofQuestion | ProofAnswer
+Hint = LoadHint | WeightLoadHint | FreshnessRequest | FreshnessResponse
 
 _decoder = msgspec.msgpack.Decoder(Hint)
 
--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -19,7 +19,7 @@
     from bamboopier_decisions.forwarding.weight_versions import WeightVersions
     from bamboopier_objects.objects import ChangedObject, Listing
 
-    from .store_health import StoreHealth
+    from .store_availability import StoreAvailability
     from .vocabulary import NamedWeights, Vocabulary
 
 # Seconds for which the store did not answer from which it is taken to have been away:
@@ -36,16 +36,16 @@
         self,
         vocabulary: Vocabulary,
         fleet: Fleet,
-        health: StoreHealth,
+        availability: StoreAvailability,
         wake: Callable[[], None],
     ) -> None:
         self._vocabulary = vocabulary
         self._fleet = fleet
-        self._health = health
+        self._availability = availability
         self._wake = wake
 
-    def take_listing(
-        self, listing: Listing, away_seconds: float, known_until: float
+    def apply_listing(
+        self, listing: Listing, outage_seconds: float, known_until: float
     ) -> None:
         """Take all entries.
 
@@ -53,34 +53,34 @@
         may have served all others meanwhile.
         """
         now = read_clock()
-        returning = self._health.is_returning(now)
+        recovering = self._availability.is_recovering(now)
         entries = []
         for found in listing.objects:
             entry = self._decode(found.key, found.value)
             if entry is not None:
                 entries.append(entry)
         known = set(self._fleet.names)
-        self._fleet.replace(now, entries, self._health.find_return(now))
+        self._fleet.replace(now, entries, self._availability.find_recovery(now))
         log.info(
             "targets listed",
             revision=listing.revision,
             targets=len(entries),
             missing=sorted(known - {e.name for e in entries}),
-            returning=returning,
+            returning=recovering,
         )
         self._wake()
 
-    def take_change(
+    def apply_change(
         self, change: ChangedObject, known_until: float, *, late: bool
     ) -> None:
         """Take one entry that changed or is gone."""
         now = read_clock()
         name = change.key.removeprefix(self._vocabulary.targets_prefix)
         if change.value is None:
-            returning = self._health.is_returning(now)
-            self._fleet.remove(now, name, self._health.find_return(now))
+            recovering = self._availability.is_recovering(now)
+            self._fleet.remove(now, name, self._availability.find_recovery(now))
             log.info(
-                "target gone", target=name, returning=returning, version=change.version
+                "target gone", target=name, returning=recovering, version=change.version
             )
             return
         entry = self._decode(change.key, change.value)
@@ -117,16 +117,16 @@
         vocabulary: Vocabulary,
         weights: WeightVersions,
         pauses: Pauses,
-        changed: Callable[[NamedWeights, float], None],
+        on_published: Callable[[NamedWeights, float], None],
     ) -> None:
         self._vocabulary = vocabulary
         self._weights = weights
         self._pauses = pauses
         # Told of a version that was named while this process ran, and since when.
-        self._changed = changed
+        self._on_published = on_published
 
-    def take_listing(
-        self, listing: Listing, away_seconds: float, known_until: float
+    def apply_listing(
+        self, listing: Listing, outage_seconds: float, known_until: float
     ) -> None:
         """Take all named versions.
 
@@ -136,13 +136,13 @@
         """
         now = read_clock()
         paused = self._pauses.find_unread_since(now) < now
-        was_away = away_seconds >= OUTAGE_SECONDS and not paused
-        guessed = was_away and math.isfinite(known_until)
+        was_outage = outage_seconds >= OUTAGE_SECONDS and not paused
+        guessed = was_outage and math.isfinite(known_until)
         since = now if guessed else known_until
         for found in listing.objects:
-            self._take(found.key, found.value, since, guessed)
+            self._apply(found.key, found.value, since, guessed)
 
-    def take_change(
+    def apply_change(
         self,
         change: ChangedObject,
         known_until: float = float("-inf"),
@@ -152,10 +152,10 @@
         """Take a newly named version."""
         if change.value is None:
             return
-        since = self._find_told_since(known_until, late)
-        self._take(change.key, change.value, since, False)
+        since = self._find_published_since(known_until, late)
+        self._apply(change.key, change.value, since, False)
 
-    def _find_told_since(self, known_until: float, late: bool) -> float:
+    def _find_published_since(self, known_until: float, late: bool) -> float:
         """Return since when a change may have happened that is read now.
 
         News that waited while this process paused is as old as the pause, and what was
@@ -169,7 +169,7 @@
             return known_until
         return max(known_until, unread_since)
 
-    def _take(self, key: str, value: bytes, since: float, guessed: bool) -> None:
+    def _apply(self, key: str, value: bytes, since: float, guessed: bool) -> None:
         """Take one version that was named at ``since`` at the earliest."""
         decoded = self._vocabulary.decode_weights(value)
         if isinstance(decoded, Err):
@@ -187,34 +187,34 @@
             guessed=guessed,
         )
         if math.isfinite(since):
-            self._changed(named, since)
+            self._on_published(named, since)
 
 
-class ClosureObserver:
+class DrainObserver:
     """Keeps the data centres that are to get nothing."""
 
     def __init__(self, vocabulary: Vocabulary, fleet: Fleet) -> None:
         self._vocabulary = vocabulary
         self._fleet = fleet
-        self._closed: set[str] = set()
+        self._drained: set[str] = set()
 
-    def take_listing(
-        self, listing: Listing, away_seconds: float, known_until: float
+    def apply_listing(
+        self, listing: Listing, outage_seconds: float, known_until: float
     ) -> None:
         """Take all closures."""
         prefix = self._vocabulary.closures_prefix
         self._apply({found.key.removeprefix(prefix) for found in listing.objects})
 
-    def take_change(
+    def apply_change(
         self, change: ChangedObject, known_until: float, *, late: bool
     ) -> None:
         """Take one closure, or its end."""
         name = change.key.removeprefix(self._vocabulary.closures_prefix)
-        closed = self._closed - {name}
-        self._apply(closed | {name} if change.value is not None else closed)
-
-    def _apply(self, closed: set[str]) -> None:
-        if closed != self._closed:
-            log.info("data centres closed", data_centres=sorted(closed))
-        self._closed = closed
-        self._fleet.close_data_centres(closed)
+        drained = self._drained - {name}
+        self._apply(drained | {name} if change.value is not None else drained)
+
+    def _apply(self, drained: set[str]) -> None:
+        if drained != self._drained:
+            log.info("data centres closed", data_centres=sorted(drained))
+        self._drained = drained
+        self._fleet.close_data_centres(drained)
--- a/libraries/proxy/src/bamboopier_proxy/store_followers.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_followers.py
@@ -8,9 +8,9 @@
 from bamboopier_objects.object_follower import ObjectFollower
 
 from .configuration_follower import ConfigurationFollower
-from .heard_store import HeardStore
-from .observers import ClosureObserver, TargetObserver, WeightsObserver
-from .weight_ages import WeightAges, follow_weights
+from .monitored_store import MonitoredStore
+from .observers import DrainObserver, TargetObserver, WeightsObserver
+from .publish_times import PublishTimes, follow_weights
 
 if TYPE_CHECKING:
     import random
@@ -43,23 +43,23 @@
         vocabulary: Vocabulary,
         random: random.Random,
     ) -> None:
-        self._store = HeardStore(store, state.health)
+        self._store = MonitoredStore(store, state.availability)
         self._random = random
-        self._ages = WeightAges(store, vocabulary.ages_prefix, state.weights, random)
+        self._publish_times = PublishTimes(store, vocabulary.ages_prefix, state.weights, random)
         self._configuration = ConfigurationFollower(
-            store, vocabulary, state.intake, state.health, random
+            store, vocabulary, state.loader, state.availability, random
         )
         self._targets = self._follow(
             vocabulary.targets_prefix,
-            TargetObserver(vocabulary, state.fleet, state.health, state.wake_all),
+            TargetObserver(vocabulary, state.fleet, state.availability, state.wake_all),
             TARGETS_WATCH_SECONDS,
         )
         self._weights = self._follow(
             vocabulary.weights_prefix,
-            WeightsObserver(vocabulary, state.weights, state.pauses, self._note_named),
+            WeightsObserver(vocabulary, state.weights, state.pauses, self._on_published),
         )
         self._closures = self._follow(
-            vocabulary.closures_prefix, ClosureObserver(vocabulary, state.fleet)
+            vocabulary.closures_prefix, DrainObserver(vocabulary, state.fleet)
         )
 
     @property
@@ -67,12 +67,12 @@
         """Say whether targets and weights were read at least once."""
         return self._targets.loaded.is_set() and self._weights.loaded.is_set()
 
-    def list_work(self) -> list[Coroutine[Any, Any, None]]:
+    def list_coroutines(self) -> list[Coroutine[Any, Any, None]]:
         """Return what has to run until the gateway stops."""
         return [
             self._configuration.run(),
             self._targets.run(),
-            follow_weights(self._ages, self._weights),
+            follow_weights(self._publish_times, self._weights),
             self._closures.run(),
         ]
 
@@ -83,5 +83,5 @@
             self._store, prefix, observer, seconds, self._random, read_clock
         )
 
-    def _note_named(self, named: NamedWeights, since: float) -> None:
-        self._ages.note_named(named.model, named.version, since)
+    def _on_published(self, named: NamedWeights, since: float) -> None:
+        self._publish_times.record_published(named.model, named.version, since)
--- a/libraries/proxy/src/bamboopier_proxy/load_announcer.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_load_announcer.py
@@ -8,12 +8,12 @@
 
 from bamboopier_daemon.clock import read_clock
 
-from .hints import OrderHint
-from .roster import list_gateways
+from .hints import WeightLoadHint
+from .gateway_registry import list_gateways
 
 if TYPE_CHECKING:
     from .hint_socket import HintSocket
-    from .roster import GatewayEntry
+    from .gateway_registry import GatewayEntry
     from .vocabulary import Store
 
 # Seconds for which a hint holds. It is told again in half of that while it is true, so
@@ -25,7 +25,7 @@
 GATEWAYS_SECONDS = 5.0
 
 
-class LoadAnnouncer:
+class WeightLoadAnnouncer:
     """Sends hints to all registered gateways."""
 
     def __init__(self, store: Store, prefix: str, socket: HintSocket) -> None:
@@ -34,7 +34,7 @@
         self._socket = socket
         self._gateways: dict[str, GatewayEntry] = {}
         self._read_at = float("-inf")
-        self._told_at = float("-inf")
+        self._sent_at = float("-inf")
 
     async def refresh(self) -> None:
         """Read the list of gateways unless that was done a moment ago."""
@@ -49,25 +49,25 @@
     def announce_drain(self, target: str, model: str) -> None:
         """Tell that the target takes short answers only; repeated when it is due."""
         if self._is_due():
-            self._tell(OrderHint(target, model, 0, 0, int(HINT_SECONDS * 1000)))
+            self._send(WeightLoadHint(target, model, 0, 0, int(HINT_SECONDS * 1000)))
 
     def announce_load(self, target: str, model: str) -> None:
         """Tell that the target takes nothing; repeated when it is due."""
         if self._is_due():
-            self._tell(OrderHint(target, model, 0, int(HINT_SECONDS * 1000)))
+            self._send(WeightLoadHint(target, model, 0, int(HINT_SECONDS * 1000)))
 
     def announce_end(self, target: str, model: str, version: int) -> None:
         """Tell that the target serves on ``version``."""
-        self._tell(OrderHint(target, model, version, 0))
+        self._send(WeightLoadHint(target, model, version, 0))
 
     def reset(self) -> None:
         """Make the next hint due at once: it says something else than the last."""
-        self._told_at = float("-inf")
+        self._sent_at = float("-inf")
 
     def _is_due(self) -> bool:
-        return read_clock() - self._told_at >= REPEAT_SECONDS
+        return read_clock() - self._sent_at >= REPEAT_SECONDS
 
-    def _tell(self, hint: OrderHint) -> None:
-        self._told_at = read_clock()
+    def _send(self, hint: WeightLoadHint) -> None:
+        self._sent_at = read_clock()
         for gateway in self._gateways.values():
             self._socket.send(hint, gateway.endpoint)
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -16,7 +16,7 @@
 from bamboopier_objects.objects import Listing, StoredObject
 from bamboopier_proxy.gateway_peers import GatewayPeers
 from bamboopier_proxy.gateway_state import GatewayState
-from bamboopier_proxy.roster import READ_SECONDS, SILENT_SECONDS, GatewayEntry
+from bamboopier_proxy.gateway_registry import READ_SECONDS, SILENT_SECONDS, GatewayEntry
 from bamboopier_proxy.settings import Endpoint
 
 if TYPE_CHECKING:
@@ -51,8 +51,8 @@
         self.peers = GatewayPeers(
             settings, self.state, store, vocabulary, mock.Mock(), random.Random(number)
         )
-        self.gossip = self.peers.gossip
-        self.roster = self.peers._roster
+        self.hint_exchange = self.peers.hint_exchange
+        self.registry = self.peers._registry
 
     @property
     def counted(self) -> int:
@@ -64,7 +64,7 @@
     async def asyncSetUp(self) -> None:
         self.now = 1000.0
         self.lost = False
-        for module in ("gossip", "roster"):
+        for module in ("hint_exchange", "gateway_registry"):
             patch = mock.patch(
                 f"bamboopier_proxy.{module}.read_clock", side_effect=lambda: self.now
             )
@@ -86,8 +86,8 @@
         )
         for gateway in self.gateways:
             self.connect(gateway)
-            await gateway.roster.register(gateway.name, entries[gateway.name])
-            await gateway.roster.read()
+            await gateway.registry.register(gateway.name, entries[gateway.name])
+            await gateway.registry.read()
         self.run_all(5.0)
 
     def connect(self, gateway: Gateway) -> None:
@@ -96,9 +96,9 @@
         def send(hint: Hint, to: Endpoint) -> None:
             for other in self.gateways:
                 if Endpoint(other.host, PORT) == to and not self.lost:
-                    other.gossip._receive(hint, (gateway.host, PORT))
+                    other.hint_exchange._receive(hint, (gateway.host, PORT))
 
-        patch = mock.patch.object(gateway.gossip._socket, "send", side_effect=send)
+        patch = mock.patch.object(gateway.hint_exchange._socket, "send", side_effect=send)
         patch.start()
         self.addCleanup(patch.stop)
 
@@ -109,7 +109,7 @@
             self.now += TICK_SECONDS
             for gateway in self.gateways if running is None else running:
                 gateway.pauses.note_tick(self.now)
-                gateway.gossip._send_loads()
+                gateway.hint_exchange._send_loads()
 
     def count_all(self) -> list[int]:
         """Return how many gateways each counts."""
@@ -130,7 +130,7 @@
                     sent += 1
         return sent
 
-    async def test_gateways_that_wake_together_share_what_a_cold_target_bears(
+    async def test_gateways_resumed_together_share_the_limit_of_a_cold_target(
         self,
     ) -> None:
         # All gateways are suspended for a while and go on at once, and their hints
@@ -140,11 +140,11 @@
         self.now += SILENT_SECONDS + 5
         self.lost = True
         for gateway in self.gateways:
-            gateway.gossip._send_loads()
+            gateway.hint_exchange._send_loads()
         self.assertLessEqual(self.flood_cold_target(0.25), COLD_MOST)
         self.assertEqual(self.count_all(), [GATEWAYS] * GATEWAYS)
 
-    async def test_a_pause_known_before_the_list_is_looked_at_is_no_silence(
+    async def test_a_pause_recorded_before_the_count_is_no_silence(
         self,
     ) -> None:
         # As above, but what notes pauses runs first.
@@ -152,10 +152,10 @@
         self.lost = True
         for gateway in self.gateways:
             gateway.pauses.note_tick(self.now)
-            gateway.gossip._send_loads()
+            gateway.hint_exchange._send_loads()
         self.assertEqual(self.count_all(), [GATEWAYS] * GATEWAYS)
 
-    async def test_a_gateway_that_is_gone_is_counted_no_longer(self) -> None:
+    async def test_a_removed_gateway_is_no_longer_counted(self) -> None:
         # A machine is taken away. The others' parts grow once it has been silent for
         # long, also if one of them is suspended for a moment meanwhile: its own time
         # counts before and after that.
@@ -167,7 +167,7 @@
         self.run_all(2.0, rest)
         self.assertEqual([g.counted for g in rest], [GATEWAYS - 1] * 3)
 
-    async def test_gateways_that_were_cut_off_find_each_other_again(self) -> None:
+    async def test_partitioned_gateways_rediscover_each_other(self) -> None:
         # No hint arrives for longer than a silent gateway is counted: all are alone.
         # When hints arrive again, nobody sends any, since each knows of no other one.
         # From then on each takes whole shares of what all may send to a cold engine or
@@ -178,11 +178,11 @@
         self.lost = False
         self.run_all(READ_SECONDS)
         for gateway in self.gateways:
-            await gateway.roster.read()
+            await gateway.registry.read()
         self.run_all(1.0)
         self.assertEqual(self.count_all(), [GATEWAYS] * GATEWAYS)
 
-    async def test_a_gateway_that_has_not_read_the_list_spares_cold_targets(
+    async def test_a_gateway_without_the_list_sends_nothing_to_cold_targets(
         self,
     ) -> None:
         # All gateways lose power, and engines come back cold. The gateways run again
@@ -191,18 +191,18 @@
         self.gateways = [Gateway(n, self.now, self.store) for n in range(GATEWAYS)]
         for gateway in self.gateways:
             self.connect(gateway)
-        self.gateways[0].roster.note_heard("g-1", "10.0.0.1", PORT)
+        self.gateways[0].registry.record_hint("g-1", "10.0.0.1", PORT)
         self.assertEqual(self.flood_cold_target(0.25), 0)
 
-    async def test_a_gateway_that_is_gone_gets_a_hint_for_each_read_alone(self) -> None:
+    async def test_a_removed_gateway_gets_one_hint_per_read(self) -> None:
         # A machine is taken away, and its entry stays. It is not counted again for
         # that, and hints to its address cost next to nothing.
         gone, *rest = self.gateways
         self.run_all(SILENT_SECONDS + 1, rest)
         for gateway in rest:
-            await gateway.roster.read()
+            await gateway.registry.read()
         sent = mock.Mock()
-        with mock.patch.object(gone.gossip, "_receive", sent):
+        with mock.patch.object(gone.hint_exchange, "_receive", sent):
             self.run_all(READ_SECONDS, rest)
         self.assertEqual(sent.call_count, len(rest))
         self.assertEqual([g.counted for g in rest], [GATEWAYS - 1] * 3)
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -20,11 +20,11 @@
 from bamboopier_objects.http_caller import HttpCaller
 from bamboopier_proxy.part_follower import (
     DIRECT_GATEWAYS,
-    PartAnswer,
+    PartReply,
     PartFollower,
 )
 from bamboopier_proxy.part_relay import PartRelay
-from bamboopier_proxy.roster import Roster
+from bamboopier_proxy.gateway_registry import GatewayRegistry
 
 if TYPE_CHECKING:
     from bamboopier_proxy.settings import Endpoint
@@ -32,24 +32,24 @@
 ADDRESS = "10.0.0.9:80"
 
 
-def make_roster(generator: random.Random) -> Roster:
+def make_roster(generator: random.Random) -> GatewayRegistry:
     """Return a list of gateways that reads no store."""
     store = mock.AsyncMock()
-    return Roster(store, "", generator, lambda *_: None, Pauses(read_clock()))
+    return GatewayRegistry(store, "", generator, lambda *_: None, Pauses(read_clock()))
 
 
 class CountedStores:
     """Counts questions to the stores."""
 
     def __init__(self) -> None:
-        self.questions = 0
+        self.requests = 0
 
-    async def read_news(
+    async def read_updates(
         self, address: str, position: int, seconds: float
-    ) -> Result[PartAnswer, str]:
-        self.questions += 1
+    ) -> Result[PartReply, str]:
+        self.requests += 1
         await asyncio.sleep(0.01)
-        return Ok(PartAnswer(PartNews(1, 1, ()), 0))
+        return Ok(PartReply(PartNews(1, 1, ()), 0))
 
 
 class CountedRelay(PartRelay):
@@ -57,10 +57,10 @@
 
     def __init__(self, kept: KeptParts) -> None:
         super().__init__(kept, HttpCaller(""))
-        self.asked: set[str] = set()
+        self.requested: set[str] = set()
 
-    async def ask(self, gateway: Endpoint) -> Result[int, str]:
-        self.asked.add(str(gateway))
+    async def request(self, gateway: Endpoint) -> Result[int, str]:
+        self.requested.add(str(gateway))
         return Err("not there")
 
 
@@ -70,20 +70,20 @@
     def __init__(self, clock: list[float]) -> None:
         self._clock = clock
         self._delays = [0.0, 4.0]
-        self.asked = 0
+        self.requested = 0
 
-    async def read_news(
+    async def read_updates(
         self, address: str, position: int, seconds: float
-    ) -> Result[PartAnswer, str]:
+    ) -> Result[PartReply, str]:
         await asyncio.sleep(0)
         self._clock[0] += self._delays.pop(0) if self._delays else 0.0
-        self.asked += 1
-        epoch = min(self.asked, 2)
-        return Ok(PartAnswer(PartNews(epoch, int(self._clock[0] * 1000), ()), 0))
+        self.requested += 1
+        epoch = min(self.requested, 2)
+        return Ok(PartReply(PartNews(epoch, int(self._clock[0] * 1000), ()), 0))
 
 
 class SettleTests(unittest.IsolatedAsyncioTestCase):
-    async def test_a_start_is_not_known_longer_than_it_was_seen(self) -> None:
+    async def test_an_instance_is_not_known_longer_than_it_was_observed(self) -> None:
         # A gateway is suspended for four seconds between taking the time of a question
         # and sending it. A store began anew just before it wakes. The gateway takes
         # that start for four seconds old and tells engines to write there at once,
@@ -93,19 +93,19 @@
         kept = KeptParts()
         kept.set_stores({ADDRESS: 100_000})
         generator = random.Random(1)
-        roster = make_roster(generator)
-        roster._own = "g-0"
+        registry = make_roster(generator)
+        registry._own = "g-0"
         module = "bamboopier_proxy.part_follower"
         with (
             mock.patch(f"{module}.read_clock", side_effect=lambda: clock[0]),
-            mock.patch(f"{module}.PAUSE_SECONDS", 0.01),
+            mock.patch(f"{module}.POLL_PAUSE_SECONDS", 0.01),
             mock.patch(f"{module}.log"),
         ):
             stores = RestartedStore(clock)
-            follower = PartFollower(stores, kept, CountedRelay(kept), roster, generator)
+            follower = PartFollower(stores, kept, CountedRelay(kept), registry, generator)
             task = asyncio.create_task(follower.run())
             async with asyncio.timeout(5):
-                while stores.asked < 4:  # noqa: ASYNC110
+                while stores.requested < 4:  # noqa: ASYNC110
                     await asyncio.sleep(0.005)
             task.cancel()
         store = kept.find(ADDRESS)
@@ -121,31 +121,31 @@
         kept = KeptParts()
         kept.set_stores({ADDRESS: 1000})
         generator = random.Random(1)
-        roster = make_roster(generator)
-        roster._own = own
+        registry = make_roster(generator)
+        registry._own = own
         for number in range(gateways):
-            roster.note_heard(f"g-{number}", f"10.0.1.{number}", 7000)
+            registry.record_hint(f"g-{number}", f"10.0.1.{number}", 7000)
         stores, relay = CountedStores(), CountedRelay(kept)
         task = asyncio.create_task(
-            PartFollower(stores, kept, relay, roster, generator).run()
+            PartFollower(stores, kept, relay, registry, generator).run()
         )
         await asyncio.sleep(0.2)
         task.cancel()
-        return stores.questions, len(relay.asked)
+        return stores.requests, len(relay.requested)
 
-    async def test_few_gateways_ask_the_stores_themselves(self) -> None:
-        questions, asked = await self.follow(DIRECT_GATEWAYS, "g-0")
-        self.assertGreater(questions, 0)
-        self.assertEqual(asked, 0)
+    async def test_few_gateways_poll_the_stores_directly(self) -> None:
+        requests, requested = await self.follow(DIRECT_GATEWAYS, "g-0")
+        self.assertGreater(requests, 0)
+        self.assertEqual(requested, 0)
 
-    async def test_of_many_gateways_eight_ask_the_stores(self) -> None:
+    async def test_eight_of_many_gateways_poll_the_stores(self) -> None:
         # Each of 21 gateways decides for itself. More than eight would be turned away
         # by the stores, fewer than one would leave all without news.
         direct = 0
         for number in range(21):
-            questions, asked = await self.follow(21, f"g-{number}")
-            self.assertEqual(questions > 0, asked == 0)
-            direct += questions > 0
+            requests, requested = await self.follow(21, f"g-{number}")
+            self.assertEqual(requests > 0, requested == 0)
+            direct += requests > 0
         self.assertEqual(direct, DIRECT_GATEWAYS)
 
 
--- a/libraries/proxy/tests/test_store_followers.py
+++ b/libraries/proxy/tests/test_store_followers.py
@@ -17,7 +17,7 @@
 from bamboopier_objects.objects import Listing, StoredObject
 from bamboopier_proxy.store_followers import StoreFollowers
 from bamboopier_proxy.vocabulary import NamedWeights
-from bamboopier_proxy.weight_ages import NamedAt, follow_weights
+from bamboopier_proxy.publish_times import PublishedAt, follow_weights
 
 NAMED = StoredObject("v/m", 7, b"2")
 # Seconds after which the entry that another gateway wrote should have been read.
@@ -25,7 +25,7 @@
 
 
 class StartTests(unittest.IsolatedAsyncioTestCase):
-    async def test_a_start_right_after_a_naming_spares_older_weights(self) -> None:
+    async def test_a_start_right_after_a_publication_allows_older_weights(self) -> None:
         # New weights are named, and a gateway starts before any other has written that
         # down, which takes up to 0.4 s. It finds the version and nobody's word on its
         # age, takes it for as old as can be and never asks again: callers there get 503
@@ -51,12 +51,12 @@
         followers = StoreFollowers(state, store, vocabulary, random.Random(1))
         with (
             mock.patch("bamboopier_proxy.observers.log"),
-            mock.patch("bamboopier_proxy.weight_ages.log"),
+            mock.patch("bamboopier_proxy.publish_times.log"),
         ):
-            follow = follow_weights(followers._ages, followers._weights)
+            follow = follow_weights(followers._publish_times, followers._weights)
             task = asyncio.create_task(follow)
             await asyncio.sleep(0.1)
-            value = msgspec.json.encode(NamedAt(time.time()))
+            value = msgspec.json.encode(PublishedAt(time.time()))
             entries.append(StoredObject("a/m/2", 8, value))
             await asyncio.sleep(SETTLED_SECONDS)
             task.cancel()
--- a/tools/safeguards/bounds.py
+++ b/tools/safeguards/bounds.py
@@ -46,19 +46,19 @@
     ),
     Mutation(
         "copies for others leave half of a weak link",
-        "libraries/proxy/src/bamboopier_proxy/configuration_handover.py",
-        " or now < self._giving_until",
+        "libraries/proxy/src/bamboopier_proxy/configuration_relay.py",
+        " or now < self._sending_until",
         "",
         "libraries/proxy",
-        "tests.test_configuration_handover",
+        "tests.test_configuration_relay",
     ),
     Mutation(
         "a long list of gateways is read seldom",
-        "libraries/proxy/src/bamboopier_proxy/roster.py",
+        "libraries/proxy/src/bamboopier_proxy/gateway_registry.py",
         "max(READ_SECONDS, len(self._peers) / ENTRIES_PER_SECOND)",
         "READ_SECONDS",
         "libraries/proxy",
-        "tests.test_roster",
+        "tests.test_gateway_registry",
     ),
     Mutation(
         "a limit is divided among the gateways",
@@ -103,7 +103,7 @@
     Mutation(
         "another start of a target has no limit",
         "libraries/proxy/src/bamboopier_proxy/limit_hints.py",
-        " and state.entry.born == hint.born",
+        " and state.entry.born == hint.started_ms",
         "",
         "libraries/proxy",
         "tests.test_limit_hints",
