--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -26,7 +26,7 @@
     from bamboopier_decisions.forwarding.fleet import Fleet, Sent
 
     from .answer import Answer
-    from .begin_watch import BeginWatch, Wait
+    from .weight_expiry_monitor import BeginWatch, Wait
     from .delivery import Delivery
     from .dialect import Dialect
     from .messages import AnswerMarks, Call, SendMarks
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -20,7 +20,7 @@
 from bamboopier_daemon.process_metrics import add_process_metrics
 from bamboopier_daemon.stopping import StopSignals
 
-from .begin_watch import BeginWatch
+from .weight_expiry_monitor import BeginWatch
 from .caller_listener import CallerListener, serve_readiness
 from .exchange import Exchange
 from .forwarder import Forwarder
--- a/libraries/proxy/tests/test_exchange.py
+++ b/libraries/proxy/tests/test_exchange.py
@@ -13,7 +13,7 @@
 
 from bamboopier_daemon.clock import read_clock
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
-from bamboopier_proxy.begin_watch import BeginWatch
+from bamboopier_proxy.weight_expiry_monitor import BeginWatch
 from bamboopier_proxy.delivery import CallerGoneError, Delivery
 from bamboopier_proxy.exchange import Exchange, SendResult
 
--- a/libraries/proxy/tests/test_begin_watch.py
+++ b/libraries/proxy/tests/test_weight_expiry_monitor.py
@@ -9,7 +9,7 @@
     WAIT_END_SECONDS,
     WeightVersions,
 )
-from bamboopier_proxy.begin_watch import BeginWatch, Wait
+from bamboopier_proxy.weight_expiry_monitor import BeginWatch, Wait
 
 MODEL = "m1"
 ALLOWED_SECONDS = 12.0
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -181,19 +181,19 @@
     ),
     Mutation(
         "what waits at a target until its weights are over is taken back",
-        f"{PROXY}/begin_watch.py",
+        f"{PROXY}/weight_expiry_monitor.py",
         "            wait.connection.abort()\n",
         "",
         "libraries/proxy",
-        "tests.test_begin_watch.BeginWatchTests"
+        "tests.test_weight_expiry_monitor.BeginWatchTests"
         ".test_what_has_not_begun_in_time_is_taken_back",
     ),
     Mutation(
         "what has begun is not taken back",
-        f"{PROXY}/begin_watch.py",
+        f"{PROXY}/weight_expiry_monitor.py",
         "        self._waiting.discard(wait)\n\n",
         "        pass\n\n",
         "libraries/proxy",
-        "tests.test_begin_watch.BeginWatchTests.test_what_has_begun_goes_on",
+        "tests.test_weight_expiry_monitor.BeginWatchTests.test_what_has_begun_goes_on",
     ),
 )
