--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -24,7 +24,7 @@
 from .hint_socket import HintSocket
 from .load_announcer import LoadAnnouncer
 from .observers import WeightsObserver
-from .pause_watch import PauseWatch
+from .pause_monitor import PauseWatch
 from .settings_watch import SettingsWatch
 from .target_directory import TargetDirectory
 from .weight_ages import WeightAges, follow_weights
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -28,7 +28,7 @@
 from .gateway_state import GatewayState
 from .ingress import Ingress
 from .metrics import ProxyMetrics
-from .pause_watch import PauseWatch
+from .pause_monitor import PauseWatch
 from .send_planner import SendPlanner
 from .settings_watch import SettingsWatch
 from .store_followers import StoreFollowers
--- a/libraries/proxy/tests/test_pause_watch.py
+++ b/libraries/proxy/tests/test_pause_monitor.py
@@ -7,7 +7,7 @@
 
 from prometheus_client import CollectorRegistry
 
-from bamboopier_proxy.pause_watch import PauseWatch
+from bamboopier_proxy.pause_monitor import PauseWatch
 
 
 class PauseWatchTests(unittest.TestCase):
