--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -25,7 +25,7 @@
 from .load_announcer import LoadAnnouncer
 from .observers import WeightsObserver
 from .pause_monitor import PauseWatch
-from .settings_watch import SettingsWatch
+from .settings_reloader import SettingsWatch
 from .target_directory import TargetDirectory
 from .weight_ages import WeightAges, follow_weights
 from .weight_roller import WeightRoller
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -30,7 +30,7 @@
 from .metrics import ProxyMetrics
 from .pause_monitor import PauseWatch
 from .send_planner import SendPlanner
-from .settings_watch import SettingsWatch
+from .settings_reloader import SettingsWatch
 from .store_followers import StoreFollowers
 from .target_pool import TargetPool
 
