--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -31,7 +31,7 @@
     from .messages import Call, SendMarks
     from .metrics import ProxyMetrics
     from .send_planner import SendPlanner
-    from .waiting_room import WaitingRoom
+    from .request_queues import WaitingRoom
 
 # Sends of one request, those included that a target turned away unrun.
 MAX_SENDS = 4
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -15,7 +15,7 @@
 from .configuration_intake import ConfigurationIntake
 from .knowledge import Knowledge
 from .store_health import StoreHealth
-from .waiting_room import WaitingRoom
+from .request_queues import WaitingRoom
 
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.model import Declared
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -30,7 +30,7 @@
 from bamboopier_proxy.messages import AnswerMarks, Call, SendMarks
 from bamboopier_proxy.metrics import ProxyMetrics
 from bamboopier_proxy.send_planner import SendPlanner
-from bamboopier_proxy.waiting_room import WaitingRoom
+from bamboopier_proxy.request_queues import WaitingRoom
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/libraries/proxy/tests/test_waiting_room.py
+++ b/libraries/proxy/tests/test_request_queues.py
@@ -6,7 +6,7 @@
 import unittest
 from typing import TYPE_CHECKING, cast
 
-from bamboopier_proxy.waiting_room import WaitingRoom
+from bamboopier_proxy.request_queues import WaitingRoom
 
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.fleet import Sent
