--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -35,7 +35,7 @@
 
     from .settings import ProxySettings
     from .target_orders import TargetOrders
-    from .vocabulary import NamedWeights, Store, Vocabulary
+    from .store_schema import NamedWeights, Store, Vocabulary
 
 # Seconds that one watch for new weights lasts.
 WATCH_SECONDS = 4.0
--- a/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
@@ -27,7 +27,7 @@
 
     from .configuration_intake import ConfigurationIntake
     from .store_health import StoreHealth
-    from .vocabulary import Store, Vocabulary
+    from .store_schema import Store, Vocabulary
 
 # Bytes up to which a configuration is read after each watch: half of the 22 KB a second
 # that a node may spend on control.
--- a/libraries/proxy/src/bamboopier_proxy/configuration_intake.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_intake.py
@@ -13,7 +13,7 @@
     from bamboopier_objects.objects import StoredObject
 
     from .knowledge import Knowledge
-    from .vocabulary import Vocabulary
+    from .store_schema import Vocabulary
 
 log = structlog.get_logger()
 
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -40,7 +40,7 @@
     from .dialect import Dialect
     from .part_follower import PartStores
     from .settings import ProxySettings
-    from .vocabulary import Store, Vocabulary
+    from .store_schema import Store, Vocabulary
 
 # Share of the grace time in which requests may end; the rest is for closing.
 GRACE_SHARE = 0.95
--- a/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
@@ -27,7 +27,7 @@
     from .gateway_state import GatewayState
     from .part_follower import PartStores
     from .settings import ProxySettings
-    from .vocabulary import Store, Vocabulary
+    from .store_schema import Store, Vocabulary
 
 # Different targets that one request must have broken before it is refused, and for how
 # long: two could be chance, and a mistake must not starve a path that many ask for.
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -22,7 +22,7 @@
     from bamboopier_decisions.forwarding.pauses import Pauses
 
     from .settings import ProxySettings
-    from .vocabulary import Vocabulary
+    from .store_schema import Vocabulary
 
 # Taken for the number of gateways until it is known. Failure answered: all gateways
 # start anew while engines come back cold; counted as one, each would send them all they
--- a/libraries/proxy/src/bamboopier_proxy/limit_records.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_records.py
@@ -30,7 +30,7 @@
     from bamboopier_objects.errors import PlatformError
 
     from .roster import Roster
-    from .vocabulary import Store
+    from .store_schema import Store
 
 # Seconds between two looks at what has changed.
 LOOK_SECONDS = 0.5
--- a/libraries/proxy/src/bamboopier_proxy/load_announcer.py
+++ b/libraries/proxy/src/bamboopier_proxy/load_announcer.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from .hint_socket import HintSocket
     from .roster import GatewayEntry
-    from .vocabulary import Store
+    from .store_schema import Store
 
 # Seconds for which a hint holds. It is told again in half of that while it is true, so
 # that one lost datagram changes nothing, and an agent that dies is soon forgotten.
--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -20,7 +20,7 @@
     from bamboopier_objects.objects import ChangedObject, Listing
 
     from .store_health import StoreHealth
-    from .vocabulary import NamedWeights, Vocabulary
+    from .store_schema import NamedWeights, Vocabulary
 
 # Seconds for which the store did not answer from which it is taken to have been away:
 # longer than one watch whose connection went silent.
--- a/libraries/proxy/src/bamboopier_proxy/roster.py
+++ b/libraries/proxy/src/bamboopier_proxy/roster.py
@@ -37,7 +37,7 @@
 
     from bamboopier_decisions.forwarding.pauses import Pauses
 
-    from .vocabulary import Store
+    from .store_schema import Store
 
 # Seconds between two reads of the list: gateways come and go a few times an hour.
 READ_SECONDS = 8.0
--- a/libraries/proxy/src/bamboopier_proxy/store_followers.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_followers.py
@@ -20,7 +20,7 @@
     from bamboopier_objects.object_follower import ObjectObserver
 
     from .gateway_state import GatewayState
-    from .vocabulary import NamedWeights, Store, Vocabulary
+    from .store_schema import NamedWeights, Store, Vocabulary
 
 # Seconds that one watch of weights or closures lasts.
 WATCH_SECONDS = 2.0
--- a/libraries/proxy/src/bamboopier_proxy/target_directory.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_directory.py
@@ -10,7 +10,7 @@
     from bamboopier_decisions.forwarding.model import TargetEntry
     from bamboopier_objects.objects import FollowedStore
 
-    from .vocabulary import Vocabulary
+    from .store_schema import Vocabulary
 
 
 class TargetDirectory:
--- a/libraries/proxy/src/bamboopier_proxy/weight_ages.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_ages.py
@@ -32,7 +32,7 @@
     from bamboopier_objects.object_follower import ObjectFollower
     from bamboopier_objects.objects import StoredObject
 
-    from .vocabulary import Store
+    from .store_schema import Store
 
     # Versions with their entries, by model.
     OldEntries = dict[str, list[tuple[int, StoredObject]]]
--- a/libraries/proxy/tests/test_configuration_intake.py
+++ b/libraries/proxy/tests/test_configuration_intake.py
@@ -14,7 +14,7 @@
 from bamboopier_proxy.knowledge import Knowledge
 
 if TYPE_CHECKING:
-    from bamboopier_proxy.vocabulary import Vocabulary
+    from bamboopier_proxy.store_schema import Vocabulary
 
 
 def decode(value: bytes) -> Result[Declared, str]:
--- a/libraries/proxy/tests/test_store_followers.py
+++ b/libraries/proxy/tests/test_store_followers.py
@@ -16,7 +16,7 @@
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 from bamboopier_objects.objects import Listing, StoredObject
 from bamboopier_proxy.store_followers import StoreFollowers
-from bamboopier_proxy.vocabulary import NamedWeights
+from bamboopier_proxy.store_schema import NamedWeights
 from bamboopier_proxy.weight_ages import NamedAt, follow_weights
 
 NAMED = StoredObject("v/m", 7, b"2")
--- a/libraries/proxy/tests/test_weight_ages.py
+++ b/libraries/proxy/tests/test_weight_ages.py
@@ -19,7 +19,7 @@
 )
 from bamboopier_objects.objects import ABSENT, Listing, StoredObject
 from bamboopier_proxy.observers import WeightsObserver
-from bamboopier_proxy.vocabulary import NamedWeights
+from bamboopier_proxy.store_schema import NamedWeights
 from bamboopier_proxy.weight_ages import (
     CLOCK_ERROR_SECONDS,
     ENTRY_ERROR_SECONDS,
--- a/libraries/proxy/tests/test_weights_observer.py
+++ b/libraries/proxy/tests/test_weights_observer.py
@@ -21,7 +21,7 @@
     StoredObject,
 )
 from bamboopier_proxy.observers import WeightsObserver
-from bamboopier_proxy.vocabulary import NamedWeights
+from bamboopier_proxy.store_schema import NamedWeights
 
 if TYPE_CHECKING:
     from collections.abc import Callable
