--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -28,7 +28,7 @@
     from .answer import Answer
     from .weight_expiry_monitor import BeginWatch, Wait
     from .delivery import Delivery
-    from .dialect import Dialect
+    from .header_codec import Dialect
     from .messages import AnswerMarks, Call, SendMarks
     from .target_pool import TargetPool
 
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -37,7 +37,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from .dialect import Dialect
+    from .header_codec import Dialect
     from .part_follower import PartStores
     from .settings import ProxySettings
     from .store_schema import Store, Vocabulary
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -26,7 +26,7 @@
     from bamboopier_decisions.forwarding.model import Route, Workspace
     from bamboopier_decisions.forwarding.route_table import RouteTable
 
-    from .dialect import Dialect
+    from .header_codec import Dialect
     from .forwarder import Forwarder
     from .knowledge import Knowledge
     from .messages import CallerMarks
