--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -12,7 +12,7 @@
 from bamboopier_daemon.clock import read_clock
 from bamboopier_decisions.routing.messages import Ran
 
-from .answer import BrokenAnswerError
+from .target_response import BrokenAnswerError
 from .delivery import CallerGoneError
 from .event_splitter import EventSplitter
 from .limit_notes import note_limit
@@ -25,7 +25,7 @@
 
     from bamboopier_decisions.forwarding.fleet import Fleet, Sent
 
-    from .answer import Answer
+    from .target_response import Answer
     from .weight_expiry_monitor import BeginWatch, Wait
     from .delivery import Delivery
     from .header_codec import Dialect
--- a/libraries/proxy/src/bamboopier_proxy/target_connection.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_connection.py
@@ -16,7 +16,7 @@
 
 import httptools
 
-from .answer import Answer, BrokenAnswerError
+from .target_response import Answer, BrokenAnswerError
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -22,7 +22,7 @@
 from bamboopier_decisions.forwarding.prompt import Prompt, PromptPart
 from bamboopier_decisions.forwarding.retry_share import RetryBounds, RetryShares
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
-from bamboopier_proxy.answer import Answer
+from bamboopier_proxy.target_response import Answer
 from bamboopier_proxy.weight_expiry_monitor import BeginWatch
 from bamboopier_proxy.exchange import Exchange
 from bamboopier_proxy.forwarder import Forwarder
