--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -14,7 +14,7 @@
 
 from .exchange import Cause
 from .refusals import CallerError, ErrorCode, Ran
-from .send_log import SendLog
+from .attempt_log import SendLog
 
 if TYPE_CHECKING:
     import random
