--- a/libraries/proxy/src/bamboopier_proxy/attempt_log.py
+++ b/libraries/proxy/src/bamboopier_proxy/attempt_log.py
@@ -15,7 +15,7 @@
     from .knowledge import Knowledge
     from .messages import Call
     from .metrics import ProxyMetrics
-    from .send_planner import SendPlanner
+    from .attempt_planner import SendPlanner
 
 log = structlog.get_logger()
 
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -30,7 +30,7 @@
     from .knowledge import Knowledge
     from .messages import Call, SendMarks
     from .metrics import ProxyMetrics
-    from .send_planner import SendPlanner
+    from .attempt_planner import SendPlanner
     from .request_queues import WaitingRoom
 
 # Sends of one request, those included that a target turned away unrun.
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -29,7 +29,7 @@
 from .ingress import Ingress
 from .metrics import ProxyMetrics
 from .pause_monitor import PauseWatch
-from .send_planner import SendPlanner
+from .attempt_planner import SendPlanner
 from .settings_reloader import SettingsWatch
 from .store_followers import StoreFollowers
 from .target_pool import TargetPool
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -29,7 +29,7 @@
 from bamboopier_proxy.knowledge import Knowledge
 from bamboopier_proxy.messages import AnswerMarks, Call, SendMarks
 from bamboopier_proxy.metrics import ProxyMetrics
-from bamboopier_proxy.send_planner import SendPlanner
+from bamboopier_proxy.attempt_planner import SendPlanner
 from bamboopier_proxy.request_queues import WaitingRoom
 
 if TYPE_CHECKING:
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -7,7 +7,7 @@
 PROXY = "libraries/proxy/src/bamboopier_proxy"
 OBSERVER = "tests.test_weights_observer.WeightsObserverTests"
 AGES = "tests.test_weight_ages.WeightAgesTests"
-SENDS = "tests.test_sends.SendTests"
+SENDS = "tests.test_attempts.SendTests"
 FOLLOWED = "tests.test_weights_observer.FollowedWeightsTests"
 PEERS = "tests.test_gateway_peers.GatewayCountTests"
 STARTS = "tests.test_part_relay.FormerStartTests"
