--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -24,7 +24,7 @@
 from .hint_socket import HintSocket
 from .load_announcer import LoadAnnouncer
 from .observers import WeightsObserver
-from .pause_monitor import PauseWatch
+from .pause_monitor import PauseMonitor
 from .settings_reloader import SettingsWatch
 from .target_directory import TargetDirectory
 from .weight_ages import WeightAges, follow_weights
@@ -73,7 +73,7 @@
     )
     directory = TargetDirectory(store, vocabulary, settings.target_service)
     registry = CollectorRegistry()
-    pause_watch = PauseWatch(registry)
+    pause_monitor = PauseMonitor(registry)
     async with AsyncExitStack() as stack:
         with StopSignals() as signals:
             socket = await stack.enter_async_context(
@@ -99,12 +99,12 @@
             follower = ObjectFollower(
                 store,
                 vocabulary.weights_prefix,
-                WeightsObserver(vocabulary, weights, pause_watch.pauses, note_named),
+                WeightsObserver(vocabulary, weights, pause_monitor.pauses, note_named),
                 WATCH_SECONDS,
                 generator,
                 read_clock,
             )
-            await stack.enter_async_context(keep_running(pause_watch.run()))
+            await stack.enter_async_context(keep_running(pause_monitor.run()))
             await stack.enter_async_context(
                 keep_running(follow_weights(ages, follower))
             )
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -28,7 +28,7 @@
 from .gateway_state import GatewayState
 from .ingress import Ingress
 from .metrics import ProxyMetrics
-from .pause_monitor import PauseWatch
+from .pause_monitor import PauseMonitor
 from .attempt_planner import SendPlanner
 from .settings_reloader import SettingsWatch
 from .store_followers import StoreFollowers
@@ -64,9 +64,9 @@
         raise ValueError("a gateway needs addresses for callers and for readiness")
     generator = random.Random(f"{settings.vm}:{os.getpid()}:{read_clock()}")
     metrics = ProxyMetrics()
-    pause_watch = PauseWatch(metrics.registry)
-    state = GatewayState(settings, vocabulary, pause_watch.pauses)
-    pause_watch.listeners.append(state.health.note_pause)
+    pause_monitor = PauseMonitor(metrics.registry)
+    state = GatewayState(settings, vocabulary, pause_monitor.pauses)
+    pause_monitor.listeners.append(state.health.note_pause)
     followers = StoreFollowers(state, store, vocabulary, generator)
     peers = GatewayPeers(settings, state, store, vocabulary, part_stores, generator)
     pool = TargetPool(dialect.name_request_id())
@@ -108,7 +108,7 @@
             await stack.enter_async_context(pool)
             await stack.enter_async_context(peers)
             for work in (
-                pause_watch.run(),
+                pause_monitor.run(),
                 *followers.list_work(),
                 *peers.list_work(),
                 state.room.run(),
--- a/libraries/proxy/src/bamboopier_proxy/pause_monitor.py
+++ b/libraries/proxy/src/bamboopier_proxy/pause_monitor.py
@@ -17,7 +17,7 @@
 log = structlog.get_logger()
 
 
-class PauseWatch:
+class PauseMonitor:
     """Ticks as long as it runs; a pause is logged when it is over."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
--- a/libraries/proxy/tests/test_pause_monitor.py
+++ b/libraries/proxy/tests/test_pause_monitor.py
@@ -7,10 +7,10 @@
 
 from prometheus_client import CollectorRegistry
 
-from bamboopier_proxy.pause_monitor import PauseWatch
+from bamboopier_proxy.pause_monitor import PauseMonitor
 
 
-class PauseWatchTests(unittest.TestCase):
+class PauseMonitorTests(unittest.TestCase):
     def test_a_pause_is_logged_and_counted_when_it_is_over(self) -> None:
         module = "bamboopier_proxy.pause_watch"
         registry = CollectorRegistry()
@@ -19,7 +19,7 @@
             mock.patch(f"{module}.read_clock", side_effect=lambda: next(times)),
             mock.patch(f"{module}.log") as log,
         ):
-            watch = PauseWatch(registry)
+            watch = PauseMonitor(registry)
             told = mock.Mock()
             watch.listeners.append(told)
             watch.tick()
