--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -25,7 +25,7 @@
 from .load_announcer import LoadAnnouncer
 from .observers import WeightsObserver
 from .pause_monitor import PauseMonitor
-from .settings_reloader import SettingsWatch
+from .settings_reloader import SettingsReloader
 from .target_directory import TargetDirectory
 from .weight_ages import WeightAges, follow_weights
 from .weight_roller import WeightRoller
@@ -109,7 +109,7 @@
                 keep_running(follow_weights(ages, follower))
             )
             await stack.enter_async_context(keep_running(roller.run()))
-            watch = SettingsWatch(
+            watch = SettingsReloader(
                 settings,
                 read_settings,
                 lambda changed: weights.set_allowed(changed.version_seconds),
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -30,7 +30,7 @@
 from .metrics import ProxyMetrics
 from .pause_monitor import PauseMonitor
 from .attempt_planner import SendPlanner
-from .settings_reloader import SettingsWatch
+from .settings_reloader import SettingsReloader
 from .store_followers import StoreFollowers
 from .target_pool import TargetPool
 
@@ -86,7 +86,7 @@
     ingress = Ingress(
         dialect, state.knowledge, forwarder, metrics, settings.memory_bytes, generator
     )
-    watch = SettingsWatch(settings, read_settings, state.take_settings)
+    watch = SettingsReloader(settings, read_settings, state.take_settings)
 
     def is_ready() -> bool:
         return (
--- a/libraries/proxy/src/bamboopier_proxy/settings_reloader.py
+++ b/libraries/proxy/src/bamboopier_proxy/settings_reloader.py
@@ -23,7 +23,7 @@
 log = structlog.get_logger()
 
 
-class SettingsWatch:
+class SettingsReloader:
     """Reads the settings again and hands on those that changed.
 
     Without a handler SIGHUP would end the process, and every request it has.
