--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -31,7 +31,7 @@
     from .messages import Call, SendMarks
     from .metrics import ProxyMetrics
     from .attempt_planner import SendPlanner
-    from .request_queues import WaitingRoom
+    from .request_queues import RequestQueues
 
 # Sends of one request, those included that a target turned away unrun.
 MAX_SENDS = 4
@@ -69,7 +69,7 @@
         knowledge: Knowledge,
         planner: SendPlanner,
         exchange: Exchange,
-        room: WaitingRoom,
+        room: RequestQueues,
         metrics: ProxyMetrics,
         breaks: Breaks,
         shares: RetryShares,
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -15,7 +15,7 @@
 from .configuration_intake import ConfigurationIntake
 from .knowledge import Knowledge
 from .store_health import StoreHealth
-from .request_queues import WaitingRoom
+from .request_queues import RequestQueues
 
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.model import Declared
@@ -45,7 +45,7 @@
         self.weights = WeightVersions(settings.version_seconds)
         self.shares = RetryShares(settings.retries)
         self.health = StoreHealth()
-        self.room = WaitingRoom()
+        self.room = RequestQueues()
         self.knowledge = Knowledge(settings.key_seconds, self._apply)
         self.intake = ConfigurationIntake(vocabulary, self.knowledge)
         self._services: tuple[str, ...] = ()
--- a/libraries/proxy/src/bamboopier_proxy/request_queues.py
+++ b/libraries/proxy/src/bamboopier_proxy/request_queues.py
@@ -26,7 +26,7 @@
     found: asyncio.Future[Sent]
 
 
-class WaitingRoom:
+class RequestQueues:
     """Holds waiting requests by service."""
 
     def __init__(self) -> None:
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -30,7 +30,7 @@
 from bamboopier_proxy.messages import AnswerMarks, Call, SendMarks
 from bamboopier_proxy.metrics import ProxyMetrics
 from bamboopier_proxy.attempt_planner import SendPlanner
-from bamboopier_proxy.request_queues import WaitingRoom
+from bamboopier_proxy.request_queues import RequestQueues
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -114,7 +114,7 @@
             Exchange(
                 cast("Any", self.pool), self.fleet, dialect, BeginWatch(self.weights)
             ),
-            WaitingRoom(),
+            RequestQueues(),
             ProxyMetrics(),
             breaks,
             RetryShares(RetryBounds(0.2, 54.0, 10.0)),
--- a/libraries/proxy/tests/test_request_queues.py
+++ b/libraries/proxy/tests/test_request_queues.py
@@ -6,7 +6,7 @@
 import unittest
 from typing import TYPE_CHECKING, cast
 
-from bamboopier_proxy.request_queues import WaitingRoom
+from bamboopier_proxy.request_queues import RequestQueues
 
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.fleet import Sent
@@ -14,9 +14,9 @@
 PLACE = cast("Sent", object())
 
 
-class WaitingRoomTests(unittest.IsolatedAsyncioTestCase):
+class RequestQueuesTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        self.room = WaitingRoom()
+        self.room = RequestQueues()
         self.given: list[Sent] = []
         self.taken_back: list[Sent] = []
 
