--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -69,7 +69,7 @@
         knowledge: Knowledge,
         planner: SendPlanner,
         exchange: Exchange,
-        room: RequestQueues,
+        request_queues: RequestQueues,
         metrics: ProxyMetrics,
         breaks: Breaks,
         shares: RetryShares,
@@ -80,7 +80,7 @@
         self._knowledge = knowledge
         self._planner = planner
         self._exchange = exchange
-        self._room = room
+        self._request_queues = request_queues
         self._send_log = SendLog(planner, knowledge, metrics)
         self._metrics = metrics
         self._breaks = breaks
@@ -105,7 +105,7 @@
                 raise
             finally:
                 self._fleet.end(sent)
-                self._room.wake(call.service)
+                self._request_queues.wake(call.service)
             self._send_log.note(call, sent, result)
             if result.delivered:
                 return
@@ -154,7 +154,7 @@
                 return None
             return self._fleet.begin(read_clock(), found.state, call.prompt)
 
-        sent = await self._room.wait(
+        sent = await self._request_queues.wait(
             call.service, call.priority, seconds, find, self._fleet.end
         )
         waited = read_clock() - started
@@ -173,7 +173,7 @@
         limited = placement.limited
         if limited.count == 0 or not limited.only:
             return
-        before = self._room.count_before(call.service, call.priority)
+        before = self._request_queues.count_before(call.service, call.priority)
         turn = limited.next_at + before / max(limited.part, LEAST_PART)
         if turn > latest:
             raise self._refuse(call, ErrorCode.OVERLOADED, placement)
@@ -195,7 +195,7 @@
             usable=placement.usable,
             open=placement.open,
             limited=placement.limited.count,
-            waiting=self._room.count(call.service),
+            waiting=self._request_queues.count(call.service),
             tried=call.tried,
         )
         if call.may_have_run:
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -45,7 +45,7 @@
         self.weights = WeightVersions(settings.version_seconds)
         self.shares = RetryShares(settings.retries)
         self.health = StoreHealth()
-        self.room = RequestQueues()
+        self.request_queues = RequestQueues()
         self.knowledge = Knowledge(settings.key_seconds, self._apply)
         self.intake = ConfigurationIntake(vocabulary, self.knowledge)
         self._services: tuple[str, ...] = ()
@@ -64,7 +64,7 @@
     def wake_all(self) -> None:
         """Look for places for all that wait: targets have changed."""
         for service in self._services:
-            self.room.wake(service)
+            self.request_queues.wake(service)
 
     def read_limits(self) -> CallerLimits:
         """Return what callers may send."""
--- a/libraries/proxy/tests/test_request_queues.py
+++ b/libraries/proxy/tests/test_request_queues.py
@@ -16,7 +16,7 @@
 
 class RequestQueuesTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        self.room = RequestQueues()
+        self.queues = RequestQueues()
         self.given: list[Sent] = []
         self.taken_back: list[Sent] = []
 
@@ -25,15 +25,15 @@
         return PLACE
 
     def wait(self, seconds: float) -> asyncio.Task[Sent | None]:
-        waiting = self.room.wait("desk", 1, seconds, self.give, self.taken_back.append)
+        waiting = self.queues.wait("desk", 1, seconds, self.give, self.taken_back.append)
         return asyncio.create_task(waiting)
 
     async def test_a_place_goes_to_the_request_that_waits(self) -> None:
         waiting = self.wait(5.0)
         await asyncio.sleep(0)
-        self.room.wake("desk")
+        self.queues.wake("desk")
         self.assertIs(await waiting, PLACE)
-        self.assertEqual((self.taken_back, self.room.count("desk")), ([], 0))
+        self.assertEqual((self.taken_back, self.queues.count("desk")), ([], 0))
 
     async def test_a_caller_that_leaves_as_it_gets_a_place_leaves_none_taken(
         self,
@@ -43,7 +43,7 @@
         # and its target would look busier for as long as the gateway runs.
         waiting = self.wait(5.0)
         await asyncio.sleep(0)
-        self.room.wake("desk")
+        self.queues.wake("desk")
         waiting.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await waiting
@@ -55,7 +55,7 @@
         waiting.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await waiting
-        self.room.wake("desk")
+        self.queues.wake("desk")
         self.assertEqual((self.given, self.taken_back), ([], []))
 
 
