--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -35,7 +35,7 @@
 
     from .settings import ProxySettings
     from .target_orders import TargetOrders
-    from .store_schema import NamedWeights, Store, Vocabulary
+    from .store_schema import NamedWeights, Store, StoreSchema
 
 # Seconds that one watch for new weights lasts.
 WATCH_SECONDS = 4.0
@@ -48,7 +48,7 @@
 async def run_agent(
     settings: ProxySettings,
     store: Store,
-    vocabulary: Vocabulary,
+    schema: StoreSchema,
     orders: TargetOrders,
     read_settings: Callable[[], ProxySettings],
 ) -> None:
@@ -60,7 +60,7 @@
     place = str(settings.target)
     lease = LeaseKeeper(
         store,
-        f"{vocabulary.leases_prefix}{place}",
+        f"{schema.leases_prefix}{place}",
         Lease(settings.vm, settings.host, settings.lease_seconds),
     )
     slots = LoadSlots(
@@ -68,10 +68,10 @@
         settings.target_service,
         settings.vm,
         generator,
-        prefix=vocabulary.slots_prefix,
+        prefix=schema.slots_prefix,
         lease_seconds=SLOT_SECONDS,
     )
-    directory = TargetDirectory(store, vocabulary, settings.target_service)
+    directory = TargetDirectory(store, schema, settings.target_service)
     registry = CollectorRegistry()
     pause_monitor = PauseMonitor(registry)
     async with AsyncExitStack() as stack:
@@ -86,11 +86,11 @@
                 weights,
                 lease,
                 slots,
-                LoadAnnouncer(store, vocabulary.gateways_prefix, socket),
+                LoadAnnouncer(store, schema.gateways_prefix, socket),
                 directory,
                 generator,
             )
-            ages = WeightAges(store, vocabulary.ages_prefix, weights, generator)
+            ages = WeightAges(store, schema.ages_prefix, weights, generator)
 
             def note_named(named: NamedWeights, since: float) -> None:
                 ages.note_heard(named.model, named.version, since)
@@ -98,8 +98,8 @@
 
             follower = ObjectFollower(
                 store,
-                vocabulary.weights_prefix,
-                WeightsObserver(vocabulary, weights, pause_monitor.pauses, note_named),
+                schema.weights_prefix,
+                WeightsObserver(schema, weights, pause_monitor.pauses, note_named),
                 WATCH_SECONDS,
                 generator,
                 read_clock,
--- a/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
@@ -27,7 +27,7 @@
 
     from .configuration_intake import ConfigurationIntake
     from .store_health import StoreHealth
-    from .store_schema import Store, Vocabulary
+    from .store_schema import Store, StoreSchema
 
 # Bytes up to which a configuration is read after each watch: half of the 22 KB a second
 # that a node may spend on control.
@@ -51,13 +51,13 @@
     def __init__(
         self,
         store: Store,
-        vocabulary: Vocabulary,
+        schema: StoreSchema,
         intake: ConfigurationIntake,
         health: StoreHealth,
         random: random.Random,
     ) -> None:
         self._store = store
-        self._key = vocabulary.configuration_key
+        self._key = schema.configuration_key
         self._intake = intake
         self._health = health
         self._random = random
--- a/libraries/proxy/src/bamboopier_proxy/configuration_intake.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_intake.py
@@ -13,7 +13,7 @@
     from bamboopier_objects.objects import StoredObject
 
     from .knowledge import Knowledge
-    from .store_schema import Vocabulary
+    from .store_schema import StoreSchema
 
 log = structlog.get_logger()
 
@@ -21,8 +21,8 @@
 class ConfigurationIntake:
     """Decodes each stored version once and keeps the newest as it was stored."""
 
-    def __init__(self, vocabulary: Vocabulary, knowledge: Knowledge) -> None:
-        self._vocabulary = vocabulary
+    def __init__(self, schema: StoreSchema, knowledge: Knowledge) -> None:
+        self._schema = schema
         self._knowledge = knowledge
         # The newest that could be decoded; None before the first.
         self.stored: StoredObject | None = None
@@ -53,7 +53,7 @@
             return True
         if found.version <= self._set_aside:
             return True
-        decoded = self._vocabulary.decode_configuration(found.value)
+        decoded = self._schema.decode_configuration(found.value)
         if isinstance(decoded, Err):
             log.error("configuration set aside", reason=decoded.err_value)
             self._set_aside = found.version
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -40,7 +40,7 @@
     from .header_codec import Dialect
     from .part_follower import PartStores
     from .settings import ProxySettings
-    from .store_schema import Store, Vocabulary
+    from .store_schema import Store, StoreSchema
 
 # Share of the grace time in which requests may end; the rest is for closing.
 GRACE_SHARE = 0.95
@@ -54,7 +54,7 @@
 async def run_gateway(
     settings: ProxySettings,
     store: Store,
-    vocabulary: Vocabulary,
+    schema: StoreSchema,
     dialect: Dialect,
     part_stores: PartStores,
     read_settings: Callable[[], ProxySettings],
@@ -65,10 +65,10 @@
     generator = random.Random(f"{settings.vm}:{os.getpid()}:{read_clock()}")
     metrics = ProxyMetrics()
     pause_monitor = PauseMonitor(metrics.registry)
-    state = GatewayState(settings, vocabulary, pause_monitor.pauses)
+    state = GatewayState(settings, schema, pause_monitor.pauses)
     pause_monitor.listeners.append(state.health.note_pause)
-    followers = StoreFollowers(state, store, vocabulary, generator)
-    peers = GatewayPeers(settings, state, store, vocabulary, part_stores, generator)
+    followers = StoreFollowers(state, store, schema, generator)
+    peers = GatewayPeers(settings, state, store, schema, part_stores, generator)
     pool = TargetPool(dialect.name_request_id())
     begins = BeginWatch(state.weights)
     forwarder = Forwarder(
--- a/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
@@ -27,7 +27,7 @@
     from .gateway_state import GatewayState
     from .part_follower import PartStores
     from .settings import ProxySettings
-    from .store_schema import Store, Vocabulary
+    from .store_schema import Store, StoreSchema
 
 # Different targets that one request must have broken before it is refused, and for how
 # long: two could be chance, and a mistake must not starve a path that many ask for.
@@ -43,14 +43,14 @@
         settings: ProxySettings,
         state: GatewayState,
         store: Store,
-        vocabulary: Vocabulary,
+        schema: StoreSchema,
         part_stores: PartStores,
         random: random.Random,
     ) -> None:
         self._settings = settings
         self._roster = Roster(
             store,
-            vocabulary.gateways_prefix,
+            schema.gateways_prefix,
             random,
             state.take_count,
             state.pauses,
@@ -63,7 +63,7 @@
         relay = PartRelay(state.kept, self._caller)
         self._parts = PartFollower(part_stores, state.kept, relay, self._roster, random)
         self._limits = LimitRecords(
-            store, vocabulary.limits_prefix, state.fleet, self._roster
+            store, schema.limits_prefix, state.fleet, self._roster
         )
         self._server = PeerServer(
             Endpoint(settings.host, settings.first_port),
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -22,7 +22,7 @@
     from bamboopier_decisions.forwarding.pauses import Pauses
 
     from .settings import ProxySettings
-    from .store_schema import Vocabulary
+    from .store_schema import StoreSchema
 
 # Taken for the number of gateways until it is known. Failure answered: all gateways
 # start anew while engines come back cold; counted as one, each would send them all they
@@ -36,7 +36,7 @@
     """The beliefs of one gateway, and the requests that wait on them."""
 
     def __init__(
-        self, settings: ProxySettings, vocabulary: Vocabulary, pauses: Pauses
+        self, settings: ProxySettings, schema: StoreSchema, pauses: Pauses
     ) -> None:
         self.pauses = pauses
         self.fleet = Fleet()
@@ -47,7 +47,7 @@
         self.health = StoreHealth()
         self.request_queues = RequestQueues()
         self.knowledge = Knowledge(settings.key_seconds, self._apply)
-        self.intake = ConfigurationIntake(vocabulary, self.knowledge)
+        self.intake = ConfigurationIntake(schema, self.knowledge)
         self._services: tuple[str, ...] = ()
 
     def take_settings(self, changed: ProxySettings) -> None:
--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -20,7 +20,7 @@
     from bamboopier_objects.objects import ChangedObject, Listing
 
     from .store_health import StoreHealth
-    from .store_schema import NamedWeights, Vocabulary
+    from .store_schema import NamedWeights, StoreSchema
 
 # Seconds for which the store did not answer from which it is taken to have been away:
 # longer than one watch whose connection went silent.
@@ -34,12 +34,12 @@
 
     def __init__(
         self,
-        vocabulary: Vocabulary,
+        schema: StoreSchema,
         fleet: Fleet,
         health: StoreHealth,
         wake: Callable[[], None],
     ) -> None:
-        self._vocabulary = vocabulary
+        self._schema = schema
         self._fleet = fleet
         self._health = health
         self._wake = wake
@@ -75,7 +75,7 @@
     ) -> None:
         """Take one entry that changed or is gone."""
         now = read_clock()
-        name = change.key.removeprefix(self._vocabulary.targets_prefix)
+        name = change.key.removeprefix(self._schema.targets_prefix)
         if change.value is None:
             returning = self._health.is_returning(now)
             self._fleet.remove(now, name, self._health.find_return(now))
@@ -101,8 +101,8 @@
         self._wake()
 
     def _decode(self, key: str, value: bytes) -> TargetEntry | None:
-        name = key.removeprefix(self._vocabulary.targets_prefix)
-        decoded = self._vocabulary.decode_target(name, value)
+        name = key.removeprefix(self._schema.targets_prefix)
+        decoded = self._schema.decode_target(name, value)
         if isinstance(decoded, Err):
             log.warning("entry set aside", target=name, reason=decoded.err_value)
             return None
@@ -114,12 +114,12 @@
 
     def __init__(
         self,
-        vocabulary: Vocabulary,
+        schema: StoreSchema,
         weights: WeightVersions,
         pauses: Pauses,
         changed: Callable[[NamedWeights, float], None],
     ) -> None:
-        self._vocabulary = vocabulary
+        self._schema = schema
         self._weights = weights
         self._pauses = pauses
         # Told of a version that was named while this process ran, and since when.
@@ -171,7 +171,7 @@
 
     def _take(self, key: str, value: bytes, since: float, guessed: bool) -> None:
         """Take one version that was named at ``since`` at the earliest."""
-        decoded = self._vocabulary.decode_weights(value)
+        decoded = self._schema.decode_weights(value)
         if isinstance(decoded, Err):
             log.warning("entry set aside", key=key, reason=decoded.err_value)
             return
@@ -193,8 +193,8 @@
 class ClosureObserver:
     """Keeps the data centres that are to get nothing."""
 
-    def __init__(self, vocabulary: Vocabulary, fleet: Fleet) -> None:
-        self._vocabulary = vocabulary
+    def __init__(self, schema: StoreSchema, fleet: Fleet) -> None:
+        self._schema = schema
         self._fleet = fleet
         self._closed: set[str] = set()
 
@@ -202,14 +202,14 @@
         self, listing: Listing, away_seconds: float, known_until: float
     ) -> None:
         """Take all closures."""
-        prefix = self._vocabulary.closures_prefix
+        prefix = self._schema.closures_prefix
         self._apply({found.key.removeprefix(prefix) for found in listing.objects})
 
     def take_change(
         self, change: ChangedObject, known_until: float, *, late: bool
     ) -> None:
         """Take one closure, or its end."""
-        name = change.key.removeprefix(self._vocabulary.closures_prefix)
+        name = change.key.removeprefix(self._schema.closures_prefix)
         closed = self._closed - {name}
         self._apply(closed | {name} if change.value is not None else closed)
 
--- a/libraries/proxy/src/bamboopier_proxy/store_followers.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_followers.py
@@ -20,7 +20,7 @@
     from bamboopier_objects.object_follower import ObjectObserver
 
     from .gateway_state import GatewayState
-    from .store_schema import NamedWeights, Store, Vocabulary
+    from .store_schema import NamedWeights, Store, StoreSchema
 
 # Seconds that one watch of weights or closures lasts.
 WATCH_SECONDS = 2.0
@@ -40,26 +40,26 @@
         self,
         state: GatewayState,
         store: Store,
-        vocabulary: Vocabulary,
+        schema: StoreSchema,
         random: random.Random,
     ) -> None:
         self._store = HeardStore(store, state.health)
         self._random = random
-        self._ages = WeightAges(store, vocabulary.ages_prefix, state.weights, random)
+        self._ages = WeightAges(store, schema.ages_prefix, state.weights, random)
         self._configuration = ConfigurationFollower(
-            store, vocabulary, state.intake, state.health, random
+            store, schema, state.intake, state.health, random
         )
         self._targets = self._follow(
-            vocabulary.targets_prefix,
-            TargetObserver(vocabulary, state.fleet, state.health, state.wake_all),
+            schema.targets_prefix,
+            TargetObserver(schema, state.fleet, state.health, state.wake_all),
             TARGETS_WATCH_SECONDS,
         )
         self._weights = self._follow(
-            vocabulary.weights_prefix,
-            WeightsObserver(vocabulary, state.weights, state.pauses, self._note_named),
+            schema.weights_prefix,
+            WeightsObserver(schema, state.weights, state.pauses, self._note_named),
         )
         self._closures = self._follow(
-            vocabulary.closures_prefix, ClosureObserver(vocabulary, state.fleet)
+            schema.closures_prefix, ClosureObserver(schema, state.fleet)
         )
 
     @property
--- a/libraries/proxy/src/bamboopier_proxy/store_schema.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_schema.py
@@ -25,7 +25,7 @@
     """The platform's store: conditional writes, lists and watches."""
 
 
-class Vocabulary(Protocol):
+class StoreSchema(Protocol):
     """Keys of what others write, and how it is decoded."""
 
     configuration_key: str
--- a/libraries/proxy/src/bamboopier_proxy/target_directory.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_directory.py
@@ -10,17 +10,17 @@
     from bamboopier_decisions.forwarding.model import TargetEntry
     from bamboopier_objects.objects import FollowedStore
 
-    from .store_schema import Vocabulary
+    from .store_schema import StoreSchema
 
 
 class TargetDirectory:
     """Reads the registered targets of one service when they are needed."""
 
     def __init__(
-        self, store: FollowedStore, vocabulary: Vocabulary, service: str
+        self, store: FollowedStore, schema: StoreSchema, service: str
     ) -> None:
         self._store = store
-        self._vocabulary = vocabulary
+        self._schema = schema
         self._service = service
         self._entries: list[TargetEntry] = []
 
@@ -31,13 +31,13 @@
 
     async def read(self) -> bool:
         """Read the list; False when the store did not answer."""
-        listing = await self._store.list(self._vocabulary.targets_prefix)
+        listing = await self._store.list(self._schema.targets_prefix)
         if isinstance(listing, Err):
             return False
         entries = []
         for found in listing.ok_value.objects:
-            name = found.key.removeprefix(self._vocabulary.targets_prefix)
-            decoded = self._vocabulary.decode_target(name, found.value)
+            name = found.key.removeprefix(self._schema.targets_prefix)
+            decoded = self._schema.decode_target(name, found.value)
             if isinstance(decoded, Ok) and decoded.ok_value.service == self._service:
                 entries.append(decoded.ok_value)
         self._entries = entries
--- a/libraries/proxy/tests/test_configuration_intake.py
+++ b/libraries/proxy/tests/test_configuration_intake.py
@@ -14,7 +14,7 @@
 from bamboopier_proxy.knowledge import Knowledge
 
 if TYPE_CHECKING:
-    from bamboopier_proxy.store_schema import Vocabulary
+    from bamboopier_proxy.store_schema import StoreSchema
 
 
 def decode(value: bytes) -> Result[Declared, str]:
@@ -26,9 +26,9 @@
 
 class IntakeTests(unittest.TestCase):
     def setUp(self) -> None:
-        vocabulary: Vocabulary = mock.Mock(decode_configuration=decode)
+        schema: StoreSchema = mock.Mock(decode_configuration=decode)
         self.knowledge = Knowledge(5.0, lambda _: None)
-        self.intake = ConfigurationIntake(vocabulary, self.knowledge)
+        self.intake = ConfigurationIntake(schema, self.knowledge)
         for module in ("knowledge", "configuration_intake"):
             patch = mock.patch(f"bamboopier_proxy.{module}.log")
             patch.start()
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -46,10 +46,10 @@
             key_seconds=None,
             retries=RetryBounds(0.2, 54, 10.0),
         )
-        vocabulary = mock.Mock(gateways_prefix=PREFIX)
-        self.state = GatewayState(settings, vocabulary, self.pauses)
+        schema = mock.Mock(gateways_prefix=PREFIX)
+        self.state = GatewayState(settings, schema, self.pauses)
         self.peers = GatewayPeers(
-            settings, self.state, store, vocabulary, mock.Mock(), random.Random(number)
+            settings, self.state, store, schema, mock.Mock(), random.Random(number)
         )
         self.gossip = self.peers.gossip
         self.roster = self.peers._roster
--- a/libraries/proxy/tests/test_store_followers.py
+++ b/libraries/proxy/tests/test_store_followers.py
@@ -33,8 +33,8 @@
         state = mock.Mock()
         state.pauses = Pauses(read_clock())
         state.weights = WeightVersions(12.0)
-        vocabulary = mock.Mock(ages_prefix="a/", weights_prefix="v/")
-        vocabulary.decode_weights.return_value = Ok(NamedWeights("m", 2))
+        schema = mock.Mock(ages_prefix="a/", weights_prefix="v/")
+        schema.decode_weights.return_value = Ok(NamedWeights("m", 2))
         entries: list[StoredObject] = []
 
         async def read(key: str) -> Ok[StoredObject | None]:
@@ -48,7 +48,7 @@
             await asyncio.sleep(3600)
 
         store = mock.Mock(read=read, list=list_below, watch_values=watch)
-        followers = StoreFollowers(state, store, vocabulary, random.Random(1))
+        followers = StoreFollowers(state, store, schema, random.Random(1))
         with (
             mock.patch("bamboopier_proxy.observers.log"),
             mock.patch("bamboopier_proxy.weight_ages.log"),
--- a/libraries/proxy/tests/test_store_health.py
+++ b/libraries/proxy/tests/test_store_health.py
@@ -32,14 +32,14 @@
         # that follows, and gets no caller's request after it.
         times = iter((100.0, 100.0, 101.0, 101.0, 102.0, 102.0, 103.5, 103.5))
         health, fleet = StoreHealth(), Fleet()
-        vocabulary = mock.Mock(targets_prefix="t/", configuration_key="c")
+        schema = mock.Mock(targets_prefix="t/", configuration_key="c")
         store = mock.AsyncMock()
         found = StoredObject("c", 5, b"")
         store.list.return_value = Ok(Listing(5, (found,)))
         poll = ConfigurationFollower(
-            store, vocabulary, mock.Mock(), health, random.Random(1)
+            store, schema, mock.Mock(), health, random.Random(1)
         )
-        observer = TargetObserver(vocabulary, fleet, health, mock.Mock())
+        observer = TargetObserver(schema, fleet, health, mock.Mock())
         entry = TargetEntry("i-1", 1, "chat", "10.0.0.1", 80, "z1", 4, False, 0.0)
         fleet.put(100.0, entry)
         with (
@@ -68,9 +68,9 @@
             found = StoredObject("c", len(seen), value)
             return Ok(Listing(len(seen), (found,)))
 
-        vocabulary = mock.Mock(configuration_key="c")
+        schema = mock.Mock(configuration_key="c")
         follower = ConfigurationFollower(
-            mock.Mock(list=read), vocabulary, mock.Mock(), health, random.Random(1)
+            mock.Mock(list=read), schema, mock.Mock(), health, random.Random(1)
         )
         module = "bamboopier_proxy.configuration_follower.read_clock"
         with mock.patch(module, return_value=100.0):
@@ -93,10 +93,10 @@
         store = mock.AsyncMock(watch_values=watch)
         found = StoredObject("c", 5, b"")
         store.list.return_value = Ok(Listing(5, (found,)))
-        vocabulary = mock.Mock(configuration_key="c")
+        schema = mock.Mock(configuration_key="c")
         intake = mock.Mock()
         follower = ConfigurationFollower(
-            store, vocabulary, intake, health, random.Random(1)
+            store, schema, intake, health, random.Random(1)
         )
         module = "bamboopier_proxy.configuration_follower"
         with (
--- a/libraries/proxy/tests/test_weight_ages.py
+++ b/libraries/proxy/tests/test_weight_ages.py
@@ -140,12 +140,12 @@
         module = "bamboopier_proxy.observers"
         self.enterContext(mock.patch(f"{module}.read_clock", return_value=NOW))
         self.enterContext(mock.patch(f"{module}.log"))
-        vocabulary = mock.Mock()
-        vocabulary.decode_weights.side_effect = lambda value: Ok(
+        schema = mock.Mock()
+        schema.decode_weights.side_effect = lambda value: Ok(
             NamedWeights("m", int(value))
         )
         observer = WeightsObserver(
-            vocabulary,
+            schema,
             self.weights,
             Pauses(NOW),
             lambda named, since: self.ages.note_named(
@@ -244,8 +244,8 @@
     ) -> list[WeightVersions]:
         """Let gateways hear by a list, after an outage for all, of version 2."""
         heard, written = [], []
-        vocabulary = mock.Mock()
-        vocabulary.decode_weights.side_effect = lambda value: Ok(
+        schema = mock.Mock()
+        schema.decode_weights.side_effect = lambda value: Ok(
             NamedWeights("m", int(value))
         )
         for pauses in gateways:
@@ -255,7 +255,7 @@
             def note(named: NamedWeights, since: float, to: WeightAges = ages) -> None:
                 to.note_named(named.model, named.version, since)
 
-            observer = WeightsObserver(vocabulary, weights, pauses, note)
+            observer = WeightsObserver(schema, weights, pauses, note)
             before = Listing(5, (StoredObject("v/m", 5, b"1"),))
             observer.take_listing(before, 0.0, float("-inf"))
             after = Listing(9, (StoredObject("v/m", 9, b"2"),))
--- a/libraries/proxy/tests/test_weights_observer.py
+++ b/libraries/proxy/tests/test_weights_observer.py
@@ -43,15 +43,15 @@
             mock.patch(f"{module}.read_clock", side_effect=lambda: self.now)
         )
         self.log = self.enterContext(mock.patch(f"{module}.log"))
-        vocabulary = mock.Mock()
-        vocabulary.decode_weights.side_effect = lambda value: Ok(
+        schema = mock.Mock()
+        schema.decode_weights.side_effect = lambda value: Ok(
             NamedWeights("m", int(value))
         )
         self.pauses = Pauses(self.now)
         self.weights = WeightVersions(12.0)
         self.changed = mock.Mock()
         self.observer = WeightsObserver(
-            vocabulary, self.weights, self.pauses, self.changed
+            schema, self.weights, self.pauses, self.changed
         )
 
     def tell(self, version: int) -> None:
@@ -106,14 +106,14 @@
         )
         self.enterContext(mock.patch(f"{module}.log"))
         self.enterContext(mock.patch("bamboopier_objects.object_follower.log"))
-        vocabulary = mock.Mock()
-        vocabulary.decode_weights.side_effect = lambda value: Ok(
+        schema = mock.Mock()
+        schema.decode_weights.side_effect = lambda value: Ok(
             NamedWeights("m", int(value))
         )
         self.pauses = Pauses(self.now)
         self.weights = WeightVersions(12.0)
         self.observer = WeightsObserver(
-            vocabulary, self.weights, self.pauses, mock.Mock()
+            schema, self.weights, self.pauses, mock.Mock()
         )
 
     def run_for(self, seconds: float) -> None:
