--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -35,7 +35,7 @@
 
     from .settings import ProxySettings
     from .target_orders import TargetOrders
-    from .store_schema import NamedWeights, Store, StoreSchema
+    from .store_schema import PublishedWeights, Store, StoreSchema
 
 # Seconds that one watch for new weights lasts.
 WATCH_SECONDS = 4.0
@@ -92,7 +92,7 @@
             )
             ages = WeightAges(store, schema.ages_prefix, weights, generator)
 
-            def note_named(named: NamedWeights, since: float) -> None:
+            def note_named(named: PublishedWeights, since: float) -> None:
                 ages.note_heard(named.model, named.version, since)
                 roller.changed.set()
 
--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -20,7 +20,7 @@
     from bamboopier_objects.objects import ChangedObject, Listing
 
     from .store_health import StoreHealth
-    from .store_schema import NamedWeights, StoreSchema
+    from .store_schema import PublishedWeights, StoreSchema
 
 # Seconds for which the store did not answer from which it is taken to have been away:
 # longer than one watch whose connection went silent.
@@ -117,7 +117,7 @@
         schema: StoreSchema,
         weights: WeightVersions,
         pauses: Pauses,
-        changed: Callable[[NamedWeights, float], None],
+        changed: Callable[[PublishedWeights, float], None],
     ) -> None:
         self._schema = schema
         self._weights = weights
--- a/libraries/proxy/src/bamboopier_proxy/store_followers.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_followers.py
@@ -20,7 +20,7 @@
     from bamboopier_objects.object_follower import ObjectObserver
 
     from .gateway_state import GatewayState
-    from .store_schema import NamedWeights, Store, StoreSchema
+    from .store_schema import PublishedWeights, Store, StoreSchema
 
 # Seconds that one watch of weights or closures lasts.
 WATCH_SECONDS = 2.0
@@ -83,5 +83,5 @@
             self._store, prefix, observer, seconds, self._random, read_clock
         )
 
-    def _note_named(self, named: NamedWeights, since: float) -> None:
+    def _note_named(self, named: PublishedWeights, since: float) -> None:
         self._ages.note_named(named.model, named.version, since)
--- a/libraries/proxy/src/bamboopier_proxy/store_schema.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_schema.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NamedWeights:
+class PublishedWeights:
     """A weight version that the operator named for a model."""
 
     model: str
@@ -52,6 +52,6 @@
         """Return a target's entry, or why it names no target to use."""
         ...
 
-    def decode_weights(self, value: bytes) -> Result[NamedWeights, str]:
+    def decode_weights(self, value: bytes) -> Result[PublishedWeights, str]:
         """Return a named weight version, or what is wrong with it."""
         ...
--- a/libraries/proxy/tests/test_store_followers.py
+++ b/libraries/proxy/tests/test_store_followers.py
@@ -16,7 +16,7 @@
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 from bamboopier_objects.objects import Listing, StoredObject
 from bamboopier_proxy.store_followers import StoreFollowers
-from bamboopier_proxy.store_schema import NamedWeights
+from bamboopier_proxy.store_schema import PublishedWeights
 from bamboopier_proxy.weight_ages import NamedAt, follow_weights
 
 NAMED = StoredObject("v/m", 7, b"2")
@@ -34,7 +34,7 @@
         state.pauses = Pauses(read_clock())
         state.weights = WeightVersions(12.0)
         schema = mock.Mock(ages_prefix="a/", weights_prefix="v/")
-        schema.decode_weights.return_value = Ok(NamedWeights("m", 2))
+        schema.decode_weights.return_value = Ok(PublishedWeights("m", 2))
         entries: list[StoredObject] = []
 
         async def read(key: str) -> Ok[StoredObject | None]:
--- a/libraries/proxy/tests/test_weight_ages.py
+++ b/libraries/proxy/tests/test_weight_ages.py
@@ -19,7 +19,7 @@
 )
 from bamboopier_objects.objects import ABSENT, Listing, StoredObject
 from bamboopier_proxy.observers import WeightsObserver
-from bamboopier_proxy.store_schema import NamedWeights
+from bamboopier_proxy.store_schema import PublishedWeights
 from bamboopier_proxy.weight_ages import (
     CLOCK_ERROR_SECONDS,
     ENTRY_ERROR_SECONDS,
@@ -142,7 +142,7 @@
         self.enterContext(mock.patch(f"{module}.log"))
         schema = mock.Mock()
         schema.decode_weights.side_effect = lambda value: Ok(
-            NamedWeights("m", int(value))
+            PublishedWeights("m", int(value))
         )
         observer = WeightsObserver(
             schema,
@@ -246,13 +246,13 @@
         heard, written = [], []
         schema = mock.Mock()
         schema.decode_weights.side_effect = lambda value: Ok(
-            NamedWeights("m", int(value))
+            PublishedWeights("m", int(value))
         )
         for pauses in gateways:
             weights = WeightVersions(12.0)
             ages = WeightAges(self.store, "ages/", weights, random.Random(1))
 
-            def note(named: NamedWeights, since: float, to: WeightAges = ages) -> None:
+            def note(named: PublishedWeights, since: float, to: WeightAges = ages) -> None:
                 to.note_named(named.model, named.version, since)
 
             observer = WeightsObserver(schema, weights, pauses, note)
--- a/libraries/proxy/tests/test_weights_observer.py
+++ b/libraries/proxy/tests/test_weights_observer.py
@@ -21,7 +21,7 @@
     StoredObject,
 )
 from bamboopier_proxy.observers import WeightsObserver
-from bamboopier_proxy.store_schema import NamedWeights
+from bamboopier_proxy.store_schema import PublishedWeights
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -45,7 +45,7 @@
         self.log = self.enterContext(mock.patch(f"{module}.log"))
         schema = mock.Mock()
         schema.decode_weights.side_effect = lambda value: Ok(
-            NamedWeights("m", int(value))
+            PublishedWeights("m", int(value))
         )
         self.pauses = Pauses(self.now)
         self.weights = WeightVersions(12.0)
@@ -66,7 +66,7 @@
     def test_what_a_watch_tells_was_named_just_now(self) -> None:
         self.tell(2)
         self.assertEqual(self.weights.find_since("m"), 100.0)
-        self.changed.assert_called_once_with(NamedWeights("m", 2), 100.0)
+        self.changed.assert_called_once_with(PublishedWeights("m", 2), 100.0)
 
     def test_what_was_told_during_a_pause_may_be_as_old_as_that(self) -> None:
         # The process stands still for 3.3 s. The watch's answer is the first thing it
@@ -80,7 +80,7 @@
         self.list(1, NEVER)
         self.list(2, 98.5)
         self.assertEqual(self.weights.find_since("m"), 98.5)
-        self.changed.assert_called_once_with(NamedWeights("m", 2), 98.5)
+        self.changed.assert_called_once_with(PublishedWeights("m", 2), 98.5)
 
     def test_the_first_list_says_nothing_of_when(self) -> None:
         self.list(4, NEVER)
@@ -108,7 +108,7 @@
         self.enterContext(mock.patch("bamboopier_objects.object_follower.log"))
         schema = mock.Mock()
         schema.decode_weights.side_effect = lambda value: Ok(
-            NamedWeights("m", int(value))
+            PublishedWeights("m", int(value))
         )
         self.pauses = Pauses(self.now)
         self.weights = WeightVersions(12.0)
