--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -202,14 +202,14 @@
         self, listing: Listing, away_seconds: float, known_until: float
     ) -> None:
         """Take all closures."""
-        prefix = self._schema.closures_prefix
+        prefix = self._schema.drained_data_centres_prefix
         self._apply({found.key.removeprefix(prefix) for found in listing.objects})
 
     def take_change(
         self, change: ChangedObject, known_until: float, *, late: bool
     ) -> None:
         """Take one closure, or its end."""
-        name = change.key.removeprefix(self._schema.closures_prefix)
+        name = change.key.removeprefix(self._schema.drained_data_centres_prefix)
         closed = self._closed - {name}
         self._apply(closed | {name} if change.value is not None else closed)
 
--- a/libraries/proxy/src/bamboopier_proxy/store_followers.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_followers.py
@@ -59,7 +59,7 @@
             WeightsObserver(schema, state.weights, state.pauses, self._note_named),
         )
         self._closures = self._follow(
-            schema.closures_prefix, ClosureObserver(schema, state.fleet)
+            schema.drained_data_centres_prefix, ClosureObserver(schema, state.fleet)
         )
 
     @property
--- a/libraries/proxy/src/bamboopier_proxy/store_schema.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_schema.py
@@ -32,7 +32,7 @@
     targets_prefix: str
     weights_prefix: str
     # Each name below it is a data centre that gets nothing.
-    closures_prefix: str
+    drained_data_centres_prefix: str
     # Where gateways register themselves.
     gateways_prefix: str
     # Where the holders of targets' orders are written.
