--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -90,7 +90,7 @@
                 directory,
                 generator,
             )
-            ages = WeightAges(store, schema.ages_prefix, weights, generator)
+            ages = WeightAges(store, schema.publish_times_prefix, weights, generator)
 
             def note_named(named: PublishedWeights, since: float) -> None:
                 ages.note_heard(named.model, named.version, since)
--- a/libraries/proxy/src/bamboopier_proxy/store_followers.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_followers.py
@@ -45,7 +45,7 @@
     ) -> None:
         self._store = HeardStore(store, state.health)
         self._random = random
-        self._ages = WeightAges(store, schema.ages_prefix, state.weights, random)
+        self._ages = WeightAges(store, schema.publish_times_prefix, state.weights, random)
         self._configuration = ConfigurationFollower(
             store, schema, state.intake, state.health, random
         )
--- a/libraries/proxy/src/bamboopier_proxy/store_schema.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_schema.py
@@ -40,7 +40,7 @@
     # Where the places to load weights are held.
     slots_prefix: str
     # Where it is written when weights were named.
-    ages_prefix: str
+    publish_times_prefix: str
     # Where it is written what targets in need take.
     limits_prefix: str
 
--- a/libraries/proxy/tests/test_store_followers.py
+++ b/libraries/proxy/tests/test_store_followers.py
@@ -33,7 +33,7 @@
         state = mock.Mock()
         state.pauses = Pauses(read_clock())
         state.weights = WeightVersions(12.0)
-        schema = mock.Mock(ages_prefix="a/", weights_prefix="v/")
+        schema = mock.Mock(publish_times_prefix="a/", weights_prefix="v/")
         schema.decode_weights.return_value = Ok(PublishedWeights("m", 2))
         entries: list[StoredObject] = []
 
