--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -68,7 +68,7 @@
         settings.target_service,
         settings.vm,
         generator,
-        prefix=schema.slots_prefix,
+        prefix=schema.load_slots_prefix,
         lease_seconds=SLOT_SECONDS,
     )
     directory = TargetDirectory(store, schema, settings.target_service)
--- a/libraries/proxy/src/bamboopier_proxy/store_schema.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_schema.py
@@ -38,7 +38,7 @@
     # Where the holders of targets' orders are written.
     leases_prefix: str
     # Where the places to load weights are held.
-    slots_prefix: str
+    load_slots_prefix: str
     # Where it is written when weights were named.
     publish_times_prefix: str
     # Where it is written what targets in need take.
