--- a/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
@@ -63,7 +63,7 @@
         relay = PartRelay(state.kept, self._caller)
         self._parts = PartFollower(part_stores, state.kept, relay, self._roster, random)
         self._limits = LimitRecords(
-            store, schema.limits_prefix, state.fleet, self._roster
+            store, schema.rate_limits_prefix, state.fleet, self._roster
         )
         self._server = PeerServer(
             Endpoint(settings.host, settings.first_port),
--- a/libraries/proxy/src/bamboopier_proxy/store_schema.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_schema.py
@@ -42,7 +42,7 @@
     # Where it is written when weights were named.
     publish_times_prefix: str
     # Where it is written what targets in need take.
-    limits_prefix: str
+    rate_limits_prefix: str
 
     def decode_configuration(self, value: bytes) -> Result[Declared, str]:
         """Return a configuration, or what is wrong with it."""
