--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -28,7 +28,7 @@
     from .target_response import Answer
     from .weight_expiry_monitor import BeginWatch, Wait
     from .delivery import Delivery
-    from .header_codec import Dialect
+    from .header_codec import HeaderCodec
     from .messages import AnswerMarks, Call, SendMarks
     from .target_pool import TargetPool
 
@@ -88,11 +88,11 @@
     """Sends calls to targets and passes their answers on."""
 
     def __init__(
-        self, pool: TargetPool, fleet: Fleet, dialect: Dialect, begins: BeginWatch
+        self, pool: TargetPool, fleet: Fleet, codec: HeaderCodec, begins: BeginWatch
     ) -> None:
         self._pool = pool
         self._fleet = fleet
-        self._dialect = dialect
+        self._codec = codec
         self._begins = begins
 
     async def send(
@@ -157,7 +157,7 @@
         answer = await wait.connection.ask(
             head, call.body, call.request_id, call.method
         )
-        said = self._dialect.read_answer(answer.status, answer.headers)
+        said = self._codec.read_answer(answer.status, answer.headers)
         self._note_marks(call, sent, said)
         if (said.sealed or said.not_run) and not said.misdirected:
             note_limit(sent.state, started, said, call.request_id)
@@ -248,7 +248,7 @@
     def _write_head(self, call: Call, marks: SendMarks) -> bytes:
         lines = [f"{call.method} {call.raw_path} HTTP/1.1", f"Host: {call.host}"]
         lines += [f"{name}: {value}" for name, value in call.headers]
-        lines += [f"{name}: {value}" for name, value in self._dialect.write_send(marks)]
+        lines += [f"{name}: {value}" for name, value in self._codec.write_send(marks)]
         if call.body or call.method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
             lines.append(f"Content-Length: {len(call.body)}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -37,7 +37,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from .header_codec import Dialect
+    from .header_codec import HeaderCodec
     from .part_follower import PartStores
     from .settings import ProxySettings
     from .store_schema import Store, StoreSchema
@@ -55,7 +55,7 @@
     settings: ProxySettings,
     store: Store,
     schema: StoreSchema,
-    dialect: Dialect,
+    codec: HeaderCodec,
     part_stores: PartStores,
     read_settings: Callable[[], ProxySettings],
 ) -> None:
@@ -69,13 +69,13 @@
     pause_monitor.listeners.append(state.health.note_pause)
     followers = StoreFollowers(state, store, schema, generator)
     peers = GatewayPeers(settings, state, store, schema, part_stores, generator)
-    pool = TargetPool(dialect.name_request_id())
+    pool = TargetPool(codec.name_request_id())
     begins = BeginWatch(state.weights)
     forwarder = Forwarder(
         state.fleet,
         state.knowledge,
         SendPlanner(state.weights, state.kept),
-        Exchange(pool, state.fleet, dialect, begins),
+        Exchange(pool, state.fleet, codec, begins),
         state.request_queues,
         metrics,
         peers.gossip,
@@ -84,7 +84,7 @@
         generator,
     )
     ingress = Ingress(
-        dialect, state.knowledge, forwarder, metrics, settings.memory_bytes, generator
+        codec, state.knowledge, forwarder, metrics, settings.memory_bytes, generator
     )
     watch = SettingsReloader(settings, read_settings, state.take_settings)
 
--- a/libraries/proxy/src/bamboopier_proxy/header_codec.py
+++ b/libraries/proxy/src/bamboopier_proxy/header_codec.py
@@ -12,7 +12,7 @@
     from .messages import AnswerMarks, CallerMarks, HeaderList, SendMarks
 
 
-class Dialect(Protocol):
+class HeaderCodec(Protocol):
     """Reads and writes the headers that carry meaning."""
 
     def read_caller(
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -26,7 +26,7 @@
     from bamboopier_decisions.forwarding.model import Route, Workspace
     from bamboopier_decisions.forwarding.route_table import RouteTable
 
-    from .header_codec import Dialect
+    from .header_codec import HeaderCodec
     from .forwarder import Forwarder
     from .knowledge import Knowledge
     from .messages import CallerMarks
@@ -53,14 +53,14 @@
 
     def __init__(
         self,
-        dialect: Dialect,
+        codec: HeaderCodec,
         knowledge: Knowledge,
         forwarder: Forwarder,
         metrics: ProxyMetrics,
         memory_bytes: int,
         random: random.Random,
     ) -> None:
-        self._dialect = dialect
+        self._codec = codec
         self._knowledge = knowledge
         self._forwarder = forwarder
         self._metrics = metrics
@@ -148,7 +148,7 @@
         await self._forwarder.forward(call, delivery)
 
     def _read_marks(self, request: web.BaseRequest, trace: _Trace) -> CallerMarks:
-        read = self._dialect.read_caller(request.headers.items())
+        read = self._codec.read_caller(request.headers.items())
         if isinstance(read, Err):
             raise CallerError(ErrorCode.BAD_REQUEST, read.err_value)
         marks = read.ok_value
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -77,7 +77,7 @@
         """Take a used connection."""
 
 
-class PlainDialect:
+class StubCodec:
     """Writes what a target is told as plain headers; all answers are whole."""
 
     def write_send(self, marks: SendMarks) -> tuple[tuple[str, str], ...]:
@@ -103,7 +103,7 @@
         self.fleet = Fleet()
         self.fleet.set_services(make_declared().services)
         self.fleet.put(self.clock.now, make_entry())
-        dialect = cast("Any", PlainDialect())
+        codec = cast("Any", StubCodec())
         breaks = mock.Mock()
         breaks.find_wait.return_value = 0.0
         self.breaks = breaks
@@ -112,7 +112,7 @@
             self.knowledge,
             SendPlanner(self.weights, KeptParts()),
             Exchange(
-                cast("Any", self.pool), self.fleet, dialect, BeginWatch(self.weights)
+                cast("Any", self.pool), self.fleet, codec, BeginWatch(self.weights)
             ),
             RequestQueues(),
             ProxyMetrics(),
