--- a/libraries/proxy/src/bamboopier_proxy/header_codec.py
+++ b/libraries/proxy/src/bamboopier_proxy/header_codec.py
@@ -15,7 +15,7 @@
 class HeaderCodec(Protocol):
     """Reads and writes the headers that carry meaning."""
 
-    def read_caller(
+    def parse_request_headers(
         self, headers: Iterable[tuple[str, str]]
     ) -> Result[CallerMarks, str]:
         """Return what a caller's headers say, or what is wrong with them."""
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -148,7 +148,7 @@
         await self._forwarder.forward(call, delivery)
 
     def _read_marks(self, request: web.BaseRequest, trace: _Trace) -> CallerMarks:
-        read = self._codec.read_caller(request.headers.items())
+        read = self._codec.parse_request_headers(request.headers.items())
         if isinstance(read, Err):
             raise CallerError(ErrorCode.BAD_REQUEST, read.err_value)
         marks = read.ok_value
