--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -248,7 +248,7 @@
     def _write_head(self, call: Call, marks: SendMarks) -> bytes:
         lines = [f"{call.method} {call.raw_path} HTTP/1.1", f"Host: {call.host}"]
         lines += [f"{name}: {value}" for name, value in call.headers]
-        lines += [f"{name}: {value}" for name, value in self._codec.write_send(marks)]
+        lines += [f"{name}: {value}" for name, value in self._codec.format_target_headers(marks)]
         if call.body or call.method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
             lines.append(f"Content-Length: {len(call.body)}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -80,7 +80,7 @@
 class StubCodec:
     """Writes what a target is told as plain headers; all answers are whole."""
 
-    def write_send(self, marks: SendMarks) -> tuple[tuple[str, str], ...]:
+    def format_target_headers(self, marks: SendMarks) -> tuple[tuple[str, str], ...]:
         return (
             ("Seconds-Left", f"{marks.seconds_left:.3f}"),
             ("Wanted-Weights", str(marks.weight_version)),
