--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -157,7 +157,7 @@
         answer = await wait.connection.ask(
             head, call.body, call.request_id, call.method
         )
-        said = self._codec.read_answer(answer.status, answer.headers)
+        said = self._codec.parse_response_headers(answer.status, answer.headers)
         self._note_marks(call, sent, said)
         if (said.sealed or said.not_run) and not said.misdirected:
             note_limit(sent.state, started, said, call.request_id)
--- a/libraries/proxy/src/bamboopier_proxy/header_codec.py
+++ b/libraries/proxy/src/bamboopier_proxy/header_codec.py
@@ -25,7 +25,7 @@
         """Return the headers that this system sets on a request to a target."""
         ...
 
-    def read_answer(
+    def parse_response_headers(
         self, status: int, headers: Iterable[tuple[str, str]]
     ) -> AnswerMarks:
         """Return what a target's answer says."""
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -86,7 +86,7 @@
             ("Wanted-Weights", str(marks.weight_version)),
         )
 
-    def read_answer(self, *_: object) -> AnswerMarks:
+    def parse_response_headers(self, *_: object) -> AnswerMarks:
         return AnswerMarks("r1", True, False, False, "i-1", 0, 0.0)
 
 
