--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -69,7 +69,7 @@
     pause_monitor.listeners.append(state.health.note_pause)
     followers = StoreFollowers(state, store, schema, generator)
     peers = GatewayPeers(settings, state, store, schema, part_stores, generator)
-    pool = TargetPool(codec.name_request_id())
+    pool = TargetPool(codec.get_request_id_header())
     begins = BeginWatch(state.weights)
     forwarder = Forwarder(
         state.fleet,
--- a/libraries/proxy/src/bamboopier_proxy/header_codec.py
+++ b/libraries/proxy/src/bamboopier_proxy/header_codec.py
@@ -31,6 +31,6 @@
         """Return what a target's answer says."""
         ...
 
-    def name_request_id(self) -> str:
+    def get_request_id_header(self) -> str:
         """Return the name of the header that carries a request's id."""
         ...
