--- a/libraries/proxy/src/bamboopier_proxy/header_codec.py
+++ b/libraries/proxy/src/bamboopier_proxy/header_codec.py
@@ -9,7 +9,7 @@
 
     from result import Result
 
-    from .messages import AnswerMarks, CallerMarks, HeaderList, SendMarks
+    from .messages import AnswerMarks, RequestMetadata, HeaderList, SendMarks
 
 
 class HeaderCodec(Protocol):
@@ -17,7 +17,7 @@
 
     def parse_request_headers(
         self, headers: Iterable[tuple[str, str]]
-    ) -> Result[CallerMarks, str]:
+    ) -> Result[RequestMetadata, str]:
         """Return what a caller's headers say, or what is wrong with them."""
         ...
 
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -29,7 +29,7 @@
     from .header_codec import HeaderCodec
     from .forwarder import Forwarder
     from .knowledge import Knowledge
-    from .messages import CallerMarks
+    from .messages import RequestMetadata
     from .metrics import ProxyMetrics
 
 # Seconds a body may take to arrive.
@@ -147,7 +147,7 @@
         trace.call = call
         await self._forwarder.forward(call, delivery)
 
-    def _read_marks(self, request: web.BaseRequest, trace: _Trace) -> CallerMarks:
+    def _read_marks(self, request: web.BaseRequest, trace: _Trace) -> RequestMetadata:
         read = self._codec.parse_request_headers(request.headers.items())
         if isinstance(read, Err):
             raise CallerError(ErrorCode.BAD_REQUEST, read.err_value)
@@ -158,7 +158,7 @@
         return marks
 
     def _authenticate(
-        self, table: RouteTable, route: Route, marks: CallerMarks, now: float
+        self, table: RouteTable, route: Route, marks: RequestMetadata, now: float
     ) -> Workspace | None:
         if not table.needs_key or route.public:
             return None
@@ -172,7 +172,7 @@
     def _make_call(
         self,
         request: web.BaseRequest,
-        marks: CallerMarks,
+        marks: RequestMetadata,
         table: RouteTable,
         route: Route,
         workspace: Workspace | None,
--- a/libraries/proxy/src/bamboopier_proxy/messages.py
+++ b/libraries/proxy/src/bamboopier_proxy/messages.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerMarks:
+class RequestMetadata:
     """What a caller's headers say."""
 
     request_id: str
