--- a/libraries/proxy/src/bamboopier_proxy/attempt_planner.py
+++ b/libraries/proxy/src/bamboopier_proxy/attempt_planner.py
@@ -6,7 +6,7 @@
 
 from bamboopier_decisions.forwarding.placement import Demand, WantedWeights
 
-from .messages import SendMarks
+from .messages import AttemptMetadata
 
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.fleet import Sent
@@ -59,7 +59,7 @@
         age = now - self._weights.find_since(call.prompt.model)
         return round(age, 3) if age < float("inf") else None
 
-    def make_marks(self, now: float, call: Call, sent: Sent) -> SendMarks:
+    def make_marks(self, now: float, call: Call, sent: Sent) -> AttemptMetadata:
         """Return what the target is told beside the caller's own headers."""
         entry = sent.state.entry
         workspace = call.workspace
@@ -68,7 +68,7 @@
         scope = ""
         if prompt is not None:
             scope = make_scope(call, version or entry.name)
-        return SendMarks(
+        return AttemptMetadata(
             target=entry.name,
             seconds_left=max(0.001, min(call.timeout, call.deadline) - now),
             workspace=workspace.name if workspace else "",
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -29,7 +29,7 @@
     from .weight_expiry_monitor import BeginWatch, Wait
     from .delivery import Delivery
     from .header_codec import HeaderCodec
-    from .messages import AnswerMarks, Call, SendMarks
+    from .messages import AnswerMarks, Call, AttemptMetadata
     from .target_pool import TargetPool
 
 # Plain answers up to this size are held until they are whole, so that a broken one
@@ -71,7 +71,7 @@
     # Another target than the one expected answered.
     other_target: bool = False
     # What the target was told, and when; None where nothing was sent.
-    marks: SendMarks | None = None
+    marks: AttemptMetadata | None = None
     sent_at: float | None = None
 
 
@@ -99,7 +99,7 @@
         self,
         call: Call,
         sent: Sent,
-        prepare: Callable[[], Result[SendMarks, Cause]],
+        prepare: Callable[[], Result[AttemptMetadata, Cause]],
         delivery: Delivery,
     ) -> SendResult:
         """Send ``call`` to the target of ``sent`` and pass its answer on.
@@ -245,7 +245,7 @@
         result.delivered = True
         return result
 
-    def _write_head(self, call: Call, marks: SendMarks) -> bytes:
+    def _write_head(self, call: Call, marks: AttemptMetadata) -> bytes:
         lines = [f"{call.method} {call.raw_path} HTTP/1.1", f"Host: {call.host}"]
         lines += [f"{name}: {value}" for name, value in call.headers]
         lines += [f"{name}: {value}" for name, value in self._codec.format_target_headers(marks)]
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -28,7 +28,7 @@
     from .delivery import Delivery
     from .exchange import Exchange, SendResult
     from .knowledge import Knowledge
-    from .messages import Call, SendMarks
+    from .messages import Call, AttemptMetadata
     from .metrics import ProxyMetrics
     from .attempt_planner import SendPlanner
     from .request_queues import RequestQueues
@@ -116,12 +116,12 @@
                 return
 
     async def _send(self, call: Call, sent: Sent, delivery: Delivery) -> SendResult:
-        def prepare() -> Result[SendMarks, Cause]:
+        def prepare() -> Result[AttemptMetadata, Cause]:
             return self._prepare(call, sent)
 
         return await self._exchange.send(call, sent, prepare, delivery)
 
-    def _prepare(self, call: Call, sent: Sent) -> Result[SendMarks, Cause]:
+    def _prepare(self, call: Call, sent: Sent) -> Result[AttemptMetadata, Cause]:
         """Return what the target is told, or why nothing may be sent now.
 
         Raises ``CallerError`` once the request's key may have been taken away.
--- a/libraries/proxy/src/bamboopier_proxy/header_codec.py
+++ b/libraries/proxy/src/bamboopier_proxy/header_codec.py
@@ -9,7 +9,7 @@
 
     from result import Result
 
-    from .messages import AnswerMarks, RequestMetadata, HeaderList, SendMarks
+    from .messages import AnswerMarks, RequestMetadata, HeaderList, AttemptMetadata
 
 
 class HeaderCodec(Protocol):
@@ -21,7 +21,7 @@
         """Return what a caller's headers say, or what is wrong with them."""
         ...
 
-    def format_target_headers(self, marks: SendMarks) -> HeaderList:
+    def format_target_headers(self, marks: AttemptMetadata) -> HeaderList:
         """Return the headers that this system sets on a request to a target."""
         ...
 
--- a/libraries/proxy/src/bamboopier_proxy/messages.py
+++ b/libraries/proxy/src/bamboopier_proxy/messages.py
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendMarks:
+class AttemptMetadata:
     """What a target is told beside the caller's own headers."""
 
     target: str
--- a/libraries/proxy/src/bamboopier_proxy/weight_expiry_monitor.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_expiry_monitor.py
@@ -24,7 +24,7 @@
 
     from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 
-    from .messages import Call, SendMarks
+    from .messages import Call, AttemptMetadata
     from .target_connection import TargetConnection
 
 # Seconds between two looks at what waits.
@@ -38,7 +38,7 @@
     """A request at a target whose answer has not begun."""
 
     call: Call
-    marks: SendMarks
+    marks: AttemptMetadata
     connection: TargetConnection
     taken_back: bool = False
 
@@ -52,7 +52,7 @@
 
     @contextmanager
     def watch(
-        self, call: Call, marks: SendMarks, connection: TargetConnection
+        self, call: Call, marks: AttemptMetadata, connection: TargetConnection
     ) -> Iterator[Wait]:
         """Watch a request from its sending to its end, or until it has begun."""
         wait = Wait(call, marks, connection)
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -27,7 +27,7 @@
 from bamboopier_proxy.exchange import Exchange
 from bamboopier_proxy.forwarder import Forwarder
 from bamboopier_proxy.knowledge import Knowledge
-from bamboopier_proxy.messages import AnswerMarks, Call, SendMarks
+from bamboopier_proxy.messages import AnswerMarks, Call, AttemptMetadata
 from bamboopier_proxy.metrics import ProxyMetrics
 from bamboopier_proxy.attempt_planner import SendPlanner
 from bamboopier_proxy.request_queues import RequestQueues
@@ -80,7 +80,7 @@
 class StubCodec:
     """Writes what a target is told as plain headers; all answers are whole."""
 
-    def format_target_headers(self, marks: SendMarks) -> tuple[tuple[str, str], ...]:
+    def format_target_headers(self, marks: AttemptMetadata) -> tuple[tuple[str, str], ...]:
         return (
             ("Seconds-Left", f"{marks.seconds_left:.3f}"),
             ("Wanted-Weights", str(marks.weight_version)),
