--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -29,7 +29,7 @@
     from .weight_expiry_monitor import BeginWatch, Wait
     from .delivery import Delivery
     from .header_codec import HeaderCodec
-    from .messages import AnswerMarks, Call, AttemptMetadata
+    from .messages import ResponseMetadata, Call, AttemptMetadata
     from .target_pool import TargetPool
 
 # Plain answers up to this size are held until they are whole, so that a broken one
@@ -189,7 +189,7 @@
         self,
         call: Call,
         answer: Answer,
-        said: AnswerMarks,
+        said: ResponseMetadata,
         delivery: Delivery,
         started: float,
     ) -> SendResult:
@@ -253,7 +253,7 @@
             lines.append(f"Content-Length: {len(call.body)}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
-    def _note_marks(self, call: Call, sent: Sent, said: AnswerMarks) -> None:
+    def _note_marks(self, call: Call, sent: Sent, said: ResponseMetadata) -> None:
         state = sent.state
         if call.prompt is not None and said.weight_version and not said.misdirected:
             state.note_version(call.prompt.model, said.weight_version)
--- a/libraries/proxy/src/bamboopier_proxy/header_codec.py
+++ b/libraries/proxy/src/bamboopier_proxy/header_codec.py
@@ -9,7 +9,7 @@
 
     from result import Result
 
-    from .messages import AnswerMarks, RequestMetadata, HeaderList, AttemptMetadata
+    from .messages import ResponseMetadata, RequestMetadata, HeaderList, AttemptMetadata
 
 
 class HeaderCodec(Protocol):
@@ -27,7 +27,7 @@
 
     def parse_response_headers(
         self, status: int, headers: Iterable[tuple[str, str]]
-    ) -> AnswerMarks:
+    ) -> ResponseMetadata:
         """Return what a target's answer says."""
         ...
 
--- a/libraries/proxy/src/bamboopier_proxy/limit_notes.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_notes.py
@@ -12,13 +12,13 @@
     from bamboopier_decisions.forwarding.rate_limit import LimitNews
     from bamboopier_decisions.forwarding.target_state import TargetState
 
-    from .messages import AnswerMarks
+    from .messages import ResponseMetadata
 
 log = structlog.get_logger()
 
 
 def note_limit(
-    state: TargetState, sent_at: float, said: AnswerMarks, request_id: str
+    state: TargetState, sent_at: float, said: ResponseMetadata, request_id: str
 ) -> None:
     """Take in an answer of the target itself to a request sent at ``sent_at``."""
     if said.names_limit and said.limit_per_second is None:
--- a/libraries/proxy/src/bamboopier_proxy/messages.py
+++ b/libraries/proxy/src/bamboopier_proxy/messages.py
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerMarks:
+class ResponseMetadata:
     """What a target's answer says beside status and body."""
 
     request_id: str
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -27,7 +27,7 @@
 from bamboopier_proxy.exchange import Exchange
 from bamboopier_proxy.forwarder import Forwarder
 from bamboopier_proxy.knowledge import Knowledge
-from bamboopier_proxy.messages import AnswerMarks, Call, AttemptMetadata
+from bamboopier_proxy.messages import ResponseMetadata, Call, AttemptMetadata
 from bamboopier_proxy.metrics import ProxyMetrics
 from bamboopier_proxy.attempt_planner import SendPlanner
 from bamboopier_proxy.request_queues import RequestQueues
@@ -86,8 +86,8 @@
             ("Wanted-Weights", str(marks.weight_version)),
         )
 
-    def parse_response_headers(self, *_: object) -> AnswerMarks:
-        return AnswerMarks("r1", True, False, False, "i-1", 0, 0.0)
+    def parse_response_headers(self, *_: object) -> ResponseMetadata:
+        return ResponseMetadata("r1", True, False, False, "i-1", 0, 0.0)
 
 
 class ForwarderLab:
--- a/libraries/proxy/tests/test_limit_hints.py
+++ b/libraries/proxy/tests/test_limit_hints.py
@@ -11,7 +11,7 @@
 from bamboopier_proxy.hints import LoadHint, decode, encode
 from bamboopier_proxy.limit_hints import MAX_TARGETS, TELL_SECONDS, LimitHints
 from bamboopier_proxy.limit_notes import note_limit
-from bamboopier_proxy.messages import AnswerMarks
+from bamboopier_proxy.messages import ResponseMetadata
 
 from .forwarder_builders import make_declared, make_entry
 
@@ -95,7 +95,7 @@
         state = self.told.find("i-1")
         assert state is not None
         state.limit.note_named(99.0, 1.5)
-        said = AnswerMarks("r", True, False, False, "i-1", 0, 0.0, names_limit=True)
+        said = ResponseMetadata("r", True, False, False, "i-1", 0, 0.0, names_limit=True)
         note_limit(state, 99.5, said, "r")
         self.assertTrue(state.limit.in_force)
         self.assertEqual(state.limit.per_second, 1.5)
