--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -190,7 +190,7 @@
             method=request.method,
             raw_path=request.raw_path,
             host=request.headers["Host"],
-            headers=marks.passed,
+            headers=marks.forwarded_headers,
             body=body,
             route=route,
             service=draw_service(route, self._random),
--- a/libraries/proxy/src/bamboopier_proxy/messages.py
+++ b/libraries/proxy/src/bamboopier_proxy/messages.py
@@ -26,7 +26,7 @@
     # The caller has the events up to this one of a stream that broke off.
     last_event: str | None
     # End-to-end headers that go on unchanged.
-    passed: HeaderList
+    forwarded_headers: HeaderList
 
 
 def make_fingerprint(method: str, raw_path: str, workspace: str, body: bytes) -> bytes:
