--- a/libraries/proxy/src/bamboopier_proxy/limit_notes.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_notes.py
@@ -21,7 +21,7 @@
     state: TargetState, sent_at: float, said: ResponseMetadata, request_id: str
 ) -> None:
     """Take in an answer of the target itself to a request sent at ``sent_at``."""
-    if said.names_limit and said.limit_per_second is None:
+    if said.reports_limit and said.limit_per_second is None:
         # It still says that it is in need: what it said before stands.
         log.warning("limit not read", target=state.entry.name, request_id=request_id)
         return
--- a/libraries/proxy/src/bamboopier_proxy/messages.py
+++ b/libraries/proxy/src/bamboopier_proxy/messages.py
@@ -106,5 +106,5 @@
     cold_seconds: float
     # The target names the requests a second that it takes from all gateways together,
     # for as long as its answers do so; None where it cannot be read.
-    names_limit: bool = False
+    reports_limit: bool = False
     limit_per_second: float | None = None
--- a/libraries/proxy/tests/test_limit_hints.py
+++ b/libraries/proxy/tests/test_limit_hints.py
@@ -95,7 +95,7 @@
         state = self.told.find("i-1")
         assert state is not None
         state.limit.note_named(99.0, 1.5)
-        said = ResponseMetadata("r", True, False, False, "i-1", 0, 0.0, names_limit=True)
+        said = ResponseMetadata("r", True, False, False, "i-1", 0, 0.0, reports_limit=True)
         note_limit(state, 99.5, said, "r")
         self.assertTrue(state.limit.in_force)
         self.assertEqual(state.limit.per_second, 1.5)
