--- a/libraries/proxy/src/bamboopier_proxy/attempt_log.py
+++ b/libraries/proxy/src/bamboopier_proxy/attempt_log.py
@@ -38,7 +38,7 @@
             self._metrics.first_byte.labels(call.service).observe(now - call.arrived)
         state = sent.state
         marks, sent_at = result.marks, result.sent_at or now
-        parts = marks.parts if marks else None
+        parts = marks.part_plan if marks else None
         log.info(
             "sent",
             request_id=call.request_id,
--- a/libraries/proxy/src/bamboopier_proxy/attempt_planner.py
+++ b/libraries/proxy/src/bamboopier_proxy/attempt_planner.py
@@ -76,7 +76,7 @@
             priority=min(LAST_PRIORITY, call.priority) if prompt else None,
             weight_version=version,
             last_event=call.last_event,
-            parts=self._plan_parts(now, scope, version, prompt),
+            part_plan=self._plan_parts(now, scope, version, prompt),
         )
 
     def _count_fetched(self, now: float, call: Call) -> int:
--- a/libraries/proxy/src/bamboopier_proxy/messages.py
+++ b/libraries/proxy/src/bamboopier_proxy/messages.py
@@ -85,7 +85,7 @@
     weight_version: int
     last_event: str | None
     # Where the target fetches and saves parts of the prompt.
-    parts: PartPlan | None = None
+    part_plan: PartPlan | None = None
 
 
 @dataclass(frozen=True, slots=True)
