--- a/libraries/gateway/src/bamboopier_gateway/connection.py
+++ b/libraries/gateway/src/bamboopier_gateway/connection.py
@@ -108,7 +108,7 @@
                 self._header_timeout, self._give_up_headers
             )
 
-    def let_go(self) -> None:
+    def close_when_idle(self) -> None:
         """Close if no request is under way.
 
         aiohttp's own ``close`` ends the task that reads requests and leaves the
--- a/libraries/proxy/src/bamboopier_proxy/caller_listener.py
+++ b/libraries/proxy/src/bamboopier_proxy/caller_listener.py
@@ -80,11 +80,11 @@
             self._server.close()
         await self._manager.shutdown(0.2)
 
-    def let_go(self) -> None:
+    def close_when_idle(self) -> None:
         """Close idle connections; the others close after their request."""
         for connection in self._manager.connections:
             if isinstance(connection, CallerConnection):
-                connection.let_go()
+                connection.close_when_idle()
 
     def add(self) -> bool:
         """Note a connection that opened; False when there are too many."""
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -145,7 +145,7 @@
     # Callers may still come: a listener that is closed leaves those that are already
     # connected without a word until the process ends.
     ingress.refusing = True
-    listener.let_go()
+    listener.close_when_idle()
     left = settings.grace_seconds * GRACE_SHARE - (read_clock() - started)
     try:
         async with asyncio.timeout(left):
