--- a/libraries/proxy/src/bamboopier_proxy/target_connection.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_connection.py
@@ -109,7 +109,7 @@
         if self._transport is None:
             return
         if self._head is not None and not self._transport.is_closing():
-            reset_when_closed(self._transport.get_extra_info("socket"))
+            enable_reset_on_close(self._transport.get_extra_info("socket"))
         self._transport.abort()
 
     # asyncio.Protocol
@@ -274,7 +274,7 @@
         connection.setsockopt(level, name, value)
 
 
-def reset_when_closed(connection: socket.socket) -> None:
+def enable_reset_on_close(connection: socket.socket) -> None:
     """Let the kernel drop what is unsent, and reset the connection, at its close.
 
     Closed in good order, a connection still delivers its request to a target that
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -43,7 +43,7 @@
     Mutation(
         "a request whose caller has left is taken back by a reset",
         f"{PROXY}/target_connection.py",
-        '            reset_when_closed(self._transport.get_extra_info("socket"))\n',
+        '            enable_reset_on_close(self._transport.get_extra_info("socket"))\n',
         "            pass\n",
         "libraries/proxy",
         "tests.test_target_connection.AbortTests.test_a_request_is_taken_back_by_a_reset",
