--- a/libraries/proxy/tests/test_pause_monitor.py
+++ b/libraries/proxy/tests/test_pause_monitor.py
@@ -12,7 +12,7 @@
 
 class PauseMonitorTests(unittest.TestCase):
     def test_a_pause_is_logged_and_counted_when_it_is_over(self) -> None:
-        module = "bamboopier_proxy.pause_watch"
+        module = "bamboopier_proxy.pause_monitor"
         registry = CollectorRegistry()
         times = iter([100.0, 100.2, 103.5])
         with (
