--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -26,7 +26,7 @@
     from bamboopier_decisions.forwarding.fleet import Fleet, Sent
 
     from .target_response import Answer
-    from .weight_expiry_monitor import BeginWatch, Wait
+    from .weight_expiry_monitor import WeightExpiryMonitor, PendingRequest
     from .delivery import Delivery
     from .header_codec import HeaderCodec
     from .messages import ResponseMetadata, Call, AttemptMetadata
@@ -88,12 +88,12 @@
     """Sends calls to targets and passes their answers on."""
 
     def __init__(
-        self, pool: TargetPool, fleet: Fleet, codec: HeaderCodec, begins: BeginWatch
+        self, pool: TargetPool, fleet: Fleet, codec: HeaderCodec, expiry_monitor: WeightExpiryMonitor
     ) -> None:
         self._pool = pool
         self._fleet = fleet
         self._codec = codec
-        self._begins = begins
+        self._expiry_monitor = expiry_monitor
 
     async def send(
         self,
@@ -129,7 +129,7 @@
             return SendResult(Ran.NO, prepared.err_value)
         marks, sent_at = prepared.unwrap(), read_clock()
         done = False
-        with self._begins.watch(call, marks, connection) as wait:
+        with self._expiry_monitor.watch(call, marks, connection) as wait:
             try:
                 async with asyncio.timeout(call.timeout - sent_at):
                     result = await self._ask(call, sent, wait, delivery)
@@ -143,13 +143,13 @@
                     self._pool.give_back(entry, connection)
                 else:
                     self._pool.drop(entry, connection)
-        if wait.taken_back and result.cause is Cause.BROKEN:
+        if wait.aborted and result.cause is Cause.BROKEN:
             result = SendResult(Ran.UNKNOWN, Cause.OUTDATED)
         result.marks, result.sent_at = marks, sent_at
         return result
 
     async def _ask(
-        self, call: Call, sent: Sent, wait: Wait, delivery: Delivery
+        self, call: Call, sent: Sent, wait: PendingRequest, delivery: Delivery
     ) -> SendResult:
         started = read_clock()
         marks = wait.marks
@@ -180,7 +180,7 @@
                 call, sent, wait, answer, delivery, started
             )
         else:
-            self._begins.note_begun(wait)
+            self._expiry_monitor.record_started(wait)
             result = await self._pass_whole(call, answer, said, delivery, started)
         result.weight_version = said.weight_version
         return result
@@ -209,7 +209,7 @@
         self,
         call: Call,
         sent: Sent,
-        wait: Wait,
+        wait: PendingRequest,
         answer: Answer,
         delivery: Delivery,
         started: float,
@@ -223,7 +223,7 @@
                     continue
                 if not result.first_byte:
                     result.first_byte = read_clock() - started
-                    self._begins.note_begun(wait)
+                    self._expiry_monitor.record_started(wait)
                     self._fleet.note_read(sent)
                 if not delivery.begun:
                     await delivery.begin(answer.status, answer.headers)
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -20,7 +20,7 @@
 from bamboopier_daemon.process_metrics import add_process_metrics
 from bamboopier_daemon.stopping import StopSignals
 
-from .weight_expiry_monitor import BeginWatch
+from .weight_expiry_monitor import WeightExpiryMonitor
 from .caller_listener import CallerListener, serve_readiness
 from .exchange import Exchange
 from .forwarder import Forwarder
@@ -70,12 +70,12 @@
     followers = StoreFollowers(state, store, schema, generator)
     peers = GatewayPeers(settings, state, store, schema, part_stores, generator)
     pool = TargetPool(codec.get_request_id_header())
-    begins = BeginWatch(state.weights)
+    expiry_monitor = WeightExpiryMonitor(state.weights)
     forwarder = Forwarder(
         state.fleet,
         state.knowledge,
         SendPlanner(state.weights, state.kept),
-        Exchange(pool, state.fleet, codec, begins),
+        Exchange(pool, state.fleet, codec, expiry_monitor),
         state.request_queues,
         metrics,
         peers.gossip,
@@ -114,7 +114,7 @@
                 state.request_queues.run(),
                 watch.run(),
                 pool.run(),
-                begins.run(),
+                expiry_monitor.run(),
             ):
                 await stack.enter_async_context(keep_running(work))
             await stack.enter_async_context(
--- a/libraries/proxy/src/bamboopier_proxy/weight_expiry_monitor.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_expiry_monitor.py
@@ -28,67 +28,67 @@
     from .target_connection import TargetConnection
 
 # Seconds between two looks at what waits.
-LOOK_SECONDS = 0.1
+CHECK_INTERVAL_SECONDS = 0.1
 
 log = structlog.get_logger()
 
 
 @dataclass(eq=False, slots=True)
-class Wait:
+class PendingRequest:
     """A request at a target whose answer has not begun."""
 
     call: Call
     marks: AttemptMetadata
     connection: TargetConnection
-    taken_back: bool = False
+    aborted: bool = False
 
 
-class BeginWatch:
+class WeightExpiryMonitor:
     """Knows the requests that wait at targets, and ends those that wait too long."""
 
     def __init__(self, weights: WeightVersions) -> None:
         self._weights = weights
-        self._waiting: set[Wait] = set()
+        self._pending: set[PendingRequest] = set()
 
     @contextmanager
     def watch(
         self, call: Call, marks: AttemptMetadata, connection: TargetConnection
-    ) -> Iterator[Wait]:
+    ) -> Iterator[PendingRequest]:
         """Watch a request from its sending to its end, or until it has begun."""
-        wait = Wait(call, marks, connection)
+        pending = PendingRequest(call, marks, connection)
         if call.prompt is not None:
-            self._waiting.add(wait)
+            self._pending.add(pending)
         try:
-            yield wait
+            yield pending
         finally:
-            self.note_begun(wait)
+            self.record_started(pending)
 
-    def note_begun(self, wait: Wait) -> None:
+    def record_started(self, pending: PendingRequest) -> None:
         """Take in that the target's answer has begun."""
-        self._waiting.discard(wait)
+        self._pending.discard(pending)
 
-    def look(self, now: float) -> None:
+    def abort_expired(self, now: float) -> None:
         """Take back what may not begin any more."""
-        for wait in list(self._waiting):
-            prompt = wait.call.prompt
+        for pending in list(self._pending):
+            prompt = pending.call.prompt
             if prompt is None:
                 continue
             oldest = self._weights.find_oldest_waiting(now, prompt.model)
-            if wait.marks.weight_version >= oldest:
+            if pending.marks.weight_version >= oldest:
                 continue
-            self._waiting.discard(wait)
-            wait.taken_back = True
-            wait.connection.abort()
+            self._pending.discard(pending)
+            pending.aborted = True
+            pending.connection.abort()
             log.info(
                 "request taken back",
-                request_id=wait.call.request_id,
-                target=wait.marks.target,
-                weight_version=wait.marks.weight_version,
+                request_id=pending.call.request_id,
+                target=pending.marks.target,
+                weight_version=pending.marks.weight_version,
                 oldest_version=oldest,
             )
 
     async def run(self) -> None:
         """Look until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            self.look(read_clock())
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
+            self.abort_expired(read_clock())
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -23,7 +23,7 @@
 from bamboopier_decisions.forwarding.retry_share import RetryBounds, RetryShares
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 from bamboopier_proxy.target_response import Answer
-from bamboopier_proxy.weight_expiry_monitor import BeginWatch
+from bamboopier_proxy.weight_expiry_monitor import WeightExpiryMonitor
 from bamboopier_proxy.exchange import Exchange
 from bamboopier_proxy.forwarder import Forwarder
 from bamboopier_proxy.knowledge import Knowledge
@@ -112,7 +112,7 @@
             self.knowledge,
             SendPlanner(self.weights, KeptParts()),
             Exchange(
-                cast("Any", self.pool), self.fleet, codec, BeginWatch(self.weights)
+                cast("Any", self.pool), self.fleet, codec, WeightExpiryMonitor(self.weights)
             ),
             RequestQueues(),
             ProxyMetrics(),
--- a/libraries/proxy/tests/test_exchange.py
+++ b/libraries/proxy/tests/test_exchange.py
@@ -13,7 +13,7 @@
 
 from bamboopier_daemon.clock import read_clock
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
-from bamboopier_proxy.weight_expiry_monitor import BeginWatch
+from bamboopier_proxy.weight_expiry_monitor import WeightExpiryMonitor
 from bamboopier_proxy.delivery import CallerGoneError, Delivery
 from bamboopier_proxy.exchange import Exchange, SendResult
 
@@ -24,7 +24,7 @@
 
     Leave = Callable[[socket.socket], None]
 
-BEGINS = BeginWatch(WeightVersions(12.0))
+EXPIRY_MONITOR = WeightExpiryMonitor(WeightVersions(12.0))
 
 
 def close(caller: socket.socket) -> None:
@@ -104,7 +104,7 @@
         async with connect() as (caller, transport):
             request = cast("web.BaseRequest", SimpleNamespace(transport=transport))
             pool, fleet = LeavingPool(caller, leave), mock.Mock()
-            exchange = Exchange(cast("Any", pool), fleet, mock.Mock(), BEGINS)
+            exchange = Exchange(cast("Any", pool), fleet, mock.Mock(), EXPIRY_MONITOR)
             asked = mock.AsyncMock(return_value=SendResult(mock.Mock()))
             delivery = Delivery(request, lambda: False)
             with mock.patch.object(exchange, "_ask", asked):
--- a/libraries/proxy/tests/test_weight_expiry_monitor.py
+++ b/libraries/proxy/tests/test_weight_expiry_monitor.py
@@ -9,7 +9,7 @@
     WAIT_END_SECONDS,
     WeightVersions,
 )
-from bamboopier_proxy.weight_expiry_monitor import BeginWatch, Wait
+from bamboopier_proxy.weight_expiry_monitor import WeightExpiryMonitor, PendingRequest
 
 MODEL = "m1"
 ALLOWED_SECONDS = 12.0
@@ -18,52 +18,52 @@
 END = NAMED + ALLOWED_SECONDS - WAIT_END_SECONDS
 
 
-class BeginWatchTests(unittest.TestCase):
+class WeightExpiryMonitorTests(unittest.TestCase):
     def setUp(self) -> None:
         self.weights = WeightVersions(ALLOWED_SECONDS)
         self.weights.name(MODEL, 2, NAMED)
-        self.begins = BeginWatch(self.weights)
+        self.expiry_monitor = WeightExpiryMonitor(self.weights)
 
-    def wait(self, version: int, *, prompt: bool = True) -> Wait:
+    def wait(self, version: int, *, prompt: bool = True) -> PendingRequest:
         """Let a request wait at a target with these weights."""
         call = mock.Mock(prompt=mock.Mock(model=MODEL) if prompt else None)
         marks = mock.Mock(weight_version=version, target="i-1")
-        watching = self.begins.watch(call, marks, mock.Mock())
+        watching = self.expiry_monitor.watch(call, marks, mock.Mock())
         self.addCleanup(watching.__exit__, None, None, None)
         return watching.__enter__()
 
-    def is_reset(self, wait: Wait) -> bool:
+    def is_aborted(self, wait: PendingRequest) -> bool:
         connection = wait.connection
         assert isinstance(connection, mock.Mock)
         return bool(connection.abort.called)
 
-    def test_what_has_not_begun_in_time_is_taken_back(self) -> None:
+    def test_requests_not_started_in_time_are_aborted(self) -> None:
         # An engine is suspended with a caller's request, and wakes when the time of its
         # weights is over. The request was reset half a second before.
         wait = self.wait(version=1)
-        self.begins.look(END - 0.1)
-        self.assertFalse(self.is_reset(wait))
-        self.begins.look(END)
-        self.assertTrue(self.is_reset(wait))
-        self.assertTrue(wait.taken_back)
+        self.expiry_monitor.abort_expired(END - 0.1)
+        self.assertFalse(self.is_aborted(wait))
+        self.expiry_monitor.abort_expired(END)
+        self.assertTrue(self.is_aborted(wait))
+        self.assertTrue(wait.aborted)
 
-    def test_what_has_begun_goes_on(self) -> None:
+    def test_started_requests_continue(self) -> None:
         wait = self.wait(version=1)
-        self.begins.note_begun(wait)
-        self.begins.look(END + 1.0)
-        self.assertFalse(self.is_reset(wait))
+        self.expiry_monitor.record_started(wait)
+        self.expiry_monitor.abort_expired(END + 1.0)
+        self.assertFalse(self.is_aborted(wait))
 
-    def test_requests_on_the_newest_weights_or_on_none_wait_on(self) -> None:
+    def test_requests_with_the_newest_weights_or_none_are_kept(self) -> None:
         waits = self.wait(version=2), self.wait(version=0, prompt=False)
-        self.begins.look(END + 1.0)
-        self.assertEqual([self.is_reset(wait) for wait in waits], [False, False])
+        self.expiry_monitor.abort_expired(END + 1.0)
+        self.assertEqual([self.is_aborted(wait) for wait in waits], [False, False])
 
-    def test_weights_named_while_it_waits_count(self) -> None:
+    def test_weights_published_after_the_send_count(self) -> None:
         # Newer weights are named after the request was sent, on what was newest then.
         wait = self.wait(version=2)
         self.weights.name(MODEL, 3, END)
-        self.begins.look(END + ALLOWED_SECONDS)
-        self.assertTrue(self.is_reset(wait))
+        self.expiry_monitor.abort_expired(END + ALLOWED_SECONDS)
+        self.assertTrue(self.is_aborted(wait))
 
 
 if __name__ == "__main__":
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -182,18 +182,18 @@
     Mutation(
         "what waits at a target until its weights are over is taken back",
         f"{PROXY}/weight_expiry_monitor.py",
-        "            wait.connection.abort()\n",
+        "            pending.connection.abort()\n",
         "",
         "libraries/proxy",
-        "tests.test_weight_expiry_monitor.BeginWatchTests"
-        ".test_what_has_not_begun_in_time_is_taken_back",
+        "tests.test_weight_expiry_monitor.WeightExpiryMonitorTests"
+        ".test_requests_not_started_in_time_are_aborted",
     ),
     Mutation(
         "what has begun is not taken back",
         f"{PROXY}/weight_expiry_monitor.py",
-        "        self._waiting.discard(wait)\n\n",
+        "        self._pending.discard(pending)\n\n",
         "        pass\n\n",
         "libraries/proxy",
-        "tests.test_weight_expiry_monitor.BeginWatchTests.test_what_has_begun_goes_on",
+        "tests.test_weight_expiry_monitor.WeightExpiryMonitorTests.test_started_requests_continue",
     ),
 )
