--- a/libraries/proxy/src/bamboopier_proxy/settings_reloader.py
+++ b/libraries/proxy/src/bamboopier_proxy/settings_reloader.py
@@ -18,7 +18,7 @@
 
 # Seconds between two looks at the file: it may change without a signal. It is read from
 # memory, and bounds change a few times a day at most.
-LOOK_SECONDS = 5.0
+CHECK_INTERVAL_SECONDS = 5.0
 
 log = structlog.get_logger()
 
@@ -38,23 +38,23 @@
         self._settings = settings
         self._read = read
         self._apply = apply
-        self._told = asyncio.Event()
+        self._reload_requested = asyncio.Event()
 
     async def run(self) -> None:
         """Watch until cancelled."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGHUP, self._told.set)
+        loop.add_signal_handler(signal.SIGHUP, self._reload_requested.set)
         while True:
             try:
-                async with asyncio.timeout(LOOK_SECONDS):
-                    await self._told.wait()
+                async with asyncio.timeout(CHECK_INTERVAL_SECONDS):
+                    await self._reload_requested.wait()
                 log.info("reload asked for")
             except TimeoutError:
                 pass
-            self._told.clear()
-            self._look()
+            self._reload_requested.clear()
+            self._reload_if_changed()
 
-    def _look(self) -> None:
+    def _reload_if_changed(self) -> None:
         try:
             found = self._read()
         except BamboopierError as error:
