--- a/libraries/proxy/tests/test_pause_monitor.py
+++ b/libraries/proxy/tests/test_pause_monitor.py
@@ -19,16 +19,16 @@
             mock.patch(f"{module}.read_clock", side_effect=lambda: next(times)),
             mock.patch(f"{module}.log") as log,
         ):
-            watch = PauseMonitor(registry)
-            told = mock.Mock()
-            watch.listeners.append(told)
-            watch.tick()
+            monitor = PauseMonitor(registry)
+            listener = mock.Mock()
+            monitor.listeners.append(listener)
+            monitor.tick()
             log.warning.assert_not_called()
-            told.assert_not_called()
-            watch.tick()
+            listener.assert_not_called()
+            monitor.tick()
         log.warning.assert_called_once_with("process paused", seconds=3.3)
-        told.assert_called_once()
-        now, seconds = told.call_args.args
+        listener.assert_called_once()
+        now, seconds = listener.call_args.args
         self.assertEqual(now, 103.5)
         self.assertAlmostEqual(seconds, 3.3)
         name = "bamboopier_paused_seconds_total"
