--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -148,14 +148,14 @@
         seconds = limit_wait(call.route.aim, call.timeout - started)
         self._check_limits(call, placement, started + seconds)
 
-        def find() -> Sent | None:
+        def try_acquire() -> Sent | None:
             found = self._place(call, demand, tried)
             if found.state is None:
                 return None
             return self._fleet.begin(read_clock(), found.state, call.prompt)
 
         sent = await self._request_queues.wait(
-            call.service, call.priority, seconds, find, self._fleet.end
+            call.service, call.priority, seconds, try_acquire, self._fleet.end
         )
         waited = read_clock() - started
         self._metrics.waited.labels(call.service).observe(waited)
--- a/libraries/proxy/src/bamboopier_proxy/request_queues.py
+++ b/libraries/proxy/src/bamboopier_proxy/request_queues.py
@@ -15,15 +15,15 @@
 
 # Requests tried at each end of another: the first that still finds no room shows that
 # those behind it need not be tried, unless they need less.
-TRIED_AT_ONCE = 4
+MAX_TRIED_PER_WAKE = 4
 # Seconds between two searches without any event: pauses of targets end with time.
-TICK_SECONDS = 0.05
+WAKE_INTERVAL_SECONDS = 0.05
 
 
 @dataclass(slots=True)
-class _Waiting:
-    find: Callable[[], Sent | None]
-    found: asyncio.Future[Sent]
+class _PendingRequest:
+    try_acquire: Callable[[], Sent | None]
+    acquired: asyncio.Future[Sent]
 
 
 class RequestQueues:
@@ -31,7 +31,7 @@
 
     def __init__(self) -> None:
         self._queues: dict[str, WaitQueue] = {}
-        self._waiting: dict[tuple[str, int], _Waiting] = {}
+        self._pending: dict[tuple[str, int], _PendingRequest] = {}
 
     def count(self, service: str) -> int:
         """Return the requests that wait for a service."""
@@ -48,31 +48,31 @@
         service: str,
         priority: int,
         seconds: float,
-        find: Callable[[], Sent | None],
-        take_back: Callable[[Sent], None],
+        try_acquire: Callable[[], Sent | None],
+        release: Callable[[Sent], None],
     ) -> Sent | None:
-        """Wait until ``find`` returns a place; None when ``seconds`` have passed.
+        """Wait until ``try_acquire`` returns a place; None when ``seconds`` have passed.
 
         A caller may leave between the moment in which a place is counted for it and
         the one in which its task runs again. Nobody would end that request, and its
-        target would look busier for ever: the place is given to ``take_back``.
+        target would look busier for ever: the place is given to ``release``.
         """
         queue = self._queues.setdefault(service, WaitQueue())
         ticket = queue.add(priority)
-        found: asyncio.Future[Sent] = asyncio.get_running_loop().create_future()
-        self._waiting[service, ticket] = _Waiting(find, found)
+        acquired: asyncio.Future[Sent] = asyncio.get_running_loop().create_future()
+        self._pending[service, ticket] = _PendingRequest(try_acquire, acquired)
         try:
             async with asyncio.timeout(seconds):
-                return await found
+                return await acquired
         except TimeoutError:
-            return _get_place(found)
+            return _get_acquired(acquired)
         except asyncio.CancelledError:
-            sent = _get_place(found)
+            sent = _get_acquired(acquired)
             if sent is not None:
-                take_back(sent)
+                release(sent)
             raise
         finally:
-            del self._waiting[service, ticket]
+            del self._pending[service, ticket]
             queue.remove(ticket)
 
     def wake(self, service: str) -> None:
@@ -80,22 +80,22 @@
         queue = self._queues.get(service)
         if queue is None or not len(queue):
             return
-        for ticket in queue.list_tickets(TRIED_AT_ONCE):
-            waiting = self._waiting.get((service, ticket))
-            if waiting is None or waiting.found.done():
+        for ticket in queue.list_tickets(MAX_TRIED_PER_WAKE):
+            waiting = self._pending.get((service, ticket))
+            if waiting is None or waiting.acquired.done():
                 continue
-            sent = waiting.find()
+            sent = waiting.try_acquire()
             if sent is not None:
-                waiting.found.set_result(sent)
+                waiting.acquired.set_result(sent)
 
     async def run(self) -> None:
         """Wake all services at intervals until cancelled."""
         while True:
-            await asyncio.sleep(TICK_SECONDS)
+            await asyncio.sleep(WAKE_INTERVAL_SECONDS)
             for service in self._queues:
                 self.wake(service)
 
 
-def _get_place(found: asyncio.Future[Sent]) -> Sent | None:
+def _get_acquired(acquired: asyncio.Future[Sent]) -> Sent | None:
     """Return the place that was found, if one was."""
-    return found.result() if found.done() and not found.cancelled() else None
+    return acquired.result() if acquired.done() and not acquired.cancelled() else None
--- a/libraries/proxy/tests/test_request_queues.py
+++ b/libraries/proxy/tests/test_request_queues.py
@@ -11,31 +11,31 @@
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.fleet import Sent
 
-PLACE = cast("Sent", object())
+SLOT = cast("Sent", object())
 
 
 class RequestQueuesTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.queues = RequestQueues()
-        self.given: list[Sent] = []
-        self.taken_back: list[Sent] = []
+        self.acquired: list[Sent] = []
+        self.released: list[Sent] = []
 
-    def give(self) -> Sent:
-        self.given.append(PLACE)
-        return PLACE
+    def acquire(self) -> Sent:
+        self.acquired.append(SLOT)
+        return SLOT
 
     def wait(self, seconds: float) -> asyncio.Task[Sent | None]:
-        waiting = self.queues.wait("desk", 1, seconds, self.give, self.taken_back.append)
+        waiting = self.queues.wait("desk", 1, seconds, self.acquire, self.released.append)
         return asyncio.create_task(waiting)
 
-    async def test_a_place_goes_to_the_request_that_waits(self) -> None:
+    async def test_a_waiting_request_gets_a_free_slot(self) -> None:
         waiting = self.wait(5.0)
         await asyncio.sleep(0)
         self.queues.wake("desk")
-        self.assertIs(await waiting, PLACE)
-        self.assertEqual((self.taken_back, self.queues.count("desk")), ([], 0))
+        self.assertIs(await waiting, SLOT)
+        self.assertEqual((self.released, self.queues.count("desk")), ([], 0))
 
-    async def test_a_caller_that_leaves_as_it_gets_a_place_leaves_none_taken(
+    async def test_a_slot_is_released_when_its_caller_disconnects(
         self,
     ) -> None:
         # A place falls free and is counted for a waiting request. Before its task runs
@@ -47,16 +47,16 @@
         waiting.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await waiting
-        self.assertEqual((self.given, self.taken_back), ([PLACE], [PLACE]))
+        self.assertEqual((self.acquired, self.released), ([SLOT], [SLOT]))
 
-    async def test_nothing_is_given_to_one_that_has_left(self) -> None:
+    async def test_no_slot_is_acquired_for_a_disconnected_caller(self) -> None:
         waiting = self.wait(5.0)
         await asyncio.sleep(0)
         waiting.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await waiting
         self.queues.wake("desk")
-        self.assertEqual((self.given, self.taken_back), ([], []))
+        self.assertEqual((self.acquired, self.released), ([], []))
 
 
 if __name__ == "__main__":
