--- a/libraries/proxy/src/bamboopier_proxy/attempt_log.py
+++ b/libraries/proxy/src/bamboopier_proxy/attempt_log.py
@@ -37,8 +37,8 @@
         if result.first_byte:
             self._metrics.first_byte.labels(call.service).observe(now - call.arrived)
         state = sent.state
-        marks, sent_at = result.marks, result.sent_at or now
-        parts = marks.part_plan if marks else None
+        metadata, sent_at = result.metadata, result.sent_at or now
+        parts = metadata.part_plan if metadata else None
         log.info(
             "sent",
             request_id=call.request_id,
@@ -49,7 +49,7 @@
             detail=result.detail,
             status=result.status,
             first_byte=round(result.first_byte, 4),
-            weight_version=marks.weight_version if marks else 0,
+            weight_version=metadata.weight_version if metadata else 0,
             newest_version=self._planner.find_wanted(sent_at, call).newest,
             newest_age=self._planner.find_newest_age(sent_at, call),
             fetched_parts=parts.fetched_parts if parts else 0,
--- a/libraries/proxy/src/bamboopier_proxy/attempt_planner.py
+++ b/libraries/proxy/src/bamboopier_proxy/attempt_planner.py
@@ -59,7 +59,7 @@
         age = now - self._weights.find_since(call.prompt.model)
         return round(age, 3) if age < float("inf") else None
 
-    def make_marks(self, now: float, call: Call, sent: Sent) -> AttemptMetadata:
+    def make_metadata(self, now: float, call: Call, sent: Sent) -> AttemptMetadata:
         """Return what the target is told beside the caller's own headers."""
         entry = sent.state.entry
         workspace = call.workspace
@@ -70,7 +70,7 @@
             scope = make_scope(call, version or entry.name)
         return AttemptMetadata(
             target=entry.name,
-            seconds_left=max(0.001, min(call.timeout, call.deadline) - now),
+            seconds_left=max(0.001, min(call.timeout_at, call.deadline) - now),
             workspace=workspace.name if workspace else "",
             cache_scope=scope,
             priority=min(LAST_PRIORITY, call.priority) if prompt else None,
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -71,7 +71,7 @@
     # Another target than the one expected answered.
     other_target: bool = False
     # What the target was told, and when; None where nothing was sent.
-    marks: AttemptMetadata | None = None
+    metadata: AttemptMetadata | None = None
     sent_at: float | None = None
 
 
@@ -127,11 +127,11 @@
         if isinstance(prepared, Err):
             self._pool.give_back_unused(entry, connection)
             return SendResult(Ran.NO, prepared.err_value)
-        marks, sent_at = prepared.unwrap(), read_clock()
+        metadata, sent_at = prepared.unwrap(), read_clock()
         done = False
-        with self._expiry_monitor.watch(call, marks, connection) as wait:
+        with self._expiry_monitor.watch(call, metadata, connection) as wait:
             try:
-                async with asyncio.timeout(call.timeout - sent_at):
+                async with asyncio.timeout(call.timeout_at - sent_at):
                     result = await self._ask(call, sent, wait, delivery)
                 done = True
             except TimeoutError:
@@ -145,34 +145,34 @@
                     self._pool.drop(entry, connection)
         if wait.aborted and result.cause is Cause.BROKEN:
             result = SendResult(Ran.UNKNOWN, Cause.OUTDATED)
-        result.marks, result.sent_at = marks, sent_at
+        result.metadata, result.sent_at = metadata, sent_at
         return result
 
     async def _ask(
         self, call: Call, sent: Sent, wait: PendingRequest, delivery: Delivery
     ) -> SendResult:
         started = read_clock()
-        marks = wait.marks
-        head = self._write_head(call, marks)
+        metadata = wait.metadata
+        head = self._write_head(call, metadata)
         answer = await wait.connection.ask(
             head, call.body, call.request_id, call.method
         )
-        said = self._codec.parse_response_headers(answer.status, answer.headers)
-        self._note_marks(call, sent, said)
-        if (said.sealed or said.not_run) and not said.misdirected:
-            note_limit(sent.state, started, said, call.request_id)
-        if said.not_run or said.misdirected:
+        response_metadata = self._codec.parse_response_headers(answer.status, answer.headers)
+        self._record_metadata(call, sent, response_metadata)
+        if (response_metadata.sealed or response_metadata.not_run) and not response_metadata.misdirected:
+            note_limit(sent.state, started, response_metadata, call.request_id)
+        if response_metadata.not_run or response_metadata.misdirected:
             await answer.read_all(MAX_HELD_BYTES)
-            cause = Cause.MISDIRECTED if said.misdirected else Cause.NOT_RUN
+            cause = Cause.MISDIRECTED if response_metadata.misdirected else Cause.NOT_RUN
             return SendResult(
                 Ran.NO,
                 cause,
-                f"status {answer.status}, target {said.target}",
+                f"status {answer.status}, target {response_metadata.target}",
                 answer.status,
-                weight_version=said.weight_version,
-                other_target=bool(said.target) and said.target != marks.target,
+                weight_version=response_metadata.weight_version,
+                other_target=bool(response_metadata.target) and response_metadata.target != metadata.target,
             )
-        if not said.sealed and answer.status < 500:
+        if not response_metadata.sealed and answer.status < 500:
             detail = f"status {answer.status} without a seal"
             return SendResult(Ran.UNKNOWN, Cause.UNSEALED, detail, answer.status)
         if call.route.streams and answer.status == 200:
@@ -181,15 +181,15 @@
             )
         else:
             self._expiry_monitor.record_started(wait)
-            result = await self._pass_whole(call, answer, said, delivery, started)
-        result.weight_version = said.weight_version
+            result = await self._pass_whole(call, answer, response_metadata, delivery, started)
+        result.weight_version = response_metadata.weight_version
         return result
 
     async def _pass_whole(
         self,
         call: Call,
         answer: Answer,
-        said: ResponseMetadata,
+        response_metadata: ResponseMetadata,
         delivery: Delivery,
         started: float,
     ) -> SendResult:
@@ -245,17 +245,17 @@
         result.delivered = True
         return result
 
-    def _write_head(self, call: Call, marks: AttemptMetadata) -> bytes:
+    def _write_head(self, call: Call, metadata: AttemptMetadata) -> bytes:
         lines = [f"{call.method} {call.raw_path} HTTP/1.1", f"Host: {call.host}"]
         lines += [f"{name}: {value}" for name, value in call.headers]
-        lines += [f"{name}: {value}" for name, value in self._codec.format_target_headers(marks)]
+        lines += [f"{name}: {value}" for name, value in self._codec.format_target_headers(metadata)]
         if call.body or call.method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
             lines.append(f"Content-Length: {len(call.body)}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
-    def _note_marks(self, call: Call, sent: Sent, said: ResponseMetadata) -> None:
+    def _record_metadata(self, call: Call, sent: Sent, response_metadata: ResponseMetadata) -> None:
         state = sent.state
-        if call.prompt is not None and said.weight_version and not said.misdirected:
-            state.note_version(call.prompt.model, said.weight_version)
-        if said.cold_seconds > 0:
-            state.cold.start(read_clock(), said.cold_seconds)
+        if call.prompt is not None and response_metadata.weight_version and not response_metadata.misdirected:
+            state.note_version(call.prompt.model, response_metadata.weight_version)
+        if response_metadata.cold_seconds > 0:
+            state.cold.start(read_clock(), response_metadata.cold_seconds)
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -127,13 +127,13 @@
         Raises ``CallerError`` once the request's key may have been taken away.
         """
         now = read_clock()
-        if now >= call.timeout:
+        if now >= call.timeout_at:
             return Err(Cause.LATE)
         self._check_currency(call, now)
         is_open = self._fleet.is_open(sent.state, now)
         if not is_open or not self._planner.may_begin(now, call, sent):
             return Err(Cause.CLOSED)
-        return Ok(self._planner.make_marks(now, call, sent))
+        return Ok(self._planner.make_metadata(now, call, sent))
 
     async def _find_place(self, call: Call) -> Sent:
         """Return a place at a target; raises ``CallerError`` when there is none."""
@@ -145,7 +145,7 @@
         if placement.known == 0:
             raise self._refuse(call, ErrorCode.NO_TARGET, placement)
         started = read_clock()
-        seconds = limit_wait(call.route.aim, call.timeout - started)
+        seconds = limit_wait(call.route.aim, call.timeout_at - started)
         self._check_limits(call, placement, started + seconds)
 
         def try_acquire() -> Sent | None:
@@ -202,7 +202,7 @@
             return CallerError(ErrorCode.OUTCOME_UNKNOWN, code.value, Ran.UNKNOWN)
         limited = placement.limited
         room_in = limited.next_at - now if limited.only and limited.count else 0.0
-        wait = draw_return(call.timeout - now, self._random, room_in)
+        wait = draw_return(call.timeout_at - now, self._random, room_in)
         return CallerError(code, "no target has room", Ran.NO, wait)
 
     def _check_currency(self, call: Call, now: float) -> None:
@@ -276,14 +276,14 @@
             raise CallerError(code, result.cause.value, Ran.UNKNOWN)
         now = read_clock()
         # The caller may wait longer than its route allows, and come back.
-        end = call.timeout if now < call.timeout else call.deadline
+        end = call.timeout_at if now < call.timeout_at else call.deadline
         wait = draw_return(max(0.0, end - now), self._random)
         raise CallerError(ErrorCode.OVERLOADED, result.cause.value, Ran.NO, wait)
 
     def _may_send_again(
         self, call: Call, result: SendResult, delivery: Delivery, runs: int
     ) -> bool:
-        if len(call.tried) >= MAX_SENDS or read_clock() >= call.timeout:
+        if len(call.tried) >= MAX_SENDS or read_clock() >= call.timeout_at:
             return False
         if result.cause is Cause.TIMEOUT:
             return False
--- a/libraries/proxy/src/bamboopier_proxy/header_codec.py
+++ b/libraries/proxy/src/bamboopier_proxy/header_codec.py
@@ -21,7 +21,7 @@
         """Return what a caller's headers say, or what is wrong with them."""
         ...
 
-    def format_target_headers(self, marks: AttemptMetadata) -> HeaderList:
+    def format_target_headers(self, metadata: AttemptMetadata) -> HeaderList:
         """Return the headers that this system sets on a request to a target."""
         ...
 
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -131,40 +131,40 @@
             raise CallerError(
                 ErrorCode.STALE_CONFIGURATION, message, Ran.NO, STARTING_SECONDS
             )
-        marks = self._read_marks(request, trace)
+        metadata = self._parse_metadata(request, trace)
         path = request.raw_path.partition("?")[0]
         host = _read_host(request)
         route = table.find_route(host, path)
         if route is None:
             raise CallerError(ErrorCode.NOT_FOUND, "no route for this host and path")
         trace.route = route.name
-        workspace = self._authenticate(table, route, marks, arrived)
+        workspace = self._authenticate(table, route, metadata, arrived)
         limit = table.declared.limits.body_bytes
         body = await read_body(request, limit, BODY_SECONDS)
         call = self._make_call(
-            request, marks, table, route, workspace, host, body, arrived
+            request, metadata, table, route, workspace, host, body, arrived
         )
         trace.call = call
         await self._forwarder.forward(call, delivery)
 
-    def _read_marks(self, request: web.BaseRequest, trace: _Trace) -> RequestMetadata:
+    def _parse_metadata(self, request: web.BaseRequest, trace: _Trace) -> RequestMetadata:
         read = self._codec.parse_request_headers(request.headers.items())
         if isinstance(read, Err):
             raise CallerError(ErrorCode.BAD_REQUEST, read.err_value)
-        marks = read.ok_value
-        trace.request_id = marks.request_id or trace.request_id
+        metadata = read.ok_value
+        trace.request_id = metadata.request_id or trace.request_id
         if request.method in REFUSED_METHODS:
             raise CallerError(ErrorCode.METHOD_NOT_ALLOWED, "this method is refused")
-        return marks
+        return metadata
 
     def _authenticate(
-        self, table: RouteTable, route: Route, marks: RequestMetadata, now: float
+        self, table: RouteTable, route: Route, metadata: RequestMetadata, now: float
     ) -> Workspace | None:
         if not table.needs_key or route.public:
             return None
         if not self._knowledge.currency.covers(now):
             raise make_stale_refusal(self._knowledge, now)
-        workspace = table.find_workspace(marks.key) if marks.key else None
+        workspace = table.find_workspace(metadata.key) if metadata.key else None
         if workspace is None:
             raise CallerError(ErrorCode.UNAUTHENTICATED, "no such key")
         return workspace
@@ -172,7 +172,7 @@
     def _make_call(
         self,
         request: web.BaseRequest,
-        marks: RequestMetadata,
+        metadata: RequestMetadata,
         table: RouteTable,
         route: Route,
         workspace: Workspace | None,
@@ -180,26 +180,26 @@
         body: bytes,
         arrived: float,
     ) -> Call:
-        waits = marks.deadline_seconds
+        waits = metadata.deadline_seconds
         deadline = arrived + (DEFAULT_DEADLINE_SECONDS if waits is None else waits)
         priority = route.priority
         if workspace is not None and workspace.priority is not None:
             priority = workspace.priority
         return Call(
-            request_id=marks.request_id,
+            request_id=metadata.request_id,
             method=request.method,
             raw_path=request.raw_path,
             host=request.headers["Host"],
-            headers=marks.forwarded_headers,
+            headers=metadata.forwarded_headers,
             body=body,
             route=route,
             service=draw_service(route, self._random),
             workspace=workspace,
-            prompt=marks.prompt if route.carries_prompt else None,
+            prompt=metadata.prompt if route.carries_prompt else None,
             priority=priority,
             arrived=arrived,
             deadline=deadline,
-            timeout=min(deadline, arrived + route.timeout),
+            timeout_at=min(deadline, arrived + route.timeout),
             version=table.declared.version,
             fingerprint=make_fingerprint(
                 request.method,
@@ -207,7 +207,7 @@
                 workspace.name if workspace is not None else "",
                 body,
             ),
-            last_event=marks.last_event,
+            last_event=metadata.last_event,
         )
 
     async def _fail(
--- a/libraries/proxy/src/bamboopier_proxy/messages.py
+++ b/libraries/proxy/src/bamboopier_proxy/messages.py
@@ -59,7 +59,7 @@
     # When the caller leaves.
     deadline: float
     # When the operator wants a final answer, not after ``deadline``.
-    timeout: float
+    timeout_at: float
     # Version of the configuration that let it in.
     version: int
     fingerprint: bytes
--- a/libraries/proxy/src/bamboopier_proxy/weight_expiry_monitor.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_expiry_monitor.py
@@ -38,7 +38,7 @@
     """A request at a target whose answer has not begun."""
 
     call: Call
-    marks: AttemptMetadata
+    metadata: AttemptMetadata
     connection: TargetConnection
     aborted: bool = False
 
@@ -52,10 +52,10 @@
 
     @contextmanager
     def watch(
-        self, call: Call, marks: AttemptMetadata, connection: TargetConnection
+        self, call: Call, metadata: AttemptMetadata, connection: TargetConnection
     ) -> Iterator[PendingRequest]:
         """Watch a request from its sending to its end, or until it has begun."""
-        pending = PendingRequest(call, marks, connection)
+        pending = PendingRequest(call, metadata, connection)
         if call.prompt is not None:
             self._pending.add(pending)
         try:
@@ -74,7 +74,7 @@
             if prompt is None:
                 continue
             oldest = self._weights.find_oldest_waiting(now, prompt.model)
-            if pending.marks.weight_version >= oldest:
+            if pending.metadata.weight_version >= oldest:
                 continue
             self._pending.discard(pending)
             pending.aborted = True
@@ -82,8 +82,8 @@
             log.info(
                 "request taken back",
                 request_id=pending.call.request_id,
-                target=pending.marks.target,
-                weight_version=pending.marks.weight_version,
+                target=pending.metadata.target,
+                weight_version=pending.metadata.weight_version,
                 oldest_version=oldest,
             )
 
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -80,10 +80,10 @@
 class StubCodec:
     """Writes what a target is told as plain headers; all answers are whole."""
 
-    def format_target_headers(self, marks: AttemptMetadata) -> tuple[tuple[str, str], ...]:
+    def format_target_headers(self, metadata: AttemptMetadata) -> tuple[tuple[str, str], ...]:
         return (
-            ("Seconds-Left", f"{marks.seconds_left:.3f}"),
-            ("Wanted-Weights", str(marks.weight_version)),
+            ("Seconds-Left", f"{metadata.seconds_left:.3f}"),
+            ("Wanted-Weights", str(metadata.weight_version)),
         )
 
     def parse_response_headers(self, *_: object) -> ResponseMetadata:
@@ -186,7 +186,7 @@
         priority=1,
         arrived=now,
         deadline=now + TIMEOUT_SECONDS,
-        timeout=now + TIMEOUT_SECONDS,
+        timeout_at=now + TIMEOUT_SECONDS,
         version=1,
         fingerprint=b"",
     )
--- a/libraries/proxy/tests/test_exchange.py
+++ b/libraries/proxy/tests/test_exchange.py
@@ -100,7 +100,7 @@
 class LeavingCallerTests(unittest.IsolatedAsyncioTestCase):
     async def send(self, leave: Leave) -> tuple[LeavingPool, mock.AsyncMock]:
         """Send for a caller that leaves; return the pool and what was asked."""
-        call = cast("Any", mock.Mock(timeout=read_clock() + 60))
+        call = cast("Any", mock.Mock(timeout_at=read_clock() + 60))
         async with connect() as (caller, transport):
             request = cast("web.BaseRequest", SimpleNamespace(transport=transport))
             pool, fleet = LeavingPool(caller, leave), mock.Mock()
--- a/libraries/proxy/tests/test_weight_expiry_monitor.py
+++ b/libraries/proxy/tests/test_weight_expiry_monitor.py
@@ -27,8 +27,8 @@
     def wait(self, version: int, *, prompt: bool = True) -> PendingRequest:
         """Let a request wait at a target with these weights."""
         call = mock.Mock(prompt=mock.Mock(model=MODEL) if prompt else None)
-        marks = mock.Mock(weight_version=version, target="i-1")
-        watching = self.expiry_monitor.watch(call, marks, mock.Mock())
+        metadata = mock.Mock(weight_version=version, target="i-1")
+        watching = self.expiry_monitor.watch(call, metadata, mock.Mock())
         self.addCleanup(watching.__exit__, None, None, None)
         return watching.__enter__()
 
