--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -12,7 +12,7 @@
 from bamboopier_daemon.clock import read_clock
 from bamboopier_decisions.routing.messages import Ran
 
-from .target_response import BrokenAnswerError
+from .target_response import BrokenResponseError
 from .delivery import CallerGoneError
 from .event_splitter import EventSplitter
 from .limit_notes import note_limit
@@ -25,7 +25,7 @@
 
     from bamboopier_decisions.forwarding.fleet import Fleet, Sent
 
-    from .target_response import Answer
+    from .target_response import TargetResponse
     from .weight_expiry_monitor import WeightExpiryMonitor, PendingRequest
     from .delivery import Delivery
     from .header_codec import HeaderCodec
@@ -136,7 +136,7 @@
                 done = True
             except TimeoutError:
                 result = SendResult(Ran.UNKNOWN, Cause.TIMEOUT)
-            except BrokenAnswerError as error:
+            except BrokenResponseError as error:
                 result = SendResult(Ran.UNKNOWN, Cause.BROKEN, str(error))
             finally:
                 if done:
@@ -154,50 +154,50 @@
         started = read_clock()
         metadata = wait.metadata
         head = self._write_head(call, metadata)
-        answer = await wait.connection.ask(
+        response = await wait.connection.ask(
             head, call.body, call.request_id, call.method
         )
-        response_metadata = self._codec.parse_response_headers(answer.status, answer.headers)
+        response_metadata = self._codec.parse_response_headers(response.status, response.headers)
         self._record_metadata(call, sent, response_metadata)
         if (response_metadata.sealed or response_metadata.not_run) and not response_metadata.misdirected:
             note_limit(sent.state, started, response_metadata, call.request_id)
         if response_metadata.not_run or response_metadata.misdirected:
-            await answer.read_all(MAX_HELD_BYTES)
+            await response.read_all(MAX_HELD_BYTES)
             cause = Cause.MISDIRECTED if response_metadata.misdirected else Cause.NOT_RUN
             return SendResult(
                 Ran.NO,
                 cause,
-                f"status {answer.status}, target {response_metadata.target}",
-                answer.status,
+                f"status {response.status}, target {response_metadata.target}",
+                response.status,
                 weight_version=response_metadata.weight_version,
                 other_target=bool(response_metadata.target) and response_metadata.target != metadata.target,
             )
-        if not response_metadata.sealed and answer.status < 500:
-            detail = f"status {answer.status} without a seal"
-            return SendResult(Ran.UNKNOWN, Cause.UNSEALED, detail, answer.status)
-        if call.route.streams and answer.status == 200:
+        if not response_metadata.sealed and response.status < 500:
+            detail = f"status {response.status} without a seal"
+            return SendResult(Ran.UNKNOWN, Cause.UNSEALED, detail, response.status)
+        if call.route.streams and response.status == 200:
             result = await self._pass_stream(
-                call, sent, wait, answer, delivery, started
+                call, sent, wait, response, delivery, started
             )
         else:
             self._expiry_monitor.record_started(wait)
-            result = await self._pass_whole(call, answer, response_metadata, delivery, started)
+            result = await self._pass_whole(call, response, response_metadata, delivery, started)
         result.weight_version = response_metadata.weight_version
         return result
 
     async def _pass_whole(
         self,
         call: Call,
-        answer: Answer,
+        response: TargetResponse,
         response_metadata: ResponseMetadata,
         delivery: Delivery,
         started: float,
     ) -> SendResult:
-        body = await answer.read_all(MAX_HELD_BYTES)
-        result = SendResult(Ran.YES, status=answer.status)
+        body = await response.read_all(MAX_HELD_BYTES)
+        result = SendResult(Ran.YES, status=response.status)
         result.first_byte = read_clock() - started
-        held = HeldAnswer(answer.status, answer.headers, body)
-        if answer.status >= 500:
+        held = HeldAnswer(response.status, response.headers, body)
+        if response.status >= 500:
             # A safe request may find another target that does not fail it.
             result.failure = held
             return result
@@ -210,14 +210,14 @@
         call: Call,
         sent: Sent,
         wait: PendingRequest,
-        answer: Answer,
+        response: TargetResponse,
         delivery: Delivery,
         started: float,
     ) -> SendResult:
-        result = SendResult(Ran.YES, status=answer.status)
+        result = SendResult(Ran.YES, status=response.status)
         splitter = EventSplitter()
         try:
-            while data := await answer.read():
+            while data := await response.read():
                 whole = splitter.feed(data)
                 if not whole:
                     continue
@@ -226,10 +226,10 @@
                     self._expiry_monitor.record_started(wait)
                     self._fleet.note_read(sent)
                 if not delivery.begun:
-                    await delivery.begin(answer.status, answer.headers)
+                    await delivery.begin(response.status, response.headers)
                 await delivery.write(whole)
                 call.last_event = splitter.last_event
-        except BrokenAnswerError as error:
+        except BrokenResponseError as error:
             result.ran = Ran.UNKNOWN
             result.cause = Cause.BROKEN
             result.detail = str(error)
@@ -240,7 +240,7 @@
             result.detail = "the stream ended within an event"
             return result
         if not delivery.begun:
-            await delivery.begin(answer.status, answer.headers)
+            await delivery.begin(response.status, response.headers)
         await delivery.finish()
         result.delivered = True
         return result
--- a/libraries/proxy/src/bamboopier_proxy/target_connection.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_connection.py
@@ -16,7 +16,7 @@
 
 import httptools
 
-from .target_response import Answer, BrokenAnswerError
+from .target_response import TargetResponse, BrokenResponseError
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -44,8 +44,8 @@
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._headers: list[tuple[str, str]] = []
-        self._head: asyncio.Future[Answer] | None = None
-        self._answer: Answer | None = None
+        self._head: asyncio.Future[TargetResponse] | None = None
+        self._response: TargetResponse | None = None
         self._request_id = ""
         self._method = ""
         self._foreign = 0
@@ -75,13 +75,13 @@
 
     async def ask(
         self, head: bytes, body: bytes, request_id: str, method: str
-    ) -> Answer:
+    ) -> TargetResponse:
         """Send a request and return its answer once status and headers are there.
 
-        Raises ``BrokenAnswerError`` when there will be none.
+        Raises ``BrokenResponseError`` when there will be none.
         """
         if self._transport is None:
-            raise BrokenAnswerError("not connected")
+            raise BrokenResponseError("not connected")
         self._request_id = request_id
         self._method = method
         self._foreign = 0
@@ -92,11 +92,11 @@
 
     def release(self) -> bool:
         """Free the connection after a whole answer; False when it cannot be reused."""
-        whole = self._answer is not None and self._answer.complete
+        whole = self._response is not None and self._response.complete
         transport = self._transport
         unsent = transport is not None and transport.get_write_buffer_size() > 0
         self._head = None
-        self._answer = None
+        self._response = None
         if not whole or unsent or self._spoiled or not self._keep or self._closed:
             self.abort()
             return False
@@ -123,7 +123,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse; anything that comes while no answer is due spoils the connection."""
-        if self._head is None or (self._answer is not None and self._answer.complete):
+        if self._head is None or (self._response is not None and self._response.complete):
             self._spoil()
             return
         try:
@@ -139,9 +139,9 @@
         error tells the two apart.
         """
         fault = self._find_fault()
-        unframed = self._answer is not None and not self._framed
-        if self._answer is not None and unframed and not self._skipping and not fault:
-            self._answer.finish()
+        unframed = self._response is not None and not self._framed
+        if self._response is not None and unframed and not self._skipping and not fault:
+            self._response.finish()
         self._break(fault or "the connection was closed")
         return False
 
@@ -155,7 +155,7 @@
     def on_message_begin(self) -> None:
         """Begin an answer; a second one on top of a whole one belongs to nobody."""
         self._headers = []
-        if self._answer is not None and self._answer.complete:
+        if self._response is not None and self._response.complete:
             self._spoiled = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -177,17 +177,17 @@
         self._framed = self._is_framed(status)
         self._keep = self._parser.should_keep_alive() and self._framed
         self._note_idle_limit()
-        self._answer = Answer(status, tuple(self._headers), self._pause)
+        self._response = TargetResponse(status, tuple(self._headers), self._pause)
         if self._head is not None and not self._head.done():
-            self._head.set_result(self._answer)
+            self._head.set_result(self._response)
         if self._method == "HEAD":
             self._keep = False
-            self._answer.finish()
+            self._response.finish()
 
     def on_body(self, body: bytes) -> None:
         """Take a piece of the body."""
-        if self._answer is not None and not self._skipping and not self._spoiled:
-            self._answer.feed(body)
+        if self._response is not None and not self._skipping and not self._spoiled:
+            self._response.feed(body)
 
     def on_message_complete(self) -> None:
         """Take in the end of an answer."""
@@ -195,8 +195,8 @@
             return
         if self._skipping:
             self._skipping = False
-        elif self._answer is not None:
-            self._answer.finish()
+        elif self._response is not None:
+            self._response.finish()
 
     # Inside
 
@@ -215,10 +215,10 @@
 
     def _break(self, reason: str) -> None:
         self._keep = False
-        if self._answer is not None:
-            self._answer.fail(reason)
+        if self._response is not None:
+            self._response.fail(reason)
         elif self._head is not None and not self._head.done():
-            self._head.set_exception(BrokenAnswerError(reason))
+            self._head.set_exception(BrokenResponseError(reason))
         if self._transport is not None and not self._transport.is_closing():
             self._transport.close()
 
--- a/libraries/proxy/src/bamboopier_proxy/target_response.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_response.py
@@ -13,20 +13,20 @@
 
 # Bytes held for a caller that reads slowly, before the target's connection is no
 # longer read.
-HIGH_WATER_BYTES = 64 * 1024
+HIGH_WATER_MARK_BYTES = 64 * 1024
 
 
-class BrokenAnswerError(Exception):
+class BrokenResponseError(Exception):
     """The answer ended before it was whole, or is no answer in the protocol."""
 
 
-class Answer:
+class TargetResponse:
     """Status, headers and body of one answer. One reader at a time."""
 
     __slots__ = (
         "_chunks",
         "_error",
-        "_held",
+        "_buffered_bytes",
         "_pause",
         "_waiter",
         "complete",
@@ -42,7 +42,7 @@
         # Called with True to stop, and False to resume, reading the connection.
         self._pause = pause
         self._chunks: deque[bytes] = deque()
-        self._held = 0
+        self._buffered_bytes = 0
         self._waiter: asyncio.Future[None] | None = None
         self._error: str | None = None
         self.complete = False
@@ -50,8 +50,8 @@
     def feed(self, data: bytes) -> None:
         """Take a piece of the body."""
         self._chunks.append(data)
-        self._held += len(data)
-        if self._held > HIGH_WATER_BYTES:
+        self._buffered_bytes += len(data)
+        if self._buffered_bytes > HIGH_WATER_MARK_BYTES:
             self._pause(True)
         self._wake()
 
@@ -67,28 +67,28 @@
             self._wake()
 
     async def read(self) -> bytes:
-        """Return what has arrived; empty at the end; raises ``BrokenAnswerError``."""
+        """Return what has arrived; empty at the end; raises ``BrokenResponseError``."""
         while not self._chunks:
             if self.complete:
                 return b""
             if self._error is not None:
-                raise BrokenAnswerError(self._error)
+                raise BrokenResponseError(self._error)
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
         data = b"".join(self._chunks)
         self._chunks.clear()
-        if self._held > HIGH_WATER_BYTES:
+        if self._buffered_bytes > HIGH_WATER_MARK_BYTES:
             self._pause(False)
-        self._held = 0
+        self._buffered_bytes = 0
         return data
 
     async def read_all(self, limit: int) -> bytes:
-        """Return the whole body; raises ``BrokenAnswerError`` above ``limit`` bytes."""
+        """Return the whole body; raises ``BrokenResponseError`` above ``limit`` bytes."""
         body = bytearray()
         while data := await self.read():
             body += data
             if len(body) > limit:
-                raise BrokenAnswerError(f"more than {limit} bytes")
+                raise BrokenResponseError(f"more than {limit} bytes")
         return bytes(body)
 
     def _wake(self) -> None:
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -22,7 +22,7 @@
 from bamboopier_decisions.forwarding.prompt import Prompt, PromptPart
 from bamboopier_decisions.forwarding.retry_share import RetryBounds, RetryShares
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
-from bamboopier_proxy.target_response import Answer
+from bamboopier_proxy.target_response import TargetResponse
 from bamboopier_proxy.weight_expiry_monitor import WeightExpiryMonitor
 from bamboopier_proxy.exchange import Exchange
 from bamboopier_proxy.forwarder import Forwarder
@@ -64,11 +64,11 @@
         self._happen()
         return self
 
-    async def ask(self, head: bytes, *_: object) -> Answer:
+    async def ask(self, head: bytes, *_: object) -> TargetResponse:
         self.heads.append(head.decode())
-        answer = Answer(200, (), lambda _: None)
-        answer.finish()
-        return answer
+        response = TargetResponse(200, (), lambda _: None)
+        response.finish()
+        return response
 
     def give_back_unused(self, *_: object) -> None:
         self.unused += 1
