--- a/libraries/proxy/src/bamboopier_proxy/delivery.py
+++ b/libraries/proxy/src/bamboopier_proxy/delivery.py
@@ -16,10 +16,10 @@
     from .messages import HeaderList
 
 # Seconds a caller may take no byte of its answer.
-WRITE_SECONDS = 5.0
+WRITE_TIMEOUT_SECONDS = 5.0
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller left, or takes nothing more."""
 
 
@@ -32,11 +32,11 @@
         self._request = request
         self._is_stopping = is_stopping
         # The connection cannot be used again.
-        self.closing = False
+        self.close_connection = False
         self._response: web.StreamResponse | None = None
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Say whether the caller has received anything."""
         return self._response is not None
 
@@ -48,7 +48,7 @@
         return self._response
 
     @property
-    def has_left(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Say whether the caller's connection has ended, or its sending half.
 
         Failure answered: a process that stood still finds a request, or a place for one
@@ -71,37 +71,37 @@
         """Send a whole answer."""
         response = web.Response(status=status, body=body)
         response.headers.popall("Content-Type", None)
-        await self._begin(response, headers)
-        await self._end()
+        await self._start(response, headers)
+        await self._finish()
 
-    async def begin(self, status: int, headers: HeaderList) -> None:
+    async def start(self, status: int, headers: HeaderList) -> None:
         """Send the head of a stream."""
-        await self._begin(web.StreamResponse(status=status), headers)
+        await self._start(web.StreamResponse(status=status), headers)
 
     async def write(self, data: bytes) -> None:
         """Send a piece of a stream."""
-        await self._guard(self.response.write(data))
+        await self._write_with_timeout(self.response.write(data))
 
     async def finish(self) -> None:
         """End a whole stream."""
         if self._is_stopping():
             self.response.force_close()
-        await self._end()
+        await self._finish()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End the connection: what was sent is a part and must look like one."""
         if self._request.transport is not None:
             self._request.transport.abort()
 
-    async def _begin(self, response: web.StreamResponse, headers: HeaderList) -> None:
+    async def _start(self, response: web.StreamResponse, headers: HeaderList) -> None:
         for name, value in drop_hop_headers(headers):
             response.headers.add(name, value)
-        if self.closing or self._is_stopping():
+        if self.close_connection or self._is_stopping():
             response.force_close()
         self._response = response
-        await self._guard(response.prepare(self._request))
+        await self._write_with_timeout(response.prepare(self._request))
 
-    async def _end(self) -> None:
+    async def _finish(self) -> None:
         """Send the last bytes of a whole answer.
 
         A caller that has them and closes at once cancels this task before it runs
@@ -109,15 +109,15 @@
         it is counted.
         """
         try:
-            await self._guard(self.response.write_eof())
+            await self._write_with_timeout(self.response.write_eof())
         except asyncio.CancelledError:
             task = asyncio.current_task()
             if task is not None:
                 task.uncancel()
 
-    async def _guard(self, work: Awaitable[object]) -> None:
+    async def _write_with_timeout(self, work: Awaitable[object]) -> None:
         try:
-            async with asyncio.timeout(WRITE_SECONDS):
+            async with asyncio.timeout(WRITE_TIMEOUT_SECONDS):
                 await work
         except (TimeoutError, ConnectionError) as error:
-            raise CallerGoneError(str(error) or type(error).__name__) from error
+            raise CallerDisconnectedError(str(error) or type(error).__name__) from error
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -13,7 +13,7 @@
 from bamboopier_decisions.routing.messages import Ran
 
 from .target_response import BrokenResponseError
-from .delivery import CallerGoneError
+from .delivery import CallerDisconnectedError
 from .event_splitter import EventSplitter
 from .limit_notes import note_limit
 from .target_pool import ConnectError
@@ -105,7 +105,7 @@
         """Send ``call`` to the target of ``sent`` and pass its answer on.
 
         ``prepare`` is asked right before the send what the target is told, or why
-        nothing may be sent; it may raise. Raises ``CallerGoneError`` when nobody waits
+        nothing may be sent; it may raise. Raises ``CallerDisconnectedError`` when nobody waits
         for the answer.
         """
         entry = sent.state.entry
@@ -118,8 +118,8 @@
         # up to a second, or as long as this process is suspended, and what held before
         # it may not hold any more.
         try:
-            if delivery.has_left:
-                raise CallerGoneError("left before the request was sent")
+            if delivery.is_disconnected:
+                raise CallerDisconnectedError("left before the request was sent")
             prepared = prepare()
         except BaseException:
             self._pool.give_back_unused(entry, connection)
@@ -225,8 +225,8 @@
                     result.first_byte = read_clock() - started
                     self._expiry_monitor.record_started(wait)
                     self._fleet.note_read(sent)
-                if not delivery.begun:
-                    await delivery.begin(response.status, response.headers)
+                if not delivery.started:
+                    await delivery.start(response.status, response.headers)
                 await delivery.write(whole)
                 call.last_event = splitter.last_event
         except BrokenResponseError as error:
@@ -239,8 +239,8 @@
             result.cause = Cause.BROKEN
             result.detail = "the stream ended within an event"
             return result
-        if not delivery.begun:
-            await delivery.begin(response.status, response.headers)
+        if not delivery.started:
+            await delivery.start(response.status, response.headers)
         await delivery.finish()
         result.delivered = True
         return result
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -262,8 +262,8 @@
             free = result.cause in (Cause.CONNECT, Cause.CLOSED)
             if free or share.take(read_clock(), self._fleet.gateways):
                 return True
-        if delivery.begun:
-            delivery.cut()
+        if delivery.started:
+            delivery.abort()
             return False
         if result.failure is not None:
             held = result.failure
@@ -288,14 +288,14 @@
         if result.cause is Cause.TIMEOUT:
             return False
         if result.ran is Ran.NO:
-            return not delivery.begun or call.last_event is not None
+            return not delivery.started or call.last_event is not None
         if runs >= call.route.max_targets:
             return False
         match call.route.repeat:
             case Repeat.SAFE:
-                return not delivery.begun
+                return not delivery.started
             case Repeat.RESUMABLE:
-                return not delivery.begun or call.last_event is not None
+                return not delivery.started or call.last_event is not None
             case Repeat.ONCE:
                 return False
 
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -13,7 +13,7 @@
 from bamboopier_decisions.forwarding.route_table import draw_service
 from bamboopier_gateway.body import BodyBudget, read_body
 
-from .delivery import CallerGoneError, Delivery
+from .delivery import CallerDisconnectedError, Delivery
 from .forwarder import make_stale_refusal
 from .messages import Call, make_fingerprint
 from .refusals import CallerError, ErrorCode, Ran, list_headers
@@ -94,9 +94,9 @@
                 await self._answer(request, delivery, arrived, trace)
         except CallerError as error:
             await self._fail(request, delivery, trace, error)
-        except CallerGoneError as error:
+        except CallerDisconnectedError as error:
             trace.outcome = f"caller gone: {error}"
-            delivery.cut()
+            delivery.abort()
         except asyncio.CancelledError:
             trace.outcome = "caller left"
             raise
@@ -111,7 +111,7 @@
             if self._open == 0:
                 self.idle.set()
             self._log_end(delivery, trace, arrived)
-        if not delivery.begun:
+        if not delivery.started:
             raise ConnectionResetError("the caller is gone")
         return delivery.response
 
@@ -219,21 +219,21 @@
     ) -> None:
         trace.outcome = f"{error.code.value}: {error.message}"
         self._metrics.refusals.labels(error.code.value).inc()
-        if delivery.begun:
-            delivery.cut()
+        if delivery.started:
+            delivery.abort()
             return
         headers = list_headers(error, trace.request_id)
         if not request.content.at_eof():
             # The rest of the body is not read, so nothing can follow it.
-            delivery.closing = True
+            delivery.close_connection = True
         try:
             body = error.make_body(trace.request_id)
             await delivery.send(error.status, headers, body)
-        except CallerGoneError as gone:
+        except CallerDisconnectedError as gone:
             trace.outcome += f"; caller gone: {gone}"
 
     def _log_end(self, delivery: Delivery, trace: _Trace, arrived: float) -> None:
-        status = delivery.response.status if delivery.begun else 0
+        status = delivery.response.status if delivery.started else 0
         self._metrics.requests.labels(trace.route, status).inc()
         call = trace.call
         log.info(
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -124,7 +124,7 @@
 
     async def forward(self, *, keyed: bool = True, prompt: bool = False) -> mock.Mock:
         """Forward one request; return its caller's delivery."""
-        delivery = mock.Mock(has_left=False, begun=False)
+        delivery = mock.Mock(is_disconnected=False, started=False)
         delivery.send = mock.AsyncMock()
         call = make_call(self.clock.now, keyed=keyed, prompt=prompt)
         with (
--- a/libraries/proxy/tests/test_delivery.py
+++ b/libraries/proxy/tests/test_delivery.py
@@ -15,7 +15,7 @@
 REQUEST = cast("web.BaseRequest", SimpleNamespace(transport=None))
 
 
-async def leave(*_: object) -> None:
+async def disconnect(*_: object) -> None:
     """Do what aiohttp does when a caller closes during the final write."""
     task = asyncio.current_task()
     assert task is not None
@@ -23,26 +23,26 @@
     await asyncio.sleep(0)
 
 
-class LeavingCallerTests(unittest.IsolatedAsyncioTestCase):
-    async def test_one_that_leaves_with_its_last_byte_is_served(self) -> None:
+class DisconnectingCallerTests(unittest.IsolatedAsyncioTestCase):
+    async def test_disconnecting_after_the_last_byte_completes_the_response(self) -> None:
         # The caller has the whole answer and closes, which cancels the task in its
         # final write. The task goes on: it has to keep the target's connection and
         # count the answer.
         delivery = Delivery(REQUEST, lambda: False)
         with (
             mock.patch.object(web.Response, "prepare", mock.AsyncMock()),
-            mock.patch.object(web.Response, "write_eof", leave),
+            mock.patch.object(web.Response, "write_eof", disconnect),
         ):
             await delivery.send(200, (), b"whole")
-        self.assertTrue(delivery.begun)
+        self.assertTrue(delivery.started)
 
-    async def test_one_that_leaves_before_it_ends_the_work(self) -> None:
+    async def test_disconnecting_earlier_cancels_the_task(self) -> None:
         delivery = Delivery(REQUEST, lambda: False)
         with (
-            mock.patch.object(web.StreamResponse, "prepare", leave),
+            mock.patch.object(web.StreamResponse, "prepare", disconnect),
             self.assertRaises(asyncio.CancelledError),
         ):
-            await delivery.begin(200, ())
+            await delivery.start(200, ())
 
 
 if __name__ == "__main__":
--- a/libraries/proxy/tests/test_exchange.py
+++ b/libraries/proxy/tests/test_exchange.py
@@ -14,7 +14,7 @@
 from bamboopier_daemon.clock import read_clock
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 from bamboopier_proxy.weight_expiry_monitor import WeightExpiryMonitor
-from bamboopier_proxy.delivery import CallerGoneError, Delivery
+from bamboopier_proxy.delivery import CallerDisconnectedError, Delivery
 from bamboopier_proxy.exchange import Exchange, SendResult
 
 if TYPE_CHECKING:
@@ -97,7 +97,7 @@
         server.close()
 
 
-class LeavingCallerTests(unittest.IsolatedAsyncioTestCase):
+class DisconnectingCallerTests(unittest.IsolatedAsyncioTestCase):
     async def send(self, leave: Leave) -> tuple[LeavingPool, mock.AsyncMock]:
         """Send for a caller that leaves; return the pool and what was asked."""
         call = cast("Any", mock.Mock(timeout_at=read_clock() + 60))
@@ -110,7 +110,7 @@
             with mock.patch.object(exchange, "_ask", asked):
                 try:
                     await exchange.send(call, mock.Mock(), mock.Mock(), delivery)
-                except CallerGoneError:
+                except CallerDisconnectedError:
                     self.assertFalse(asked.called)
         return pool, asked
 
