--- a/libraries/proxy/src/bamboopier_proxy/attempt_log.py
+++ b/libraries/proxy/src/bamboopier_proxy/attempt_log.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.fleet import Sent
 
-    from .exchange import SendResult
+    from .exchange import AttemptResult
     from .knowledge import Knowledge
     from .messages import Call
     from .metrics import ProxyMetrics
@@ -30,7 +30,7 @@
         self._knowledge = knowledge
         self._metrics = metrics
 
-    def note(self, call: Call, sent: Sent, result: SendResult) -> None:
+    def note(self, call: Call, sent: Sent, result: AttemptResult) -> None:
         """Take in that a send has ended."""
         now = read_clock()
         self._metrics.sends.labels(call.service, result.cause.value).inc()
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -34,7 +34,7 @@
 
 # Plain answers up to this size are held until they are whole, so that a broken one
 # becomes an error and not a cut connection.
-MAX_HELD_BYTES = 1024 * 1024
+MAX_BUFFERED_BYTES = 1024 * 1024
 
 
 class Cause(StrEnum):
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class SendResult:
+class AttemptResult:
     """How one send ended. ``ran`` is the truth as far as it is known."""
 
     ran: Ran
@@ -65,18 +65,18 @@
     # The caller has the whole answer.
     delivered: bool = False
     # A whole answer of the target's own that reports a failure; may be passed on.
-    failure: HeldAnswer | None = None
+    failure: BufferedResponse | None = None
     weight_version: int = 0
     first_byte: float = 0.0
     # Another target than the one expected answered.
-    other_target: bool = False
+    wrong_target: bool = False
     # What the target was told, and when; None where nothing was sent.
     metadata: AttemptMetadata | None = None
     sent_at: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class HeldAnswer:
+class BufferedResponse:
     """A whole answer that has not been passed on."""
 
     status: int
@@ -101,7 +101,7 @@
         sent: Sent,
         prepare: Callable[[], Result[AttemptMetadata, Cause]],
         delivery: Delivery,
-    ) -> SendResult:
+    ) -> AttemptResult:
         """Send ``call`` to the target of ``sent`` and pass its answer on.
 
         ``prepare`` is asked right before the send what the target is told, or why
@@ -109,11 +109,11 @@
         for the answer.
         """
         entry = sent.state.entry
-        fresh = not call.route.repeat.may_run_again
+        recently_used = not call.route.repeat.may_run_again
         try:
-            connection = await self._pool.take(entry, fresh=fresh)
+            connection = await self._pool.take(entry, recently_used=recently_used)
         except ConnectError as error:
-            return SendResult(Ran.NO, Cause.CONNECT, str(error))
+            return AttemptResult(Ran.NO, Cause.CONNECT, str(error))
         # Nothing may be awaited between these checks and the send: a connection takes
         # up to a second, or as long as this process is suspended, and what held before
         # it may not hold any more.
@@ -126,108 +126,108 @@
             raise
         if isinstance(prepared, Err):
             self._pool.give_back_unused(entry, connection)
-            return SendResult(Ran.NO, prepared.err_value)
+            return AttemptResult(Ran.NO, prepared.err_value)
         metadata, sent_at = prepared.unwrap(), read_clock()
         done = False
-        with self._expiry_monitor.watch(call, metadata, connection) as wait:
+        with self._expiry_monitor.watch(call, metadata, connection) as pending:
             try:
                 async with asyncio.timeout(call.timeout_at - sent_at):
-                    result = await self._ask(call, sent, wait, delivery)
+                    result = await self._send_and_relay(call, sent, pending, delivery)
                 done = True
             except TimeoutError:
-                result = SendResult(Ran.UNKNOWN, Cause.TIMEOUT)
+                result = AttemptResult(Ran.UNKNOWN, Cause.TIMEOUT)
             except BrokenResponseError as error:
-                result = SendResult(Ran.UNKNOWN, Cause.BROKEN, str(error))
+                result = AttemptResult(Ran.UNKNOWN, Cause.BROKEN, str(error))
             finally:
                 if done:
                     self._pool.give_back(entry, connection)
                 else:
                     self._pool.drop(entry, connection)
-        if wait.aborted and result.cause is Cause.BROKEN:
-            result = SendResult(Ran.UNKNOWN, Cause.OUTDATED)
+        if pending.aborted and result.cause is Cause.BROKEN:
+            result = AttemptResult(Ran.UNKNOWN, Cause.OUTDATED)
         result.metadata, result.sent_at = metadata, sent_at
         return result
 
-    async def _ask(
-        self, call: Call, sent: Sent, wait: PendingRequest, delivery: Delivery
-    ) -> SendResult:
+    async def _send_and_relay(
+        self, call: Call, sent: Sent, pending: PendingRequest, delivery: Delivery
+    ) -> AttemptResult:
         started = read_clock()
-        metadata = wait.metadata
-        head = self._write_head(call, metadata)
-        response = await wait.connection.ask(
-            head, call.body, call.request_id, call.method
+        metadata = pending.metadata
+        request_head = self._write_head(call, metadata)
+        response = await pending.connection.ask(
+            request_head, call.body, call.request_id, call.method
         )
         response_metadata = self._codec.parse_response_headers(response.status, response.headers)
         self._record_metadata(call, sent, response_metadata)
         if (response_metadata.sealed or response_metadata.not_run) and not response_metadata.misdirected:
             note_limit(sent.state, started, response_metadata, call.request_id)
         if response_metadata.not_run or response_metadata.misdirected:
-            await response.read_all(MAX_HELD_BYTES)
+            await response.read_all(MAX_BUFFERED_BYTES)
             cause = Cause.MISDIRECTED if response_metadata.misdirected else Cause.NOT_RUN
-            return SendResult(
+            return AttemptResult(
                 Ran.NO,
                 cause,
                 f"status {response.status}, target {response_metadata.target}",
                 response.status,
                 weight_version=response_metadata.weight_version,
-                other_target=bool(response_metadata.target) and response_metadata.target != metadata.target,
+                wrong_target=bool(response_metadata.target) and response_metadata.target != metadata.target,
             )
         if not response_metadata.sealed and response.status < 500:
             detail = f"status {response.status} without a seal"
-            return SendResult(Ran.UNKNOWN, Cause.UNSEALED, detail, response.status)
+            return AttemptResult(Ran.UNKNOWN, Cause.UNSEALED, detail, response.status)
         if call.route.streams and response.status == 200:
-            result = await self._pass_stream(
-                call, sent, wait, response, delivery, started
+            result = await self._relay_stream(
+                call, sent, pending, response, delivery, started
             )
         else:
-            self._expiry_monitor.record_started(wait)
-            result = await self._pass_whole(call, response, response_metadata, delivery, started)
+            self._expiry_monitor.record_started(pending)
+            result = await self._relay_complete(call, response, response_metadata, delivery, started)
         result.weight_version = response_metadata.weight_version
         return result
 
-    async def _pass_whole(
+    async def _relay_complete(
         self,
         call: Call,
         response: TargetResponse,
         response_metadata: ResponseMetadata,
         delivery: Delivery,
         started: float,
-    ) -> SendResult:
-        body = await response.read_all(MAX_HELD_BYTES)
-        result = SendResult(Ran.YES, status=response.status)
+    ) -> AttemptResult:
+        body = await response.read_all(MAX_BUFFERED_BYTES)
+        result = AttemptResult(Ran.YES, status=response.status)
         result.first_byte = read_clock() - started
-        held = HeldAnswer(response.status, response.headers, body)
+        buffered = BufferedResponse(response.status, response.headers, body)
         if response.status >= 500:
             # A safe request may find another target that does not fail it.
-            result.failure = held
+            result.failure = buffered
             return result
-        await delivery.send(held.status, held.headers, held.body)
+        await delivery.send(buffered.status, buffered.headers, buffered.body)
         result.delivered = True
         return result
 
-    async def _pass_stream(
+    async def _relay_stream(
         self,
         call: Call,
         sent: Sent,
-        wait: PendingRequest,
+        pending: PendingRequest,
         response: TargetResponse,
         delivery: Delivery,
         started: float,
-    ) -> SendResult:
-        result = SendResult(Ran.YES, status=response.status)
+    ) -> AttemptResult:
+        result = AttemptResult(Ran.YES, status=response.status)
         splitter = EventSplitter()
         try:
             while data := await response.read():
-                whole = splitter.feed(data)
-                if not whole:
+                complete_events = splitter.feed(data)
+                if not complete_events:
                     continue
                 if not result.first_byte:
                     result.first_byte = read_clock() - started
-                    self._expiry_monitor.record_started(wait)
+                    self._expiry_monitor.record_started(pending)
                     self._fleet.note_read(sent)
                 if not delivery.started:
                     await delivery.start(response.status, response.headers)
-                await delivery.write(whole)
+                await delivery.write(complete_events)
                 call.last_event = splitter.last_event
         except BrokenResponseError as error:
             result.ran = Ran.UNKNOWN
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -26,7 +26,7 @@
     from bamboopier_decisions.forwarding.retry_share import RetryShare, RetryShares
 
     from .delivery import Delivery
-    from .exchange import Exchange, SendResult
+    from .exchange import Exchange, AttemptResult
     from .knowledge import Knowledge
     from .messages import Call, AttemptMetadata
     from .metrics import ProxyMetrics
@@ -115,7 +115,7 @@
             if not await self._goes_on(call, result, delivery, runs, share):
                 return
 
-    async def _send(self, call: Call, sent: Sent, delivery: Delivery) -> SendResult:
+    async def _send(self, call: Call, sent: Sent, delivery: Delivery) -> AttemptResult:
         def prepare() -> Result[AttemptMetadata, Cause]:
             return self._prepare(call, sent)
 
@@ -223,7 +223,7 @@
             message = "this request broke the targets that ran it"
             raise CallerError(ErrorCode.OVERLOADED, message, Ran.NO, wait)
 
-    def _judge(self, call: Call, sent: Sent, result: SendResult) -> None:
+    def _judge(self, call: Call, sent: Sent, result: AttemptResult) -> None:
         """Take in what a send says of its target."""
         state = sent.state
         now = read_clock()
@@ -239,7 +239,7 @@
                 state.standing.note_neutral()
             case Cause.MISDIRECTED:
                 state.standing.note_neutral()
-                if result.other_target:
+                if result.wrong_target:
                     # This start of the target is over; its entry only says so later.
                     state.busy_until = now + REPLACED_SECONDS
             case Cause.CLOSED | Cause.LATE | Cause.OUTDATED:
@@ -252,7 +252,7 @@
     async def _goes_on(
         self,
         call: Call,
-        result: SendResult,
+        result: AttemptResult,
         delivery: Delivery,
         runs: int,
         share: RetryShare,
@@ -266,8 +266,8 @@
             delivery.abort()
             return False
         if result.failure is not None:
-            held = result.failure
-            await delivery.send(held.status, held.headers, held.body)
+            buffered = result.failure
+            await delivery.send(buffered.status, buffered.headers, buffered.body)
             return False
         if call.may_have_run:
             code = ErrorCode.DEADLINE
@@ -281,7 +281,7 @@
         raise CallerError(ErrorCode.OVERLOADED, result.cause.value, Ran.NO, wait)
 
     def _may_send_again(
-        self, call: Call, result: SendResult, delivery: Delivery, runs: int
+        self, call: Call, result: AttemptResult, delivery: Delivery, runs: int
     ) -> bool:
         if len(call.tried) >= MAX_SENDS or read_clock() >= call.timeout_at:
             return False
--- a/libraries/proxy/src/bamboopier_proxy/target_pool.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_pool.py
@@ -56,10 +56,10 @@
             for connection in connections:
                 connection.abort()
 
-    async def take(self, entry: TargetEntry, *, fresh: bool) -> TargetConnection:
+    async def take(self, entry: TargetEntry, *, recently_used: bool) -> TargetConnection:
         """Return a connection; raises ``ConnectError``.
 
-        ``fresh`` asks for one that was used a moment ago, or a new one.
+        ``recently_used`` asks for one that was used a moment ago, or a new one.
         """
         key = (entry.name, entry.born)
         now = read_clock()
@@ -68,7 +68,7 @@
             connection = idle.pop()
             rested = now - connection.idle_since
             limit = connection.idle_limit
-            if fresh:
+            if recently_used:
                 limit = min(limit, FRESH_SECONDS)
             if connection.is_open and rested < limit:
                 return connection
--- a/libraries/proxy/tests/test_exchange.py
+++ b/libraries/proxy/tests/test_exchange.py
@@ -15,14 +15,14 @@
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 from bamboopier_proxy.weight_expiry_monitor import WeightExpiryMonitor
 from bamboopier_proxy.delivery import CallerDisconnectedError, Delivery
-from bamboopier_proxy.exchange import Exchange, SendResult
+from bamboopier_proxy.exchange import Exchange, AttemptResult
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
 
     from aiohttp import web
 
-    Leave = Callable[[socket.socket], None]
+    Disconnect = Callable[[socket.socket], None]
 
 EXPIRY_MONITOR = WeightExpiryMonitor(WeightVersions(12.0))
 
@@ -59,17 +59,17 @@
     caller.sendall(b"GET /more HTTP/1.1\r\n")
 
 
-class LeavingPool:
+class DisconnectingPool:
     """Its caller does something at the last moment before a send."""
 
-    def __init__(self, caller: socket.socket, leave: Leave) -> None:
+    def __init__(self, caller: socket.socket, disconnect: Disconnect) -> None:
         self._caller = caller
-        self._leave = leave
+        self._disconnect = disconnect
         self.unused = 0
         self.used = 0
 
     async def take(self, *_: object, **__: object) -> object:
-        self._leave(self._caller)
+        self._disconnect(self._caller)
         return object()
 
     def give_back_unused(self, *_: object) -> None:
@@ -98,37 +98,37 @@
 
 
 class DisconnectingCallerTests(unittest.IsolatedAsyncioTestCase):
-    async def send(self, leave: Leave) -> tuple[LeavingPool, mock.AsyncMock]:
+    async def send(self, disconnect: Disconnect) -> tuple[DisconnectingPool, mock.AsyncMock]:
         """Send for a caller that leaves; return the pool and what was asked."""
         call = cast("Any", mock.Mock(timeout_at=read_clock() + 60))
         async with connect() as (caller, transport):
             request = cast("web.BaseRequest", SimpleNamespace(transport=transport))
-            pool, fleet = LeavingPool(caller, leave), mock.Mock()
+            pool, fleet = DisconnectingPool(caller, disconnect), mock.Mock()
             exchange = Exchange(cast("Any", pool), fleet, mock.Mock(), EXPIRY_MONITOR)
-            asked = mock.AsyncMock(return_value=SendResult(mock.Mock()))
+            sent = mock.AsyncMock(return_value=AttemptResult(mock.Mock()))
             delivery = Delivery(request, lambda: False)
-            with mock.patch.object(exchange, "_ask", asked):
+            with mock.patch.object(exchange, "_send_and_relay", sent):
                 try:
                     await exchange.send(call, mock.Mock(), mock.Mock(), delivery)
                 except CallerDisconnectedError:
-                    self.assertFalse(asked.called)
-        return pool, asked
+                    self.assertFalse(sent.called)
+        return pool, sent
 
-    async def test_nothing_is_sent_for_a_caller_that_left(self) -> None:
+    async def test_nothing_is_sent_for_a_disconnected_caller(self) -> None:
         # A request waited for a place, or is sent again. Its caller's end is at the
         # kernel, and the event loop has not looked yet. The target's connection is
         # kept for the next request.
-        for leave in (close, reset, end_sending, end_behind_bytes):
-            with self.subTest(leave.__name__):
-                pool, asked = await self.send(leave)
-                self.assertFalse(asked.called)
+        for disconnect in (close, reset, end_sending, end_behind_bytes):
+            with self.subTest(disconnect.__name__):
+                pool, sent = await self.send(disconnect)
+                self.assertFalse(sent.called)
                 self.assertEqual((pool.unused, pool.used), (1, 0))
 
-    async def test_a_caller_that_waits_is_served(self) -> None:
-        for leave in (stay, send_more):
-            with self.subTest(leave.__name__):
-                pool, asked = await self.send(leave)
-                self.assertTrue(asked.called)
+    async def test_a_connected_caller_is_served(self) -> None:
+        for disconnect in (stay, send_more):
+            with self.subTest(disconnect.__name__):
+                pool, sent = await self.send(disconnect)
+                self.assertTrue(sent.called)
                 self.assertEqual((pool.unused, pool.used), (0, 1))
 
 
