--- a/libraries/proxy/src/bamboopier_proxy/attempt_log.py
+++ b/libraries/proxy/src/bamboopier_proxy/attempt_log.py
@@ -15,28 +15,28 @@
     from .knowledge import Knowledge
     from .messages import Call
     from .metrics import ProxyMetrics
-    from .attempt_planner import SendPlanner
+    from .attempt_planner import AttemptPlanner
 
 log = structlog.get_logger()
 
 
-class SendLog:
+class AttemptLog:
     """Counts and logs the ends of sends."""
 
     def __init__(
-        self, planner: SendPlanner, knowledge: Knowledge, metrics: ProxyMetrics
+        self, planner: AttemptPlanner, knowledge: Knowledge, metrics: ProxyMetrics
     ) -> None:
         self._planner = planner
         self._knowledge = knowledge
         self._metrics = metrics
 
-    def note(self, call: Call, sent: Sent, result: AttemptResult) -> None:
+    def record(self, call: Call, in_flight: Sent, result: AttemptResult) -> None:
         """Take in that a send has ended."""
         now = read_clock()
         self._metrics.sends.labels(call.service, result.cause.value).inc()
         if result.first_byte:
             self._metrics.first_byte.labels(call.service).observe(now - call.arrived)
-        state = sent.state
+        state = in_flight.state
         metadata, sent_at = result.metadata, result.sent_at or now
         parts = metadata.part_plan if metadata else None
         log.info(
@@ -50,7 +50,7 @@
             status=result.status,
             first_byte=round(result.first_byte, 4),
             weight_version=metadata.weight_version if metadata else 0,
-            newest_version=self._planner.find_wanted(sent_at, call).newest,
+            newest_version=self._planner.find_allowed_weights(sent_at, call).newest,
             newest_age=self._planner.find_newest_age(sent_at, call),
             fetched_parts=parts.fetched_parts if parts else 0,
             requests=state.requests,
--- a/libraries/proxy/src/bamboopier_proxy/attempt_planner.py
+++ b/libraries/proxy/src/bamboopier_proxy/attempt_planner.py
@@ -20,19 +20,19 @@
 LAST_PRIORITY = 9
 
 
-class SendPlanner:
+class AttemptPlanner:
     """Knows which weights are wanted and where parts of prompts are kept."""
 
-    def __init__(self, weights: WeightVersions, kept: KeptParts) -> None:
+    def __init__(self, weights: WeightVersions, part_index: KeptParts) -> None:
         self._weights = weights
-        self._kept = kept
+        self._part_index = part_index
 
     def make_demand(self, now: float, call: Call) -> Demand:
         """Return what the call needs of a target."""
         fetched = self._count_fetched(now, call)
         return Demand(call.service, call.priority, call.prompt, fetched)
 
-    def find_wanted(self, now: float, call: Call) -> WantedWeights:
+    def find_allowed_weights(self, now: float, call: Call) -> WantedWeights:
         """Return the weights on which the call may begin."""
         if call.prompt is None:
             return WantedWeights()
@@ -42,12 +42,12 @@
             self._weights.find_oldest_allowed(now, model),
         )
 
-    def may_begin(self, now: float, call: Call, sent: Sent) -> bool:
+    def may_start(self, now: float, call: Call, in_flight: Sent) -> bool:
         """Say whether the call may begin on the weights that the target has now."""
         if call.prompt is None:
             return True
-        version = sent.state.versions.get(call.prompt.model, 0)
-        return version >= self.find_wanted(now, call).oldest
+        version = in_flight.state.versions.get(call.prompt.model, 0)
+        return version >= self.find_allowed_weights(now, call).oldest
 
     def find_newest_age(self, now: float, call: Call) -> float | None:
         """Return the seconds for which the newest weights are taken to be named.
@@ -59,15 +59,15 @@
         age = now - self._weights.find_since(call.prompt.model)
         return round(age, 3) if age < float("inf") else None
 
-    def make_metadata(self, now: float, call: Call, sent: Sent) -> AttemptMetadata:
+    def make_metadata(self, now: float, call: Call, in_flight: Sent) -> AttemptMetadata:
         """Return what the target is told beside the caller's own headers."""
-        entry = sent.state.entry
+        entry = in_flight.state.entry
         workspace = call.workspace
         prompt = call.prompt
-        version = sent.state.versions.get(prompt.model, 0) if prompt else 0
+        version = in_flight.state.versions.get(prompt.model, 0) if prompt else 0
         scope = ""
         if prompt is not None:
-            scope = make_scope(call, version or entry.name)
+            scope = make_cache_scope(call, version or entry.name)
         return AttemptMetadata(
             target=entry.name,
             seconds_left=max(0.001, min(call.timeout_at, call.deadline) - now),
@@ -85,7 +85,7 @@
         if prompt is None:
             return 0
         version = self._weights.find_newest(prompt.model)
-        return self._kept.count_fetched(now, make_scope(call, version), _list(prompt))
+        return self._part_index.count_fetched(now, make_cache_scope(call, version), _list_shared_parts(prompt))
 
     def _plan_parts(
         self, now: float, scope: str, version: int, prompt: Prompt | None
@@ -97,19 +97,19 @@
         """
         if prompt is None or not version or not prompt.shared_parts:
             return None
-        own = len(prompt.parts) - len(prompt.shared_parts)
-        return self._kept.plan(now, scope, _list(prompt), own)
+        own_parts = len(prompt.parts) - len(prompt.shared_parts)
+        return self._part_index.plan(now, scope, _list_shared_parts(prompt), own_parts)
 
 
-def make_scope(call: Call, made_on: int | str) -> str:
+def make_cache_scope(call: Call, made_with: int | str) -> str:
     """Return the text under which parts of the call's prompt are cached.
 
     Parts made on other weights, or for a workspace that shares none, are never found.
     """
     workspace = call.workspace
     owner = workspace.name if workspace and workspace.isolated else ""
-    return f"{owner}/{made_on}"
+    return f"{owner}/{made_with}"
 
 
-def _list(prompt: Prompt) -> list[tuple[str, int]]:
+def _list_shared_parts(prompt: Prompt) -> list[tuple[str, int]]:
     return [(part.name, part.tokens) for part in prompt.shared_parts]
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -98,17 +98,17 @@
     async def send(
         self,
         call: Call,
-        sent: Sent,
+        in_flight: Sent,
         prepare: Callable[[], Result[AttemptMetadata, Cause]],
         delivery: Delivery,
     ) -> AttemptResult:
-        """Send ``call`` to the target of ``sent`` and pass its answer on.
+        """Send ``call`` to the target of ``in_flight`` and pass its answer on.
 
         ``prepare`` is asked right before the send what the target is told, or why
         nothing may be sent; it may raise. Raises ``CallerDisconnectedError`` when nobody waits
         for the answer.
         """
-        entry = sent.state.entry
+        entry = in_flight.state.entry
         recently_used = not call.route.repeat.may_run_again
         try:
             connection = await self._pool.take(entry, recently_used=recently_used)
@@ -132,7 +132,7 @@
         with self._expiry_monitor.watch(call, metadata, connection) as pending:
             try:
                 async with asyncio.timeout(call.timeout_at - sent_at):
-                    result = await self._send_and_relay(call, sent, pending, delivery)
+                    result = await self._send_and_relay(call, in_flight, pending, delivery)
                 done = True
             except TimeoutError:
                 result = AttemptResult(Ran.UNKNOWN, Cause.TIMEOUT)
@@ -149,7 +149,7 @@
         return result
 
     async def _send_and_relay(
-        self, call: Call, sent: Sent, pending: PendingRequest, delivery: Delivery
+        self, call: Call, in_flight: Sent, pending: PendingRequest, delivery: Delivery
     ) -> AttemptResult:
         started = read_clock()
         metadata = pending.metadata
@@ -158,9 +158,9 @@
             request_head, call.body, call.request_id, call.method
         )
         response_metadata = self._codec.parse_response_headers(response.status, response.headers)
-        self._record_metadata(call, sent, response_metadata)
+        self._record_metadata(call, in_flight, response_metadata)
         if (response_metadata.sealed or response_metadata.not_run) and not response_metadata.misdirected:
-            note_limit(sent.state, started, response_metadata, call.request_id)
+            note_limit(in_flight.state, started, response_metadata, call.request_id)
         if response_metadata.not_run or response_metadata.misdirected:
             await response.read_all(MAX_BUFFERED_BYTES)
             cause = Cause.MISDIRECTED if response_metadata.misdirected else Cause.NOT_RUN
@@ -177,7 +177,7 @@
             return AttemptResult(Ran.UNKNOWN, Cause.UNSEALED, detail, response.status)
         if call.route.streams and response.status == 200:
             result = await self._relay_stream(
-                call, sent, pending, response, delivery, started
+                call, in_flight, pending, response, delivery, started
             )
         else:
             self._expiry_monitor.record_started(pending)
@@ -208,7 +208,7 @@
     async def _relay_stream(
         self,
         call: Call,
-        sent: Sent,
+        in_flight: Sent,
         pending: PendingRequest,
         response: TargetResponse,
         delivery: Delivery,
@@ -224,7 +224,7 @@
                 if not result.first_byte:
                     result.first_byte = read_clock() - started
                     self._expiry_monitor.record_started(pending)
-                    self._fleet.note_read(sent)
+                    self._fleet.note_read(in_flight)
                 if not delivery.started:
                     await delivery.start(response.status, response.headers)
                 await delivery.write(complete_events)
@@ -253,8 +253,8 @@
             lines.append(f"Content-Length: {len(call.body)}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
-    def _record_metadata(self, call: Call, sent: Sent, response_metadata: ResponseMetadata) -> None:
-        state = sent.state
+    def _record_metadata(self, call: Call, in_flight: Sent, response_metadata: ResponseMetadata) -> None:
+        state = in_flight.state
         if call.prompt is not None and response_metadata.weight_version and not response_metadata.misdirected:
             state.note_version(call.prompt.model, response_metadata.weight_version)
         if response_metadata.cold_seconds > 0:
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -14,7 +14,7 @@
 
 from .exchange import Cause
 from .refusals import CallerError, ErrorCode, Ran
-from .attempt_log import SendLog
+from .attempt_log import AttemptLog
 
 if TYPE_CHECKING:
     import random
@@ -30,7 +30,7 @@
     from .knowledge import Knowledge
     from .messages import Call, AttemptMetadata
     from .metrics import ProxyMetrics
-    from .attempt_planner import SendPlanner
+    from .attempt_planner import AttemptPlanner
     from .request_queues import RequestQueues
 
 # Sends of one request, those included that a target turned away unrun.
@@ -67,7 +67,7 @@
         self,
         fleet: Fleet,
         knowledge: Knowledge,
-        planner: SendPlanner,
+        planner: AttemptPlanner,
         exchange: Exchange,
         request_queues: RequestQueues,
         metrics: ProxyMetrics,
@@ -81,7 +81,7 @@
         self._planner = planner
         self._exchange = exchange
         self._request_queues = request_queues
-        self._send_log = SendLog(planner, knowledge, metrics)
+        self._attempt_log = AttemptLog(planner, knowledge, metrics)
         self._metrics = metrics
         self._breaks = breaks
         self._shares = shares
@@ -95,18 +95,18 @@
         share.add_request(read_clock())
         runs = 0
         while True:
-            sent = await self._find_place(call)
-            call.tried.append(sent.state.entry.name)
+            in_flight = await self._find_place(call)
+            call.tried.append(in_flight.state.entry.name)
             try:
-                result = await self._send(call, sent, delivery)
-                self._judge(call, sent, result)
+                result = await self._send(call, in_flight, delivery)
+                self._judge(call, in_flight, result)
             except BaseException:
-                sent.state.standing.note_neutral()
+                in_flight.state.standing.note_neutral()
                 raise
             finally:
-                self._fleet.end(sent)
+                self._fleet.end(in_flight)
                 self._request_queues.wake(call.service)
-            self._send_log.note(call, sent, result)
+            self._attempt_log.record(call, in_flight, result)
             if result.delivered:
                 return
             if result.ran is not Ran.NO:
@@ -115,13 +115,13 @@
             if not await self._goes_on(call, result, delivery, runs, share):
                 return
 
-    async def _send(self, call: Call, sent: Sent, delivery: Delivery) -> AttemptResult:
+    async def _send(self, call: Call, in_flight: Sent, delivery: Delivery) -> AttemptResult:
         def prepare() -> Result[AttemptMetadata, Cause]:
-            return self._prepare(call, sent)
+            return self._prepare(call, in_flight)
 
-        return await self._exchange.send(call, sent, prepare, delivery)
+        return await self._exchange.send(call, in_flight, prepare, delivery)
 
-    def _prepare(self, call: Call, sent: Sent) -> Result[AttemptMetadata, Cause]:
+    def _prepare(self, call: Call, in_flight: Sent) -> Result[AttemptMetadata, Cause]:
         """Return what the target is told, or why nothing may be sent now.
 
         Raises ``CallerError`` once the request's key may have been taken away.
@@ -130,10 +130,10 @@
         if now >= call.timeout_at:
             return Err(Cause.LATE)
         self._check_currency(call, now)
-        is_open = self._fleet.is_open(sent.state, now)
-        if not is_open or not self._planner.may_begin(now, call, sent):
+        is_open = self._fleet.is_open(in_flight.state, now)
+        if not is_open or not self._planner.may_start(now, call, in_flight):
             return Err(Cause.CLOSED)
-        return Ok(self._planner.make_metadata(now, call, sent))
+        return Ok(self._planner.make_metadata(now, call, in_flight))
 
     async def _find_place(self, call: Call) -> Sent:
         """Return a place at a target; raises ``CallerError`` when there is none."""
@@ -154,15 +154,15 @@
                 return None
             return self._fleet.begin(read_clock(), found.state, call.prompt)
 
-        sent = await self._request_queues.wait(
+        in_flight = await self._request_queues.wait(
             call.service, call.priority, seconds, try_acquire, self._fleet.end
         )
         waited = read_clock() - started
         self._metrics.waited.labels(call.service).observe(waited)
-        if sent is None:
+        if in_flight is None:
             placement = self._place(call, demand, tried)
             raise self._refuse(call, ErrorCode.OVERLOADED, placement)
-        return sent
+        return in_flight
 
     def _check_limits(self, call: Call, placement: Placement, latest: float) -> None:
         """Refuse a request whose turn at all its targets is known to come too late.
@@ -180,9 +180,9 @@
 
     def _place(self, call: Call, demand: Demand, tried: set[str]) -> Placement:
         now = read_clock()
-        wanted = self._planner.find_wanted(now, call)
+        allowed_weights = self._planner.find_allowed_weights(now, call)
         return place(
-            now, self._fleet, demand, tried, wanted, self._data_centre, self._random
+            now, self._fleet, demand, tried, allowed_weights, self._data_centre, self._random
         )
 
     def _refuse(self, call: Call, code: ErrorCode, placement: Placement) -> CallerError:
@@ -223,9 +223,9 @@
             message = "this request broke the targets that ran it"
             raise CallerError(ErrorCode.OVERLOADED, message, Ran.NO, wait)
 
-    def _judge(self, call: Call, sent: Sent, result: AttemptResult) -> None:
+    def _judge(self, call: Call, in_flight: Sent, result: AttemptResult) -> None:
         """Take in what a send says of its target."""
-        state = sent.state
+        state = in_flight.state
         now = read_clock()
         match result.cause:
             case Cause.NONE if result.failure is not None:
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -29,7 +29,7 @@
 from .ingress import Ingress
 from .metrics import ProxyMetrics
 from .pause_monitor import PauseMonitor
-from .attempt_planner import SendPlanner
+from .attempt_planner import AttemptPlanner
 from .settings_reloader import SettingsReloader
 from .store_followers import StoreFollowers
 from .target_pool import TargetPool
@@ -74,7 +74,7 @@
     forwarder = Forwarder(
         state.fleet,
         state.knowledge,
-        SendPlanner(state.weights, state.kept),
+        AttemptPlanner(state.weights, state.kept),
         Exchange(pool, state.fleet, codec, expiry_monitor),
         state.request_queues,
         metrics,
--- a/libraries/proxy/src/bamboopier_proxy/request_queues.py
+++ b/libraries/proxy/src/bamboopier_proxy/request_queues.py
@@ -67,9 +67,9 @@
         except TimeoutError:
             return _get_acquired(acquired)
         except asyncio.CancelledError:
-            sent = _get_acquired(acquired)
-            if sent is not None:
-                release(sent)
+            in_flight = _get_acquired(acquired)
+            if in_flight is not None:
+                release(in_flight)
             raise
         finally:
             del self._pending[service, ticket]
@@ -84,9 +84,9 @@
             waiting = self._pending.get((service, ticket))
             if waiting is None or waiting.acquired.done():
                 continue
-            sent = waiting.try_acquire()
-            if sent is not None:
-                waiting.acquired.set_result(sent)
+            in_flight = waiting.try_acquire()
+            if in_flight is not None:
+                waiting.acquired.set_result(in_flight)
 
     async def run(self) -> None:
         """Wake all services at intervals until cancelled."""
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -29,7 +29,7 @@
 from bamboopier_proxy.knowledge import Knowledge
 from bamboopier_proxy.messages import ResponseMetadata, Call, AttemptMetadata
 from bamboopier_proxy.metrics import ProxyMetrics
-from bamboopier_proxy.attempt_planner import SendPlanner
+from bamboopier_proxy.attempt_planner import AttemptPlanner
 from bamboopier_proxy.request_queues import RequestQueues
 
 if TYPE_CHECKING:
@@ -110,7 +110,7 @@
         self.forwarder = Forwarder(
             self.fleet,
             self.knowledge,
-            SendPlanner(self.weights, KeptParts()),
+            AttemptPlanner(self.weights, KeptParts()),
             Exchange(
                 cast("Any", self.pool), self.fleet, codec, WeightExpiryMonitor(self.weights)
             ),
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -67,7 +67,7 @@
     Mutation(
         "the time of older weights is looked at right before the send",
         f"{PROXY}/forwarder.py",
-        "        if not is_open or not self._planner.may_begin(now, call, sent):\n",
+        "        if not is_open or not self._planner.may_start(now, call, in_flight):\n",
         "        if not is_open:\n",
         "libraries/proxy",
         f"{SENDS}.test_weights_whose_time_is_over_meanwhile_get_nothing",
