--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -34,21 +34,21 @@
     from .request_queues import RequestQueues
 
 # Sends of one request, those included that a target turned away unrun.
-MAX_SENDS = 4
+MAX_ATTEMPTS = 4
 # Seconds a target that turned a request away gets no other; it is full, stopping, or
 # loads weights.
-TURNED_AWAY_SECONDS = 0.15
+NOT_RUN_BACKOFF_SECONDS = 0.15
 
 # Seconds for which a target is left alone at whose address another one answers. Its own
 # entry lapses after three missed heartbeats; a new start has an entry of its own.
-REPLACED_SECONDS = 5.0
+REPLACED_BACKOFF_SECONDS = 5.0
 # Requests a second below which a part of targets' limits is taken for none.
-LEAST_PART = 1e-6
+MIN_LIMIT_SHARE_PER_SECOND = 1e-6
 
 log = structlog.get_logger()
 
 
-class Breaks(Protocol):
+class CrashQuarantine(Protocol):
     """What is known of requests that broke targets, here and at other gateways."""
 
     def note_break(self, fingerprint: bytes, target: str) -> None:
@@ -71,8 +71,8 @@
         exchange: Exchange,
         request_queues: RequestQueues,
         metrics: ProxyMetrics,
-        breaks: Breaks,
-        shares: RetryShares,
+        quarantine: CrashQuarantine,
+        retry_budgets: RetryShares,
         data_centre: str,
         random: random.Random,
     ) -> None:
@@ -83,23 +83,23 @@
         self._request_queues = request_queues
         self._attempt_log = AttemptLog(planner, knowledge, metrics)
         self._metrics = metrics
-        self._breaks = breaks
-        self._shares = shares
+        self._quarantine = quarantine
+        self._retry_budgets = retry_budgets
         self._data_centre = data_centre
         self._random = random
 
     async def forward(self, call: Call, delivery: Delivery) -> None:
         """Answer the caller; raises ``CallerError`` when this system must answer."""
-        self._check_breaks(call)
-        share = self._shares.find(call.service)
-        share.add_request(read_clock())
+        self._check_quarantine(call)
+        retry_budget = self._retry_budgets.find(call.service)
+        retry_budget.add_request(read_clock())
         runs = 0
         while True:
-            in_flight = await self._find_place(call)
+            in_flight = await self._acquire_target(call)
             call.tried.append(in_flight.state.entry.name)
             try:
                 result = await self._send(call, in_flight, delivery)
-                self._judge(call, in_flight, result)
+                self._record_outcome(call, in_flight, result)
             except BaseException:
                 in_flight.state.standing.note_neutral()
                 raise
@@ -112,7 +112,7 @@
             if result.ran is not Ran.NO:
                 runs += 1
                 call.may_have_run = True
-            if not await self._goes_on(call, result, delivery, runs, share):
+            if not await self._retry_or_finish(call, result, delivery, runs, retry_budget):
                 return
 
     async def _send(self, call: Call, in_flight: Sent, delivery: Delivery) -> AttemptResult:
@@ -129,17 +129,17 @@
         now = read_clock()
         if now >= call.timeout_at:
             return Err(Cause.LATE)
-        self._check_currency(call, now)
+        self._check_freshness(call, now)
         is_open = self._fleet.is_open(in_flight.state, now)
         if not is_open or not self._planner.may_start(now, call, in_flight):
             return Err(Cause.CLOSED)
         return Ok(self._planner.make_metadata(now, call, in_flight))
 
-    async def _find_place(self, call: Call) -> Sent:
+    async def _acquire_target(self, call: Call) -> Sent:
         """Return a place at a target; raises ``CallerError`` when there is none."""
         demand = self._planner.make_demand(read_clock(), call)
         tried = set(call.tried)
-        placement = self._place(call, demand, tried)
+        placement = self._select_target(call, demand, tried)
         if placement.state is not None:
             return self._fleet.begin(read_clock(), placement.state, call.prompt)
         if placement.known == 0:
@@ -149,7 +149,7 @@
         self._check_limits(call, placement, started + seconds)
 
         def try_acquire() -> Sent | None:
-            found = self._place(call, demand, tried)
+            found = self._select_target(call, demand, tried)
             if found.state is None:
                 return None
             return self._fleet.begin(read_clock(), found.state, call.prompt)
@@ -160,7 +160,7 @@
         waited = read_clock() - started
         self._metrics.waited.labels(call.service).observe(waited)
         if in_flight is None:
-            placement = self._place(call, demand, tried)
+            placement = self._select_target(call, demand, tried)
             raise self._refuse(call, ErrorCode.OVERLOADED, placement)
         return in_flight
 
@@ -174,11 +174,11 @@
         if limited.count == 0 or not limited.only:
             return
         before = self._request_queues.count_before(call.service, call.priority)
-        turn = limited.next_at + before / max(limited.part, LEAST_PART)
+        turn = limited.next_at + before / max(limited.part, MIN_LIMIT_SHARE_PER_SECOND)
         if turn > latest:
             raise self._refuse(call, ErrorCode.OVERLOADED, placement)
 
-    def _place(self, call: Call, demand: Demand, tried: set[str]) -> Placement:
+    def _select_target(self, call: Call, demand: Demand, tried: set[str]) -> Placement:
         now = read_clock()
         allowed_weights = self._planner.find_allowed_weights(now, call)
         return place(
@@ -205,7 +205,7 @@
         wait = draw_return(call.timeout_at - now, self._random, room_in)
         return CallerError(code, "no target has room", Ran.NO, wait)
 
-    def _check_currency(self, call: Call, now: float) -> None:
+    def _check_freshness(self, call: Call, now: float) -> None:
         """Refuse a request with a key once the key may have been taken away."""
         if call.workspace is None:
             return
@@ -214,16 +214,16 @@
         if call.may_have_run:
             message = "the configuration became too old to send this again"
             raise CallerError(ErrorCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN)
-        raise make_stale_refusal(self._knowledge, now)
+        raise make_stale_configuration_error(self._knowledge, now)
 
-    def _check_breaks(self, call: Call) -> None:
+    def _check_quarantine(self, call: Call) -> None:
         """Refuse a request that broke the targets that ran it."""
-        wait = self._breaks.find_wait(call.fingerprint)
+        wait = self._quarantine.find_wait(call.fingerprint)
         if wait > 0:
             message = "this request broke the targets that ran it"
             raise CallerError(ErrorCode.OVERLOADED, message, Ran.NO, wait)
 
-    def _judge(self, call: Call, in_flight: Sent, result: AttemptResult) -> None:
+    def _record_outcome(self, call: Call, in_flight: Sent, result: AttemptResult) -> None:
         """Take in what a send says of its target."""
         state = in_flight.state
         now = read_clock()
@@ -235,32 +235,32 @@
             case Cause.CONNECT:
                 state.standing.note_unreachable(now)
             case Cause.NOT_RUN:
-                state.busy_until = now + TURNED_AWAY_SECONDS
+                state.busy_until = now + NOT_RUN_BACKOFF_SECONDS
                 state.standing.note_neutral()
             case Cause.MISDIRECTED:
                 state.standing.note_neutral()
                 if result.wrong_target:
                     # This start of the target is over; its entry only says so later.
-                    state.busy_until = now + REPLACED_SECONDS
+                    state.busy_until = now + REPLACED_BACKOFF_SECONDS
             case Cause.CLOSED | Cause.LATE | Cause.OUTDATED:
                 state.standing.note_neutral()
             case Cause.BROKEN | Cause.UNSEALED | Cause.TIMEOUT:
                 state.standing.note_failure(now)
                 if result.cause is Cause.BROKEN and not result.status:
-                    self._breaks.note_break(call.fingerprint, state.entry.name)
+                    self._quarantine.note_break(call.fingerprint, state.entry.name)
 
-    async def _goes_on(
+    async def _retry_or_finish(
         self,
         call: Call,
         result: AttemptResult,
         delivery: Delivery,
         runs: int,
-        share: RetryShare,
+        retry_budget: RetryShare,
     ) -> bool:
         """Say whether another send follows; if not, the caller has its answer."""
-        if self._may_send_again(call, result, delivery, runs):
+        if self._may_retry(call, result, delivery, runs):
             free = result.cause in (Cause.CONNECT, Cause.CLOSED)
-            if free or share.take(read_clock(), self._fleet.gateways):
+            if free or retry_budget.take(read_clock(), self._fleet.gateways):
                 return True
         if delivery.started:
             delivery.abort()
@@ -280,10 +280,10 @@
         wait = draw_return(max(0.0, end - now), self._random)
         raise CallerError(ErrorCode.OVERLOADED, result.cause.value, Ran.NO, wait)
 
-    def _may_send_again(
+    def _may_retry(
         self, call: Call, result: AttemptResult, delivery: Delivery, runs: int
     ) -> bool:
-        if len(call.tried) >= MAX_SENDS or read_clock() >= call.timeout_at:
+        if len(call.tried) >= MAX_ATTEMPTS or read_clock() >= call.timeout_at:
             return False
         if result.cause is Cause.TIMEOUT:
             return False
@@ -300,7 +300,7 @@
                 return False
 
 
-def make_stale_refusal(knowledge: Knowledge, now: float) -> CallerError:
+def make_stale_configuration_error(knowledge: Knowledge, now: float) -> CallerError:
     """Return the refusal for keys that may have been taken away meanwhile."""
     age = knowledge.currency.find_age(now)
     message = f"the configuration was last confirmed {age:.1f} s ago"
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -14,7 +14,7 @@
 from bamboopier_gateway.body import BodyBudget, read_body
 
 from .delivery import CallerDisconnectedError, Delivery
-from .forwarder import make_stale_refusal
+from .forwarder import make_stale_configuration_error
 from .messages import Call, make_fingerprint
 from .refusals import CallerError, ErrorCode, Ran, list_headers
 
@@ -163,7 +163,7 @@
         if not table.needs_key or route.public:
             return None
         if not self._knowledge.currency.covers(now):
-            raise make_stale_refusal(self._knowledge, now)
+            raise make_stale_configuration_error(self._knowledge, now)
         workspace = table.find_workspace(metadata.key) if metadata.key else None
         if workspace is None:
             raise CallerError(ErrorCode.UNAUTHENTICATED, "no such key")
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -104,9 +104,9 @@
         self.fleet.set_services(make_declared().services)
         self.fleet.put(self.clock.now, make_entry())
         codec = cast("Any", StubCodec())
-        breaks = mock.Mock()
-        breaks.find_wait.return_value = 0.0
-        self.breaks = breaks
+        quarantine = mock.Mock()
+        quarantine.find_wait.return_value = 0.0
+        self.quarantine = quarantine
         self.forwarder = Forwarder(
             self.fleet,
             self.knowledge,
@@ -116,7 +116,7 @@
             ),
             RequestQueues(),
             ProxyMetrics(),
-            breaks,
+            quarantine,
             RetryShares(RetryBounds(0.2, 54.0, 10.0)),
             "z1",
             random.Random(1),
--- a/libraries/proxy/tests/test_attempts.py
+++ b/libraries/proxy/tests/test_attempts.py
@@ -55,7 +55,7 @@
         self.pass_seconds(TIMEOUT_SECONDS + 1)
         error = await self.expect_refusal()
         self.assertIs(error.ran, Ran.NO)
-        self.assertFalse(self.lab.breaks.note_break.called)
+        self.assertFalse(self.lab.quarantine.note_break.called)
         standing = self.lab.fleet.list_service("desk", 0.0)[0].standing
         self.assertEqual(standing.failing_share, 0.0)
 
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -59,7 +59,7 @@
     Mutation(
         "a key's proof is looked at right before the send",
         f"{PROXY}/forwarder.py",
-        "        self._check_currency(call, now)\n",
+        "        self._check_freshness(call, now)\n",
         "",
         "libraries/proxy",
         f"{SENDS}.test_a_key_whose_proof_has_run_out_meanwhile_is_refused",
