--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -16,7 +16,7 @@
 from .delivery import CallerDisconnectedError, Delivery
 from .forwarder import make_stale_configuration_error
 from .messages import Call, make_fingerprint
-from .refusals import CallerError, ErrorCode, Ran, list_headers
+from .refusals import CallerError, ErrorCode, Ran, make_error_headers
 
 if TYPE_CHECKING:
     import random
@@ -222,7 +222,7 @@
         if delivery.started:
             delivery.abort()
             return
-        headers = list_headers(error, trace.request_id)
+        headers = make_error_headers(error, trace.request_id)
         if not request.content.at_eof():
             # The rest of the body is not read, so nothing can follow it.
             delivery.close_connection = True
--- a/libraries/proxy/src/bamboopier_proxy/refusals.py
+++ b/libraries/proxy/src/bamboopier_proxy/refusals.py
@@ -10,10 +10,10 @@
 if TYPE_CHECKING:
     from .messages import HeaderList
 
-__all__ = ["CallerError", "ErrorCode", "Ran", "list_headers"]
+__all__ = ["CallerError", "ErrorCode", "Ran", "make_error_headers"]
 
 
-def list_headers(error: CallerError, request_id: str) -> HeaderList:
+def make_error_headers(error: CallerError, request_id: str) -> HeaderList:
     """Return the headers of an error's answer.
 
     The time to return is given with its fraction: whole seconds would let callers
