--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -154,7 +154,7 @@
         started = read_clock()
         metadata = pending.metadata
         request_head = self._write_head(call, metadata)
-        response = await pending.connection.ask(
+        response = await pending.connection.send_request(
             request_head, call.body, call.request_id, call.method
         )
         response_metadata = self._codec.parse_response_headers(response.status, response.headers)
--- a/libraries/proxy/src/bamboopier_proxy/target_connection.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_connection.py
@@ -25,12 +25,12 @@
 # Milliseconds that bytes may stay unacknowledged, and the seconds of silence before a
 # connection is probed: a peer that is gone shows within about two seconds.
 USER_TIMEOUT_MS = 1500
-PROBE_SECONDS = 1
-PROBES = 2
+PROBE_INTERVAL_SECONDS = 1
+MAX_PROBES = 2
 # Answers under another request's id that are read and dropped before giving up.
-MAX_FOREIGN = 2
+MAX_FOREIGN_RESPONSES = 2
 # Seconds an idle connection is kept where the target does not say.
-DEFAULT_IDLE_SECONDS = 3.0
+DEFAULT_IDLE_LIMIT_SECONDS = 3.0
 # The target counts from its last byte and closes at a whole second.
 IDLE_MARGIN_SECONDS = 0.8
 
@@ -44,18 +44,18 @@
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._headers: list[tuple[str, str]] = []
-        self._head: asyncio.Future[TargetResponse] | None = None
+        self._pending_response: asyncio.Future[TargetResponse] | None = None
         self._response: TargetResponse | None = None
         self._request_id = ""
         self._method = ""
-        self._foreign = 0
+        self._foreign_responses = 0
         self._skipping = False
         self._framed = False
-        self._spoiled = False
+        self._unusable = False
         self._closed = False
-        self._keep = True
+        self._reusable = True
         # Seconds it may stay idle before the target closes it.
-        self.idle_limit = DEFAULT_IDLE_SECONDS
+        self.idle_limit = DEFAULT_IDLE_LIMIT_SECONDS
         self.idle_since = 0.0
         self.served = 0
 
@@ -66,14 +66,14 @@
         """Say whether a request may be sent now."""
         return (
             not self._closed
-            and not self._spoiled
-            and self._keep
-            and self._head is None
+            and not self._unusable
+            and self._reusable
+            and self._pending_response is None
             and self._transport is not None
             and not self._transport.is_closing()
         )
 
-    async def ask(
+    async def send_request(
         self, head: bytes, body: bytes, request_id: str, method: str
     ) -> TargetResponse:
         """Send a request and return its answer once status and headers are there.
@@ -84,20 +84,20 @@
             raise BrokenResponseError("not connected")
         self._request_id = request_id
         self._method = method
-        self._foreign = 0
+        self._foreign_responses = 0
         self.served += 1
-        self._head = asyncio.get_running_loop().create_future()
+        self._pending_response = asyncio.get_running_loop().create_future()
         self._transport.write(head + body)
-        return await self._head
+        return await self._pending_response
 
     def release(self) -> bool:
         """Free the connection after a whole answer; False when it cannot be reused."""
-        whole = self._response is not None and self._response.complete
+        complete = self._response is not None and self._response.complete
         transport = self._transport
         unsent = transport is not None and transport.get_write_buffer_size() > 0
-        self._head = None
+        self._pending_response = None
         self._response = None
-        if not whole or unsent or self._spoiled or not self._keep or self._closed:
+        if not complete or unsent or self._unusable or not self._reusable or self._closed:
             self.abort()
             return False
         self.idle_since = self._read_clock()
@@ -108,7 +108,7 @@
         self._closed = True
         if self._transport is None:
             return
-        if self._head is not None and not self._transport.is_closing():
+        if self._pending_response is not None and not self._transport.is_closing():
             enable_reset_on_close(self._transport.get_extra_info("socket"))
         self._transport.abort()
 
@@ -119,17 +119,17 @@
         self._transport = cast("asyncio.Transport", transport)
         connection = transport.get_extra_info("socket")
         if connection is not None:
-            bound_silence(connection)
+            set_dead_peer_timeouts(connection)
 
     def data_received(self, data: bytes) -> None:
         """Parse; anything that comes while no answer is due spoils the connection."""
-        if self._head is None or (self._response is not None and self._response.complete):
-            self._spoil()
+        if self._pending_response is None or (self._response is not None and self._response.complete):
+            self._mark_unusable()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._break(f"no HTTP: {error}")
+            self._fail(f"no HTTP: {error}")
 
     def eof_received(self) -> bool:
         """Take in the target's end of the connection.
@@ -138,17 +138,17 @@
         good order. An answer without length would pass for whole; the socket's own
         error tells the two apart.
         """
-        fault = self._find_fault()
+        socket_error = self._find_socket_error()
         unframed = self._response is not None and not self._framed
-        if self._response is not None and unframed and not self._skipping and not fault:
+        if self._response is not None and unframed and not self._skipping and not socket_error:
             self._response.finish()
-        self._break(fault or "the connection was closed")
+        self._fail(socket_error or "the connection was closed")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Take in that the connection is gone."""
         self._closed = True
-        self._break(str(exc) if exc else "the connection was closed")
+        self._fail(str(exc) if exc else "the connection was closed")
 
     # httptools
 
@@ -156,7 +156,7 @@
         """Begin an answer; a second one on top of a whole one belongs to nobody."""
         self._headers = []
         if self._response is not None and self._response.complete:
-            self._spoiled = True
+            self._unusable = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take one header."""
@@ -165,33 +165,33 @@
     def on_headers_complete(self) -> None:
         """Hand the answer on, or skip one that belongs to another request."""
         status = self._parser.get_status_code()
-        if self._spoiled or status < 200:
+        if self._unusable or status < 200:
             return
-        named = self._find_header(self._id_header)
+        response_request_id = self._find_header(self._id_header)
         # A success without an id cannot be told from another request's answer.
-        foreign = named != self._request_id if named else status < 300
-        if foreign:
-            self._skip()
+        is_foreign = response_request_id != self._request_id if response_request_id else status < 300
+        if is_foreign:
+            self._skip_response()
             return
         self._skipping = False
         self._framed = self._is_framed(status)
-        self._keep = self._parser.should_keep_alive() and self._framed
-        self._note_idle_limit()
-        self._response = TargetResponse(status, tuple(self._headers), self._pause)
-        if self._head is not None and not self._head.done():
-            self._head.set_result(self._response)
+        self._reusable = self._parser.should_keep_alive() and self._framed
+        self._record_idle_limit()
+        self._response = TargetResponse(status, tuple(self._headers), self._set_reading_paused)
+        if self._pending_response is not None and not self._pending_response.done():
+            self._pending_response.set_result(self._response)
         if self._method == "HEAD":
-            self._keep = False
+            self._reusable = False
             self._response.finish()
 
     def on_body(self, body: bytes) -> None:
         """Take a piece of the body."""
-        if self._response is not None and not self._skipping and not self._spoiled:
+        if self._response is not None and not self._skipping and not self._unusable:
             self._response.feed(body)
 
     def on_message_complete(self) -> None:
         """Take in the end of an answer."""
-        if self._parser.get_status_code() < 200 or self._spoiled:
+        if self._parser.get_status_code() < 200 or self._unusable:
             return
         if self._skipping:
             self._skipping = False
@@ -200,29 +200,29 @@
 
     # Inside
 
-    def _skip(self) -> None:
-        self._foreign += 1
+    def _skip_response(self) -> None:
+        self._foreign_responses += 1
         self._skipping = True
         # Whatever the target mixed up, no further request goes this way.
-        self._keep = False
-        if self._foreign > MAX_FOREIGN:
-            self._break("answers of other requests")
+        self._reusable = False
+        if self._foreign_responses > MAX_FOREIGN_RESPONSES:
+            self._fail("answers of other requests")
 
-    def _spoil(self) -> None:
-        self._spoiled = True
-        if self._head is None:
+    def _mark_unusable(self) -> None:
+        self._unusable = True
+        if self._pending_response is None:
             self.abort()
 
-    def _break(self, reason: str) -> None:
-        self._keep = False
+    def _fail(self, reason: str) -> None:
+        self._reusable = False
         if self._response is not None:
             self._response.fail(reason)
-        elif self._head is not None and not self._head.done():
-            self._head.set_exception(BrokenResponseError(reason))
+        elif self._pending_response is not None and not self._pending_response.done():
+            self._pending_response.set_exception(BrokenResponseError(reason))
         if self._transport is not None and not self._transport.is_closing():
             self._transport.close()
 
-    def _find_fault(self) -> str:
+    def _find_socket_error(self) -> str:
         """Return the socket's pending error; empty when there is none."""
         connection = self._transport and self._transport.get_extra_info("socket")
         if not connection:
@@ -230,7 +230,7 @@
         code = connection.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         return os.strerror(code) if code else ""
 
-    def _pause(self, stop: bool) -> None:
+    def _set_reading_paused(self, stop: bool) -> None:
         if self._transport is None or self._transport.is_closing():
             return
         if stop:
@@ -248,8 +248,8 @@
             return True
         return "chunked" in self._find_header("transfer-encoding").lower()
 
-    def _note_idle_limit(self) -> None:
-        seconds = DEFAULT_IDLE_SECONDS
+    def _record_idle_limit(self) -> None:
+        seconds = DEFAULT_IDLE_LIMIT_SECONDS
         for word in self._find_header("keep-alive").split(","):
             name, _, value = word.strip().partition("=")
             if name.lower() == "timeout" and value.isdecimal():
@@ -257,7 +257,7 @@
         self.idle_limit = seconds
 
 
-def bound_silence(connection: socket.socket) -> None:
+def set_dead_peer_timeouts(connection: socket.socket) -> None:
     """Let the kernel end a connection whose peer is gone without a word.
 
     Without it a request that was sent on such a connection waits for its deadline.
@@ -265,9 +265,9 @@
     options = (
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_SECONDS),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_SECONDS),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_INTERVAL_SECONDS),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_SECONDS),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MAX_PROBES),
         (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
     )
     for level, name, value in options:
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -64,7 +64,7 @@
         self._happen()
         return self
 
-    async def ask(self, head: bytes, *_: object) -> TargetResponse:
+    async def send_request(self, head: bytes, *_: object) -> TargetResponse:
         self.heads.append(head.decode())
         response = TargetResponse(200, (), lambda _: None)
         response.finish()
--- a/libraries/proxy/tests/test_target_connection.py
+++ b/libraries/proxy/tests/test_target_connection.py
@@ -25,20 +25,20 @@
         self.addCleanup(self.peer.close)
         self.peer.settimeout(5)
 
-    async def test_a_request_is_taken_back_by_a_reset(self) -> None:
+    async def test_aborting_a_request_resets_the_connection(self) -> None:
         # A target stands still with a request on its way, and the caller leaves. Closed
         # in good order, the connection would still deliver the request: the target runs
         # it when it goes on, seconds after its caller has left.
-        asking = asyncio.create_task(self.connection.ask(HEAD, b"", "id", "POST"))
+        sending = asyncio.create_task(self.connection.send_request(HEAD, b"", "id", "POST"))
         await asyncio.sleep(0)
-        asking.cancel()
+        sending.cancel()
         self.connection.abort()
         await asyncio.sleep(0.05)
         with self.assertRaises(ConnectionResetError):
             while self.peer.recv(4096):
                 pass
 
-    async def test_an_idle_connection_is_closed_in_good_order(self) -> None:
+    async def test_aborting_an_idle_connection_closes_it_normally(self) -> None:
         self.connection.abort()
         await asyncio.sleep(0.05)
         self.assertEqual(self.peer.recv(4096), b"")
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -46,7 +46,7 @@
         '            enable_reset_on_close(self._transport.get_extra_info("socket"))\n',
         "            pass\n",
         "libraries/proxy",
-        "tests.test_target_connection.AbortTests.test_a_request_is_taken_back_by_a_reset",
+        "tests.test_target_connection.AbortTests.test_aborting_a_request_resets_the_connection",
     ),
     Mutation(
         "nothing is sent after the time of its route",
