--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -111,7 +111,7 @@
         entry = in_flight.state.entry
         recently_used = not call.route.repeat.may_run_again
         try:
-            connection = await self._pool.take(entry, recently_used=recently_used)
+            connection = await self._pool.acquire(entry, recently_used=recently_used)
         except ConnectError as error:
             return AttemptResult(Ran.NO, Cause.CONNECT, str(error))
         # Nothing may be awaited between these checks and the send: a connection takes
@@ -122,10 +122,10 @@
                 raise CallerDisconnectedError("left before the request was sent")
             prepared = prepare()
         except BaseException:
-            self._pool.give_back_unused(entry, connection)
+            self._pool.release_unused(entry, connection)
             raise
         if isinstance(prepared, Err):
-            self._pool.give_back_unused(entry, connection)
+            self._pool.release_unused(entry, connection)
             return AttemptResult(Ran.NO, prepared.err_value)
         metadata, sent_at = prepared.unwrap(), read_clock()
         done = False
@@ -140,9 +140,9 @@
                 result = AttemptResult(Ran.UNKNOWN, Cause.BROKEN, str(error))
             finally:
                 if done:
-                    self._pool.give_back(entry, connection)
+                    self._pool.release(entry, connection)
                 else:
-                    self._pool.drop(entry, connection)
+                    self._pool.discard(entry, connection)
         if pending.aborted and result.cause is Cause.BROKEN:
             result = AttemptResult(Ran.UNKNOWN, Cause.OUTDATED)
         result.metadata, result.sent_at = metadata, sent_at
--- a/libraries/proxy/src/bamboopier_proxy/target_pool.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_pool.py
@@ -23,12 +23,12 @@
 
 # A connection in the same region stands within milliseconds; a lost packet is sent
 # again after a second, by which time another target is the better choice.
-CONNECT_SECONDS = 0.9
+CONNECT_TIMEOUT_SECONDS = 0.9
 # Seconds of idleness after which a connection is not trusted with a request that may
 # run only once.
-FRESH_SECONDS = 2.0
+MAX_RECENT_IDLE_SECONDS = 2.0
 # Seconds between two searches for connections that stood idle too long.
-SWEEP_SECONDS = 1.0
+SWEEP_INTERVAL_SECONDS = 1.0
 
 
 class ConnectError(Exception):
@@ -56,7 +56,7 @@
             for connection in connections:
                 connection.abort()
 
-    async def take(self, entry: TargetEntry, *, recently_used: bool) -> TargetConnection:
+    async def acquire(self, entry: TargetEntry, *, recently_used: bool) -> TargetConnection:
         """Return a connection; raises ``ConnectError``.
 
         ``recently_used`` asks for one that was used a moment ago, or a new one.
@@ -66,58 +66,58 @@
         idle = self._idle.get(key, [])
         while idle:
             connection = idle.pop()
-            rested = now - connection.idle_since
+            idle_seconds = now - connection.idle_since
             limit = connection.idle_limit
             if recently_used:
-                limit = min(limit, FRESH_SECONDS)
-            if connection.is_open and rested < limit:
+                limit = min(limit, MAX_RECENT_IDLE_SECONDS)
+            if connection.is_open and idle_seconds < limit:
                 return connection
-            self._forget(key, connection)
+            self._close(key, connection)
         return await self._connect(key, entry)
 
-    def give_back(self, entry: TargetEntry, connection: TargetConnection) -> None:
+    def release(self, entry: TargetEntry, connection: TargetConnection) -> None:
         """Keep a connection after a whole answer, or drop it."""
         key = (entry.name, entry.born)
         if connection.release():
             self._idle.setdefault(key, []).append(connection)
         else:
-            self._forget(key, connection)
+            self._close(key, connection)
 
-    def give_back_unused(
+    def release_unused(
         self, entry: TargetEntry, connection: TargetConnection
     ) -> None:
         """Keep a connection on which nothing was sent."""
         connection.idle_since = read_clock()
         self._idle.setdefault((entry.name, entry.born), []).append(connection)
 
-    def drop(self, entry: TargetEntry, connection: TargetConnection) -> None:
+    def discard(self, entry: TargetEntry, connection: TargetConnection) -> None:
         """End a connection whose answer is not wanted, or not whole."""
-        self._forget((entry.name, entry.born), connection)
+        self._close((entry.name, entry.born), connection)
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """End connections that stood idle too long."""
         now = read_clock()
         for key, idle in list(self._idle.items()):
             for connection in list(idle):
-                rested = now - connection.idle_since
-                if not connection.is_open or rested >= connection.idle_limit:
+                idle_seconds = now - connection.idle_since
+                if not connection.is_open or idle_seconds >= connection.idle_limit:
                     idle.remove(connection)
-                    self._forget(key, connection)
+                    self._close(key, connection)
             if not idle:
                 del self._idle[key]
 
     async def run(self) -> None:
         """Sweep until cancelled."""
         while True:
-            await asyncio.sleep(SWEEP_SECONDS)
-            self.sweep()
+            await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
+            self.close_expired()
 
     async def _connect(
         self, key: tuple[str, int], entry: TargetEntry
     ) -> TargetConnection:
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(CONNECT_SECONDS):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 _, connection = await loop.create_connection(
                     lambda: TargetConnection(self._id_header, read_clock),
                     entry.host,
@@ -129,10 +129,10 @@
         self._open.setdefault(key, set()).add(connection)
         return connection
 
-    def _forget(self, key: tuple[str, int], connection: TargetConnection) -> None:
+    def _close(self, key: tuple[str, int], connection: TargetConnection) -> None:
         connection.abort()
-        standing = self._open.get(key)
-        if standing is not None:
-            standing.discard(connection)
-            if not standing:
+        open_connections = self._open.get(key)
+        if open_connections is not None:
+            open_connections.discard(connection)
+            if not open_connections:
                 del self._open[key]
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -60,7 +60,7 @@
         self.heads: list[str] = []
         self.unused = 0
 
-    async def take(self, *_: object, **__: object) -> SlowPool:
+    async def acquire(self, *_: object, **__: object) -> SlowPool:
         self._happen()
         return self
 
@@ -70,10 +70,10 @@
         response.finish()
         return response
 
-    def give_back_unused(self, *_: object) -> None:
+    def release_unused(self, *_: object) -> None:
         self.unused += 1
 
-    def give_back(self, *_: object) -> None:
+    def release(self, *_: object) -> None:
         """Take a used connection."""
 
 
--- a/libraries/proxy/tests/test_exchange.py
+++ b/libraries/proxy/tests/test_exchange.py
@@ -68,14 +68,14 @@
         self.unused = 0
         self.used = 0
 
-    async def take(self, *_: object, **__: object) -> object:
+    async def acquire(self, *_: object, **__: object) -> object:
         self._disconnect(self._caller)
         return object()
 
-    def give_back_unused(self, *_: object) -> None:
+    def release_unused(self, *_: object) -> None:
         self.unused += 1
 
-    def give_back(self, *_: object) -> None:
+    def release(self, *_: object) -> None:
         self.used += 1
 
 
