--- a/libraries/proxy/src/bamboopier_proxy/event_splitter.py
+++ b/libraries/proxy/src/bamboopier_proxy/event_splitter.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-END = b"\n\n"
-ID = b"id:"
+EVENT_END = b"\n\n"
+ID_FIELD = b"id:"
 
 
 class EventSplitter:
@@ -13,32 +13,32 @@
     to the caller, what another target goes on with would be joined to it.
     """
 
-    __slots__ = ("_rest", "last_event")
+    __slots__ = ("_incomplete", "last_event")
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
         self.last_event: str | None = None
 
     @property
-    def rest(self) -> bytes:
+    def incomplete(self) -> bytes:
         """Return what is held back."""
-        return self._rest
+        return self._incomplete
 
     def feed(self, data: bytes) -> bytes:
         """Take a piece of the stream; return the whole events."""
-        data = self._rest + data
-        end = data.rfind(END)
+        data = self._incomplete + data
+        end = data.rfind(EVENT_END)
         if end < 0:
-            self._rest = data
+            self._incomplete = data
             return b""
-        whole, self._rest = data[: end + len(END)], data[end + len(END) :]
-        self._note_last(whole)
-        return whole
-
-    def _note_last(self, whole: bytes) -> None:
-        start = whole.rfind(ID)
-        while start > 0 and whole[start - 1 : start] != b"\n":
-            start = whole.rfind(ID, 0, start)
+        complete_events, self._incomplete = data[: end + len(EVENT_END)], data[end + len(EVENT_END) :]
+        self._record_last_id(complete_events)
+        return complete_events
+
+    def _record_last_id(self, complete_events: bytes) -> None:
+        start = complete_events.rfind(ID_FIELD)
+        while start > 0 and complete_events[start - 1 : start] != b"\n":
+            start = complete_events.rfind(ID_FIELD, 0, start)
         if start >= 0:
-            line = whole[start + len(ID) : whole.find(b"\n", start)]
+            line = complete_events[start + len(ID_FIELD) : complete_events.find(b"\n", start)]
             self.last_event = line.strip().decode("latin-1")
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -234,7 +234,7 @@
             result.cause = Cause.BROKEN
             result.detail = str(error)
             return result
-        if splitter.rest:
+        if splitter.incomplete:
             result.ran = Ran.UNKNOWN
             result.cause = Cause.BROKEN
             result.detail = "the stream ended within an event"
