--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -38,9 +38,9 @@
     from .store_schema import PublishedWeights, Store, StoreSchema
 
 # Seconds that one watch for new weights lasts.
-WATCH_SECONDS = 4.0
+WATCH_TIMEOUT_SECONDS = 4.0
 # Seconds a slot is held at most by an agent that was killed: longer than a load.
-SLOT_SECONDS = 8.0
+SLOT_LEASE_SECONDS = 8.0
 
 log = structlog.get_logger()
 
@@ -69,7 +69,7 @@
         settings.vm,
         generator,
         prefix=schema.load_slots_prefix,
-        lease_seconds=SLOT_SECONDS,
+        lease_seconds=SLOT_LEASE_SECONDS,
     )
     directory = TargetDirectory(store, schema, settings.target_service)
     registry = CollectorRegistry()
@@ -92,15 +92,15 @@
             )
             ages = WeightAges(store, schema.publish_times_prefix, weights, generator)
 
-            def note_named(named: PublishedWeights, since: float) -> None:
-                ages.note_heard(named.model, named.version, since)
+            def record_published(published: PublishedWeights, since: float) -> None:
+                ages.note_heard(published.model, published.version, since)
                 roller.changed.set()
 
             follower = ObjectFollower(
                 store,
                 schema.weights_prefix,
-                WeightsObserver(schema, weights, pause_monitor.pauses, note_named),
-                WATCH_SECONDS,
+                WeightsObserver(schema, weights, pause_monitor.pauses, record_published),
+                WATCH_TIMEOUT_SECONDS,
                 generator,
                 read_clock,
             )
--- a/libraries/proxy/src/bamboopier_proxy/caller_listener.py
+++ b/libraries/proxy/src/bamboopier_proxy/caller_listener.py
@@ -26,7 +26,7 @@
 # the system's own take a part.
 MAX_CONNECTIONS = 2800
 # Seconds a peer may be silent with bytes unacknowledged.
-SILENCE_SECONDS = 5.0
+WRITE_STALL_SECONDS = 5.0
 # How long the rest of a refused body is read and dropped.
 LINGERING_SECONDS = 1.0
 MAX_HEADERS = 100
@@ -38,7 +38,7 @@
     """The operator's limits in the form that a connection asks for."""
 
     __slots__ = ("header_timeout_seconds", "idle_timeout_seconds")
-    write_timeout_seconds = SILENCE_SECONDS
+    write_timeout_seconds = WRITE_STALL_SECONDS
 
     def __init__(self, limits: CallerLimits) -> None:
         self.header_timeout_seconds = limits.header_seconds
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -46,7 +46,7 @@
 GRACE_SHARE = 0.95
 # After not-ready shows, the balancer asks twice, a second apart, before it sends new
 # connections elsewhere. Callers are let go only then.
-UNREADY_SECONDS = 2.4
+UNREADY_DELAY_SECONDS = 2.4
 
 log = structlog.get_logger()
 
@@ -141,7 +141,7 @@
     started = read_clock()
     ingress.stopping = True
     log.info("gateway stopping", open_requests=ingress.open_requests)
-    await asyncio.sleep(UNREADY_SECONDS)
+    await asyncio.sleep(UNREADY_DELAY_SECONDS)
     # Callers may still come: a listener that is closed leaves those that are already
     # connected without a word until the process ends.
     ingress.refusing = True
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -33,15 +33,15 @@
     from .metrics import ProxyMetrics
 
 # Seconds a body may take to arrive.
-BODY_SECONDS = 10.0
+BODY_TIMEOUT_SECONDS = 10.0
 # Seconds a caller waits that does not say how long.
 DEFAULT_DEADLINE_SECONDS = 60.0
 # Share of this process's memory that bodies of open requests may take.
 BODY_MEMORY_SHARE = 0.15
 # Seconds after which a caller should come back to a process that knows nothing yet.
-STARTING_SECONDS = 0.5
+STARTING_RETRY_SECONDS = 0.5
 # Seconds after which a caller should come back to another process.
-STOPPING_SECONDS = 0.05
+STOPPING_RETRY_SECONDS = 0.05
 # Methods that belong to a connection and not to a resource.
 REFUSED_METHODS = frozenset({"CONNECT", "TRACE"})
 
@@ -88,12 +88,12 @@
         self._open += 1
         self._metrics.open_requests.set(self._open)
         self.idle.clear()
-        trace = _Trace()
+        trace = _RequestTrace()
         try:
             with self._bodies.open(request):
-                await self._answer(request, delivery, arrived, trace)
+                await self._process(request, delivery, arrived, trace)
         except CallerError as error:
-            await self._fail(request, delivery, trace, error)
+            await self._send_error(request, delivery, trace, error)
         except CallerDisconnectedError as error:
             trace.outcome = f"caller gone: {error}"
             delivery.abort()
@@ -104,32 +104,32 @@
             log.exception("request failed", request_id=trace.request_id)
             ran = Ran.UNKNOWN if trace.sent else Ran.NO
             fault = CallerError(ErrorCode.INTERNAL, "internal error", ran)
-            await self._fail(request, delivery, trace, fault)
+            await self._send_error(request, delivery, trace, fault)
         finally:
             self._open -= 1
             self._metrics.open_requests.set(self._open)
             if self._open == 0:
                 self.idle.set()
-            self._log_end(delivery, trace, arrived)
+            self._log_request(delivery, trace, arrived)
         if not delivery.started:
             raise ConnectionResetError("the caller is gone")
         return delivery.response
 
-    async def _answer(
+    async def _process(
         self,
         request: web.BaseRequest,
         delivery: Delivery,
         arrived: float,
-        trace: _Trace,
+        trace: _RequestTrace,
     ) -> None:
         if self.refusing:
             message = "this process is stopping"
-            raise CallerError(ErrorCode.STOPPING, message, Ran.NO, STOPPING_SECONDS)
+            raise CallerError(ErrorCode.STOPPING, message, Ran.NO, STOPPING_RETRY_SECONDS)
         table = self._knowledge.table
         if table is None:
             message = "no configuration is known yet"
             raise CallerError(
-                ErrorCode.STALE_CONFIGURATION, message, Ran.NO, STARTING_SECONDS
+                ErrorCode.STALE_CONFIGURATION, message, Ran.NO, STARTING_RETRY_SECONDS
             )
         metadata = self._parse_metadata(request, trace)
         path = request.raw_path.partition("?")[0]
@@ -140,14 +140,14 @@
         trace.route = route.name
         workspace = self._authenticate(table, route, metadata, arrived)
         limit = table.declared.limits.body_bytes
-        body = await read_body(request, limit, BODY_SECONDS)
+        body = await read_body(request, limit, BODY_TIMEOUT_SECONDS)
         call = self._make_call(
             request, metadata, table, route, workspace, host, body, arrived
         )
         trace.call = call
         await self._forwarder.forward(call, delivery)
 
-    def _parse_metadata(self, request: web.BaseRequest, trace: _Trace) -> RequestMetadata:
+    def _parse_metadata(self, request: web.BaseRequest, trace: _RequestTrace) -> RequestMetadata:
         read = self._codec.parse_request_headers(request.headers.items())
         if isinstance(read, Err):
             raise CallerError(ErrorCode.BAD_REQUEST, read.err_value)
@@ -210,11 +210,11 @@
             last_event=metadata.last_event,
         )
 
-    async def _fail(
+    async def _send_error(
         self,
         request: web.BaseRequest,
         delivery: Delivery,
-        trace: _Trace,
+        trace: _RequestTrace,
         error: CallerError,
     ) -> None:
         trace.outcome = f"{error.code.value}: {error.message}"
@@ -232,7 +232,7 @@
         except CallerDisconnectedError as gone:
             trace.outcome += f"; caller gone: {gone}"
 
-    def _log_end(self, delivery: Delivery, trace: _Trace, arrived: float) -> None:
+    def _log_request(self, delivery: Delivery, trace: _RequestTrace, arrived: float) -> None:
         status = delivery.response.status if delivery.started else 0
         self._metrics.requests.labels(trace.route, status).inc()
         call = trace.call
@@ -249,7 +249,7 @@
         )
 
 
-class _Trace:
+class _RequestTrace:
     """What the last log line of a request tells."""
 
     __slots__ = ("call", "outcome", "request_id", "route")
