--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -52,16 +52,16 @@
         return self.now
 
 
-class SlowPool:
+class StubPool:
     """Lets something happen while a connection is made; keeps what was sent on it."""
 
-    def __init__(self, happen: Callable[[], None]) -> None:
-        self._happen = happen
+    def __init__(self, on_connect: Callable[[], None]) -> None:
+        self._on_connect = on_connect
         self.heads: list[str] = []
         self.unused = 0
 
-    async def acquire(self, *_: object, **__: object) -> SlowPool:
-        self._happen()
+    async def acquire(self, *_: object, **__: object) -> StubPool:
+        self._on_connect()
         return self
 
     async def send_request(self, head: bytes, *_: object) -> TargetResponse:
@@ -90,13 +90,13 @@
         return ResponseMetadata("r1", True, False, False, "i-1", 0, 0.0)
 
 
-class ForwarderLab:
+class ForwarderHarness:
     """A forwarder, what it believes, and what reached its one target."""
 
     def __init__(self) -> None:
         self.clock = Clock()
-        self.happen: Callable[[], None] = lambda: None
-        self.pool = SlowPool(lambda: self.happen())
+        self.on_connect: Callable[[], None] = lambda: None
+        self.pool = StubPool(lambda: self.on_connect())
         self.weights = WeightVersions(VERSION_SECONDS)
         self.knowledge = Knowledge(KEY_SECONDS, lambda _: None)
         self.knowledge.take(make_declared(), self.clock.now, self.clock.now)
--- a/libraries/proxy/tests/test_exchange.py
+++ b/libraries/proxy/tests/test_exchange.py
@@ -22,7 +22,7 @@
 
     from aiohttp import web
 
-    Disconnect = Callable[[socket.socket], None]
+    CallerAction = Callable[[socket.socket], None]
 
 EXPIRY_MONITOR = WeightExpiryMonitor(WeightVersions(12.0))
 
@@ -59,17 +59,17 @@
     caller.sendall(b"GET /more HTTP/1.1\r\n")
 
 
-class DisconnectingPool:
+class ActingCallerPool:
     """Its caller does something at the last moment before a send."""
 
-    def __init__(self, caller: socket.socket, disconnect: Disconnect) -> None:
+    def __init__(self, caller: socket.socket, act: CallerAction) -> None:
         self._caller = caller
-        self._disconnect = disconnect
+        self._act = act
         self.unused = 0
         self.used = 0
 
     async def acquire(self, *_: object, **__: object) -> object:
-        self._disconnect(self._caller)
+        self._act(self._caller)
         return object()
 
     def release_unused(self, *_: object) -> None:
@@ -98,12 +98,12 @@
 
 
 class DisconnectingCallerTests(unittest.IsolatedAsyncioTestCase):
-    async def send(self, disconnect: Disconnect) -> tuple[DisconnectingPool, mock.AsyncMock]:
+    async def send(self, act: CallerAction) -> tuple[ActingCallerPool, mock.AsyncMock]:
         """Send for a caller that leaves; return the pool and what was asked."""
         call = cast("Any", mock.Mock(timeout_at=read_clock() + 60))
         async with connect() as (caller, transport):
             request = cast("web.BaseRequest", SimpleNamespace(transport=transport))
-            pool, fleet = DisconnectingPool(caller, disconnect), mock.Mock()
+            pool, fleet = ActingCallerPool(caller, act), mock.Mock()
             exchange = Exchange(cast("Any", pool), fleet, mock.Mock(), EXPIRY_MONITOR)
             sent = mock.AsyncMock(return_value=AttemptResult(mock.Mock()))
             delivery = Delivery(request, lambda: False)
@@ -118,16 +118,16 @@
         # A request waited for a place, or is sent again. Its caller's end is at the
         # kernel, and the event loop has not looked yet. The target's connection is
         # kept for the next request.
-        for disconnect in (close, reset, end_sending, end_behind_bytes):
-            with self.subTest(disconnect.__name__):
-                pool, sent = await self.send(disconnect)
+        for act in (close, reset, end_sending, end_behind_bytes):
+            with self.subTest(act.__name__):
+                pool, sent = await self.send(act)
                 self.assertFalse(sent.called)
                 self.assertEqual((pool.unused, pool.used), (1, 0))
 
     async def test_a_connected_caller_is_served(self) -> None:
-        for disconnect in (stay, send_more):
-            with self.subTest(disconnect.__name__):
-                pool, sent = await self.send(disconnect)
+        for act in (stay, send_more):
+            with self.subTest(act.__name__):
+                pool, sent = await self.send(act)
                 self.assertTrue(sent.called)
                 self.assertEqual((pool.unused, pool.used), (0, 1))
 
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -7,7 +7,7 @@
 PROXY = "libraries/proxy/src/bamboopier_proxy"
 OBSERVER = "tests.test_weights_observer.WeightsObserverTests"
 AGES = "tests.test_weight_ages.WeightAgesTests"
-SENDS = "tests.test_attempts.SendTests"
+ATTEMPTS = "tests.test_attempts.AttemptTests"
 FOLLOWED = "tests.test_weights_observer.FollowedWeightsTests"
 PEERS = "tests.test_gateway_peers.GatewayCountTests"
 STARTS = "tests.test_part_relay.FormerStartTests"
@@ -54,7 +54,7 @@
         "            return Err(Cause.LATE)\n",
         "            pass\n",
         "libraries/proxy",
-        f"{SENDS}.test_nothing_is_sent_after_the_time_of_its_route",
+        f"{ATTEMPTS}.test_nothing_is_sent_after_the_route_timeout",
     ),
     Mutation(
         "a key's proof is looked at right before the send",
@@ -62,7 +62,7 @@
         "        self._check_freshness(call, now)\n",
         "",
         "libraries/proxy",
-        f"{SENDS}.test_a_key_whose_proof_has_run_out_meanwhile_is_refused",
+        f"{ATTEMPTS}.test_a_key_is_refused_when_the_configuration_gets_stale",
     ),
     Mutation(
         "the time of older weights is looked at right before the send",
@@ -70,7 +70,7 @@
         "        if not is_open or not self._planner.may_start(now, call, in_flight):\n",
         "        if not is_open:\n",
         "libraries/proxy",
-        f"{SENDS}.test_weights_whose_time_is_over_meanwhile_get_nothing",
+        f"{ATTEMPTS}.test_nothing_is_sent_to_a_target_whose_weights_expired",
     ),
     Mutation(
         "a gateway's own pause is no silence of the others",
