--- a/libraries/proxy/src/bamboopier_proxy/attempt_planner.py
+++ b/libraries/proxy/src/bamboopier_proxy/attempt_planner.py
@@ -70,7 +70,7 @@
             scope = make_cache_scope(call, version or entry.name)
         return AttemptMetadata(
             target=entry.name,
-            seconds_left=max(0.001, min(call.timeout_at, call.deadline) - now),
+            remaining_seconds=max(0.001, min(call.timeout_at, call.deadline) - now),
             workspace=workspace.name if workspace else "",
             cache_scope=scope,
             priority=min(LAST_PRIORITY, call.priority) if prompt else None,
--- a/libraries/proxy/src/bamboopier_proxy/messages.py
+++ b/libraries/proxy/src/bamboopier_proxy/messages.py
@@ -75,7 +75,7 @@
     """What a target is told beside the caller's own headers."""
 
     target: str
-    seconds_left: float
+    remaining_seconds: float
     workspace: str
     # Requests find cached parts only under the same text.
     cache_scope: str
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -82,7 +82,7 @@
 
     def format_target_headers(self, metadata: AttemptMetadata) -> tuple[tuple[str, str], ...]:
         return (
-            ("Seconds-Left", f"{metadata.seconds_left:.3f}"),
+            ("Seconds-Left", f"{metadata.remaining_seconds:.3f}"),
             ("Wanted-Weights", str(metadata.weight_version)),
         )
 
