--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -109,12 +109,12 @@
                 keep_running(follow_weights(ages, follower))
             )
             await stack.enter_async_context(keep_running(roller.run()))
-            watch = SettingsReloader(
+            settings_reloader = SettingsReloader(
                 settings,
                 read_settings,
                 lambda changed: weights.set_allowed(changed.version_seconds),
             )
-            await stack.enter_async_context(keep_running(watch.run()))
+            await stack.enter_async_context(keep_running(settings_reloader.run()))
             # An agent follows no configuration, only the weights that are named.
             add_process_metrics(
                 registry, "agent", settings, follower.loaded.is_set, lambda: 0
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -151,7 +151,7 @@
     async def _send_and_relay(
         self, call: Call, in_flight: Sent, pending: PendingRequest, delivery: Delivery
     ) -> AttemptResult:
-        started = read_clock()
+        started_at = read_clock()
         metadata = pending.metadata
         request_head = self._write_head(call, metadata)
         response = await pending.connection.send_request(
@@ -160,7 +160,7 @@
         response_metadata = self._codec.parse_response_headers(response.status, response.headers)
         self._record_metadata(call, in_flight, response_metadata)
         if (response_metadata.sealed or response_metadata.not_run) and not response_metadata.misdirected:
-            note_limit(in_flight.state, started, response_metadata, call.request_id)
+            note_limit(in_flight.state, started_at, response_metadata, call.request_id)
         if response_metadata.not_run or response_metadata.misdirected:
             await response.read_all(MAX_BUFFERED_BYTES)
             cause = Cause.MISDIRECTED if response_metadata.misdirected else Cause.NOT_RUN
@@ -177,11 +177,11 @@
             return AttemptResult(Ran.UNKNOWN, Cause.UNSEALED, detail, response.status)
         if call.route.streams and response.status == 200:
             result = await self._relay_stream(
-                call, in_flight, pending, response, delivery, started
+                call, in_flight, pending, response, delivery, started_at
             )
         else:
             self._expiry_monitor.record_started(pending)
-            result = await self._relay_complete(call, response, response_metadata, delivery, started)
+            result = await self._relay_complete(call, response, response_metadata, delivery, started_at)
         result.weight_version = response_metadata.weight_version
         return result
 
@@ -191,11 +191,11 @@
         response: TargetResponse,
         response_metadata: ResponseMetadata,
         delivery: Delivery,
-        started: float,
+        started_at: float,
     ) -> AttemptResult:
         body = await response.read_all(MAX_BUFFERED_BYTES)
         result = AttemptResult(Ran.YES, status=response.status)
-        result.first_byte = read_clock() - started
+        result.first_byte = read_clock() - started_at
         buffered = BufferedResponse(response.status, response.headers, body)
         if response.status >= 500:
             # A safe request may find another target that does not fail it.
@@ -212,7 +212,7 @@
         pending: PendingRequest,
         response: TargetResponse,
         delivery: Delivery,
-        started: float,
+        started_at: float,
     ) -> AttemptResult:
         result = AttemptResult(Ran.YES, status=response.status)
         splitter = EventSplitter()
@@ -222,7 +222,7 @@
                 if not complete_events:
                     continue
                 if not result.first_byte:
-                    result.first_byte = read_clock() - started
+                    result.first_byte = read_clock() - started_at
                     self._expiry_monitor.record_started(pending)
                     self._fleet.note_read(in_flight)
                 if not delivery.started:
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -144,9 +144,9 @@
             return self._fleet.begin(read_clock(), placement.state, call.prompt)
         if placement.known == 0:
             raise self._refuse(call, ErrorCode.NO_TARGET, placement)
-        started = read_clock()
-        seconds = limit_wait(call.route.aim, call.timeout_at - started)
-        self._check_limits(call, placement, started + seconds)
+        started_at = read_clock()
+        seconds = limit_wait(call.route.aim, call.timeout_at - started_at)
+        self._check_limits(call, placement, started_at + seconds)
 
         def try_acquire() -> Sent | None:
             found = self._select_target(call, demand, tried)
@@ -157,7 +157,7 @@
         in_flight = await self._request_queues.wait(
             call.service, call.priority, seconds, try_acquire, self._fleet.end
         )
-        waited = read_clock() - started
+        waited = read_clock() - started_at
         self._metrics.waited.labels(call.service).observe(waited)
         if in_flight is None:
             placement = self._select_target(call, demand, tried)
@@ -201,8 +201,8 @@
         if call.may_have_run:
             return CallerError(ErrorCode.OUTCOME_UNKNOWN, code.value, Ran.UNKNOWN)
         limited = placement.limited
-        room_in = limited.next_at - now if limited.only and limited.count else 0.0
-        wait = draw_return(call.timeout_at - now, self._random, room_in)
+        seconds_to_capacity = limited.next_at - now if limited.only and limited.count else 0.0
+        wait = draw_return(call.timeout_at - now, self._random, seconds_to_capacity)
         return CallerError(code, "no target has room", Ran.NO, wait)
 
     def _check_freshness(self, call: Call, now: float) -> None:
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -86,7 +86,7 @@
     ingress = Ingress(
         codec, state.knowledge, forwarder, metrics, settings.memory_bytes, generator
     )
-    watch = SettingsReloader(settings, read_settings, state.take_settings)
+    settings_reloader = SettingsReloader(settings, read_settings, state.take_settings)
 
     def is_ready() -> bool:
         return (
@@ -112,7 +112,7 @@
                 *followers.list_work(),
                 *peers.list_work(),
                 state.request_queues.run(),
-                watch.run(),
+                settings_reloader.run(),
                 pool.run(),
                 expiry_monitor.run(),
             ):
@@ -138,7 +138,7 @@
     settings: ProxySettings, ingress: Ingress, listener: CallerListener
 ) -> None:
     """Finish what is open; callers that still come are served, too."""
-    started = read_clock()
+    started_at = read_clock()
     ingress.stopping = True
     log.info("gateway stopping", open_requests=ingress.open_requests)
     await asyncio.sleep(UNREADY_DELAY_SECONDS)
@@ -146,9 +146,9 @@
     # connected without a word until the process ends.
     ingress.refusing = True
     listener.close_when_idle()
-    left = settings.grace_seconds * GRACE_SHARE - (read_clock() - started)
+    remaining = settings.grace_seconds * GRACE_SHARE - (read_clock() - started_at)
     try:
-        async with asyncio.timeout(left):
+        async with asyncio.timeout(remaining):
             await ingress.idle.wait()
     except TimeoutError:
         log.warning("requests cut", open_requests=ingress.open_requests)
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -180,8 +180,8 @@
         body: bytes,
         arrived: float,
     ) -> Call:
-        waits = metadata.deadline_seconds
-        deadline = arrived + (DEFAULT_DEADLINE_SECONDS if waits is None else waits)
+        wait_seconds = metadata.deadline_seconds
+        deadline = arrived + (DEFAULT_DEADLINE_SECONDS if wait_seconds is None else wait_seconds)
         priority = route.priority
         if workspace is not None and workspace.priority is not None:
             priority = workspace.priority
--- a/libraries/proxy/src/bamboopier_proxy/target_connection.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_connection.py
@@ -50,10 +50,10 @@
         self._method = ""
         self._foreign_responses = 0
         self._skipping = False
-        self._framed = False
-        self._unusable = False
+        self._has_body_length = False
+        self._protocol_violated = False
         self._closed = False
-        self._reusable = True
+        self._keep_alive = True
         # Seconds it may stay idle before the target closes it.
         self.idle_limit = DEFAULT_IDLE_LIMIT_SECONDS
         self.idle_since = 0.0
@@ -66,8 +66,8 @@
         """Say whether a request may be sent now."""
         return (
             not self._closed
-            and not self._unusable
-            and self._reusable
+            and not self._protocol_violated
+            and self._keep_alive
             and self._pending_response is None
             and self._transport is not None
             and not self._transport.is_closing()
@@ -97,7 +97,7 @@
         unsent = transport is not None and transport.get_write_buffer_size() > 0
         self._pending_response = None
         self._response = None
-        if not complete or unsent or self._unusable or not self._reusable or self._closed:
+        if not complete or unsent or self._protocol_violated or not self._keep_alive or self._closed:
             self.abort()
             return False
         self.idle_since = self._read_clock()
@@ -124,7 +124,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse; anything that comes while no answer is due spoils the connection."""
         if self._pending_response is None or (self._response is not None and self._response.complete):
-            self._mark_unusable()
+            self._mark_protocol_violated()
             return
         try:
             self._parser.feed_data(data)
@@ -139,8 +139,8 @@
         error tells the two apart.
         """
         socket_error = self._find_socket_error()
-        unframed = self._response is not None and not self._framed
-        if self._response is not None and unframed and not self._skipping and not socket_error:
+        without_length = self._response is not None and not self._has_body_length
+        if self._response is not None and without_length and not self._skipping and not socket_error:
             self._response.finish()
         self._fail(socket_error or "the connection was closed")
         return False
@@ -156,7 +156,7 @@
         """Begin an answer; a second one on top of a whole one belongs to nobody."""
         self._headers = []
         if self._response is not None and self._response.complete:
-            self._unusable = True
+            self._protocol_violated = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take one header."""
@@ -165,7 +165,7 @@
     def on_headers_complete(self) -> None:
         """Hand the answer on, or skip one that belongs to another request."""
         status = self._parser.get_status_code()
-        if self._unusable or status < 200:
+        if self._protocol_violated or status < 200:
             return
         response_request_id = self._find_header(self._id_header)
         # A success without an id cannot be told from another request's answer.
@@ -174,24 +174,24 @@
             self._skip_response()
             return
         self._skipping = False
-        self._framed = self._is_framed(status)
-        self._reusable = self._parser.should_keep_alive() and self._framed
+        self._has_body_length = self._find_has_body_length(status)
+        self._keep_alive = self._parser.should_keep_alive() and self._has_body_length
         self._record_idle_limit()
         self._response = TargetResponse(status, tuple(self._headers), self._set_reading_paused)
         if self._pending_response is not None and not self._pending_response.done():
             self._pending_response.set_result(self._response)
         if self._method == "HEAD":
-            self._reusable = False
+            self._keep_alive = False
             self._response.finish()
 
     def on_body(self, body: bytes) -> None:
         """Take a piece of the body."""
-        if self._response is not None and not self._skipping and not self._unusable:
+        if self._response is not None and not self._skipping and not self._protocol_violated:
             self._response.feed(body)
 
     def on_message_complete(self) -> None:
         """Take in the end of an answer."""
-        if self._parser.get_status_code() < 200 or self._unusable:
+        if self._parser.get_status_code() < 200 or self._protocol_violated:
             return
         if self._skipping:
             self._skipping = False
@@ -204,17 +204,17 @@
         self._foreign_responses += 1
         self._skipping = True
         # Whatever the target mixed up, no further request goes this way.
-        self._reusable = False
+        self._keep_alive = False
         if self._foreign_responses > MAX_FOREIGN_RESPONSES:
             self._fail("answers of other requests")
 
-    def _mark_unusable(self) -> None:
-        self._unusable = True
+    def _mark_protocol_violated(self) -> None:
+        self._protocol_violated = True
         if self._pending_response is None:
             self.abort()
 
     def _fail(self, reason: str) -> None:
-        self._reusable = False
+        self._keep_alive = False
         if self._response is not None:
             self._response.fail(reason)
         elif self._pending_response is not None and not self._pending_response.done():
@@ -230,10 +230,10 @@
         code = connection.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         return os.strerror(code) if code else ""
 
-    def _set_reading_paused(self, stop: bool) -> None:
+    def _set_reading_paused(self, paused: bool) -> None:
         if self._transport is None or self._transport.is_closing():
             return
-        if stop:
+        if paused:
             self._transport.pause_reading()
         else:
             self._transport.resume_reading()
@@ -241,7 +241,7 @@
     def _find_header(self, name: str) -> str:
         return next((v for n, v in self._headers if n.lower() == name), "")
 
-    def _is_framed(self, status: int) -> bool:
+    def _find_has_body_length(self, status: int) -> bool:
         if status in (204, 304):
             return True
         if self._find_header("content-length"):
--- a/libraries/proxy/tests/test_attempts.py
+++ b/libraries/proxy/tests/test_attempts.py
@@ -45,8 +45,8 @@
         # time that was left before it, and worked on 0.9 s after the caller had gone.
         self.advance_while_connecting(0.9)
         await self.harness.forward()
-        left = TIMEOUT_SECONDS - 0.9
-        self.assertIn(f"Seconds-Left: {left:.3f}", self.harness.pool.heads[0])
+        remaining = TIMEOUT_SECONDS - 0.9
+        self.assertIn(f"Seconds-Left: {remaining:.3f}", self.harness.pool.heads[0])
 
     async def test_nothing_is_sent_after_the_route_timeout(self) -> None:
         # The gateway is suspended while it connects. As it runs again the time is over
@@ -68,8 +68,8 @@
             await self.harness.forward()
         self.assertIs(caught.exception.ran, Ran.NO)
         # Callers wait for a third of the time that they have at the most.
-        least = min(2.0, 0.3 * TIMEOUT_SECONDS)
-        self.assertGreaterEqual(caught.exception.retry_after, least)
+        min_retry_after = min(2.0, 0.3 * TIMEOUT_SECONDS)
+        self.assertGreaterEqual(caught.exception.retry_after, min_retry_after)
 
     async def test_a_key_is_refused_when_the_configuration_gets_stale(self) -> None:
         # The configuration was confirmed 4.5 s ago, and keys may be relied on for five.
