--- a/libraries/proxy/src/bamboopier_proxy/target_connection.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_connection.py
@@ -50,7 +50,7 @@
         self._method = ""
         self._foreign_responses = 0
         self._skipping = False
-        self._has_body_length = False
+        self._length_known = False
         self._protocol_violated = False
         self._closed = False
         self._keep_alive = True
@@ -124,7 +124,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse; anything that comes while no answer is due spoils the connection."""
         if self._pending_response is None or (self._response is not None and self._response.complete):
-            self._mark_protocol_violated()
+            self._reject_unexpected_data()
             return
         try:
             self._parser.feed_data(data)
@@ -139,8 +139,8 @@
         error tells the two apart.
         """
         socket_error = self._find_socket_error()
-        without_length = self._response is not None and not self._has_body_length
-        if self._response is not None and without_length and not self._skipping and not socket_error:
+        unknown_length = self._response is not None and not self._length_known
+        if self._response is not None and unknown_length and not self._skipping and not socket_error:
             self._response.finish()
         self._fail(socket_error or "the connection was closed")
         return False
@@ -174,8 +174,8 @@
             self._skip_response()
             return
         self._skipping = False
-        self._has_body_length = self._find_has_body_length(status)
-        self._keep_alive = self._parser.should_keep_alive() and self._has_body_length
+        self._length_known = self._is_length_known(status)
+        self._keep_alive = self._parser.should_keep_alive() and self._length_known
         self._record_idle_limit()
         self._response = TargetResponse(status, tuple(self._headers), self._set_reading_paused)
         if self._pending_response is not None and not self._pending_response.done():
@@ -208,7 +208,7 @@
         if self._foreign_responses > MAX_FOREIGN_RESPONSES:
             self._fail("answers of other requests")
 
-    def _mark_protocol_violated(self) -> None:
+    def _reject_unexpected_data(self) -> None:
         self._protocol_violated = True
         if self._pending_response is None:
             self.abort()
@@ -241,7 +241,7 @@
     def _find_header(self, name: str) -> str:
         return next((v for n, v in self._headers if n.lower() == name), "")
 
-    def _find_has_body_length(self, status: int) -> bool:
+    def _is_length_known(self, status: int) -> bool:
         if status in (204, 304):
             return True
         if self._find_header("content-length"):
