--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -24,8 +24,8 @@
 from .hint_socket import HintSocket
 from .weight_load_announcer import WeightLoadAnnouncer
 from .observers import WeightsObserver
-from .pause_watch import PauseWatch
-from .settings_watch import SettingsWatch
+from .pause_monitor import PauseMonitor
+from .settings_reloader import SettingsReloader
 from .target_directory import TargetDirectory
 from .publish_times import PublishTimes, follow_weights
 from .weight_updater import WeightUpdater
@@ -35,12 +35,12 @@
 
     from .settings import ProxySettings
     from .target_orders import TargetOrders
-    from .vocabulary import NamedWeights, Store, Vocabulary
+    from .store_schema import PublishedWeights, Store, StoreSchema
 
 # Seconds that one watch for new weights lasts.
-WATCH_SECONDS = 4.0
+WATCH_TIMEOUT_SECONDS = 4.0
 # Seconds a slot is held at most by an agent that was killed: longer than a load.
-SLOT_SECONDS = 8.0
+SLOT_LEASE_SECONDS = 8.0
 
 log = structlog.get_logger()
 
@@ -48,7 +48,7 @@
 async def run_agent(
     settings: ProxySettings,
     store: Store,
-    vocabulary: Vocabulary,
+    schema: StoreSchema,
     orders: TargetOrders,
     read_settings: Callable[[], ProxySettings],
 ) -> None:
@@ -60,7 +60,7 @@
     place = str(settings.target)
     lease = LeaseKeeper(
         store,
-        f"{vocabulary.leases_prefix}{place}",
+        f"{schema.leases_prefix}{place}",
         Lease(settings.vm, settings.host, settings.lease_seconds),
     )
     slots = LoadSlots(
@@ -68,12 +68,12 @@
         settings.target_service,
         settings.vm,
         generator,
-        prefix=vocabulary.slots_prefix,
-        lease_seconds=SLOT_SECONDS,
+        prefix=schema.load_slots_prefix,
+        lease_seconds=SLOT_LEASE_SECONDS,
     )
-    directory = TargetDirectory(store, vocabulary, settings.target_service)
+    directory = TargetDirectory(store, schema, settings.target_service)
     registry = CollectorRegistry()
-    pause_watch = PauseWatch(registry)
+    pause_monitor = PauseMonitor(registry)
     async with AsyncExitStack() as stack:
         with StopSignals() as signals:
             socket = await stack.enter_async_context(
@@ -86,35 +86,35 @@
                 weights,
                 lease,
                 slots,
-                WeightLoadAnnouncer(store, vocabulary.gateways_prefix, socket),
+                WeightLoadAnnouncer(store, schema.gateways_prefix, socket),
                 directory,
                 generator,
             )
-            publish_times = PublishTimes(store, vocabulary.ages_prefix, weights, generator)
+            publish_times = PublishTimes(store, schema.publish_times_prefix, weights, generator)
 
-            def on_published(named: NamedWeights, since: float) -> None:
-                publish_times.read_if_late(named.model, named.version, since)
+            def on_published(published: PublishedWeights, since: float) -> None:
+                publish_times.read_if_late(published.model, published.version, since)
                 updater.changed.set()
 
             follower = ObjectFollower(
                 store,
-                vocabulary.weights_prefix,
-                WeightsObserver(vocabulary, weights, pause_watch.pauses, on_published),
-                WATCH_SECONDS,
+                schema.weights_prefix,
+                WeightsObserver(schema, weights, pause_monitor.pauses, on_published),
+                WATCH_TIMEOUT_SECONDS,
                 generator,
                 read_clock,
             )
-            await stack.enter_async_context(keep_running(pause_watch.run()))
+            await stack.enter_async_context(keep_running(pause_monitor.run()))
             await stack.enter_async_context(
                 keep_running(follow_weights(publish_times, follower))
             )
             await stack.enter_async_context(keep_running(updater.run()))
-            watch = SettingsWatch(
+            settings_reloader = SettingsReloader(
                 settings,
                 read_settings,
                 lambda changed: weights.set_allowed(changed.version_seconds),
             )
-            await stack.enter_async_context(keep_running(watch.run()))
+            await stack.enter_async_context(keep_running(settings_reloader.run()))
             # An agent follows no configuration, only the weights that are named.
             add_process_metrics(
                 registry, "agent", settings, follower.loaded.is_set, lambda: 0
--- a/libraries/proxy/src/bamboopier_proxy/send_log.py
+++ b/libraries/proxy/src/bamboopier_proxy/attempt_log.py
@@ -11,34 +11,34 @@
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.fleet import Sent
 
-    from .exchange import SendResult
+    from .exchange import AttemptResult
     from .active_configuration import ActiveConfiguration
     from .messages import Call
     from .metrics import ProxyMetrics
-    from .send_planner import SendPlanner
+    from .attempt_planner import AttemptPlanner
 
 log = structlog.get_logger()
 
 
-class SendLog:
+class AttemptLog:
     """Counts and logs the ends of sends."""
 
     def __init__(
-        self, planner: SendPlanner, active_configuration: ActiveConfiguration, metrics: ProxyMetrics
+        self, planner: AttemptPlanner, active_configuration: ActiveConfiguration, metrics: ProxyMetrics
     ) -> None:
         self._planner = planner
         self._active_configuration = active_configuration
         self._metrics = metrics
 
-    def note(self, call: Call, sent: Sent, result: SendResult) -> None:
+    def record(self, call: Call, in_flight: Sent, result: AttemptResult) -> None:
         """Take in that a send has ended."""
         now = read_clock()
         self._metrics.sends.labels(call.service, result.cause.value).inc()
         if result.first_byte:
             self._metrics.first_byte.labels(call.service).observe(now - call.arrived)
-        state = sent.state
-        marks, sent_at = result.marks, result.sent_at or now
-        parts = marks.parts if marks else None
+        state = in_flight.state
+        metadata, sent_at = result.metadata, result.sent_at or now
+        parts = metadata.part_plan if metadata else None
         log.info(
             "sent",
             request_id=call.request_id,
@@ -49,8 +49,8 @@
             detail=result.detail,
             status=result.status,
             first_byte=round(result.first_byte, 4),
-            weight_version=marks.weight_version if marks else 0,
-            newest_version=self._planner.find_wanted(sent_at, call).newest,
+            weight_version=metadata.weight_version if metadata else 0,
+            newest_version=self._planner.find_allowed_weights(sent_at, call).newest,
             newest_age=self._planner.find_newest_age(sent_at, call),
             fetched_parts=parts.fetched_parts if parts else 0,
             requests=state.requests,
--- a/libraries/proxy/src/bamboopier_proxy/caller_listener.py
+++ b/libraries/proxy/src/bamboopier_proxy/caller_listener.py
@@ -26,7 +26,7 @@
 # the system's own take a part.
 MAX_CONNECTIONS = 2800
 # Seconds a peer may be silent with bytes unacknowledged.
-SILENCE_SECONDS = 5.0
+WRITE_STALL_SECONDS = 5.0
 # How long the rest of a refused body is read and dropped.
 LINGERING_SECONDS = 1.0
 MAX_HEADERS = 100
@@ -38,7 +38,7 @@
     """The operator's limits in the form that a connection asks for."""
 
     __slots__ = ("header_timeout_seconds", "idle_timeout_seconds")
-    write_timeout_seconds = SILENCE_SECONDS
+    write_timeout_seconds = WRITE_STALL_SECONDS
 
     def __init__(self, limits: CallerLimits) -> None:
         self.header_timeout_seconds = limits.header_seconds
@@ -80,11 +80,11 @@
             self._server.close()
         await self._manager.shutdown(0.2)
 
-    def let_go(self) -> None:
+    def close_when_idle(self) -> None:
         """Close idle connections; the others close after their request."""
         for connection in self._manager.connections:
             if isinstance(connection, CallerConnection):
-                connection.let_go()
+                connection.close_when_idle()
 
     def add(self) -> bool:
         """Note a connection that opened; False when there are too many."""
--- a/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
@@ -27,7 +27,7 @@
 
     from .configuration_loader import ConfigurationLoader
     from .store_availability import StoreAvailability
-    from .vocabulary import Store, Vocabulary
+    from .store_schema import Store, StoreSchema
 
 # Bytes up to which a configuration is read after each watch: half of the 22 KB a second
 # that a node may spend on control.
@@ -51,13 +51,13 @@
     def __init__(
         self,
         store: Store,
-        vocabulary: Vocabulary,
+        schema: StoreSchema,
         loader: ConfigurationLoader,
         availability: StoreAvailability,
         random: random.Random,
     ) -> None:
         self._store = store
-        self._key = vocabulary.configuration_key
+        self._key = schema.configuration_key
         self._loader = loader
         self._availability = availability
         self._random = random
--- a/libraries/proxy/src/bamboopier_proxy/configuration_loader.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_loader.py
@@ -13,7 +13,7 @@
     from bamboopier_objects.objects import StoredObject
 
     from .active_configuration import ActiveConfiguration
-    from .vocabulary import Vocabulary
+    from .store_schema import StoreSchema
 
 log = structlog.get_logger()
 
@@ -21,8 +21,8 @@
 class ConfigurationLoader:
     """Decodes each stored version once and keeps the newest as it was stored."""
 
-    def __init__(self, vocabulary: Vocabulary, active_configuration: ActiveConfiguration) -> None:
-        self._vocabulary = vocabulary
+    def __init__(self, schema: StoreSchema, active_configuration: ActiveConfiguration) -> None:
+        self._schema = schema
         self._active_configuration = active_configuration
         # The newest that could be decoded; None before the first.
         self.stored: StoredObject | None = None
@@ -53,7 +53,7 @@
             return True
         if found.version <= self._undecodable_revision:
             return True
-        decoded = self._vocabulary.decode_configuration(found.value)
+        decoded = self._schema.decode_configuration(found.value)
         if isinstance(decoded, Err):
             log.error("configuration set aside", reason=decoded.err_value)
             self._undecodable_revision = found.version
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -12,8 +12,8 @@
 from bamboopier_daemon.clock import read_clock
 from bamboopier_decisions.routing.messages import Ran
 
-from .answer import BrokenAnswerError
-from .delivery import CallerGoneError
+from .target_response import BrokenResponseError
+from .delivery import CallerDisconnectedError
 from .event_splitter import EventSplitter
 from .limit_updates import record_limit
 from .target_pool import ConnectError
@@ -25,16 +25,16 @@
 
     from bamboopier_decisions.forwarding.fleet import Fleet, Sent
 
-    from .answer import Answer
-    from .begin_watch import BeginWatch, Wait
+    from .target_response import TargetResponse
+    from .weight_expiry_monitor import WeightExpiryMonitor, PendingRequest
     from .delivery import Delivery
-    from .dialect import Dialect
-    from .messages import AnswerMarks, Call, SendMarks
+    from .header_codec import HeaderCodec
+    from .messages import ResponseMetadata, Call, AttemptMetadata
     from .target_pool import TargetPool
 
 # Plain answers up to this size are held until they are whole, so that a broken one
 # becomes an error and not a cut connection.
-MAX_HELD_BYTES = 1024 * 1024
+MAX_BUFFERED_BYTES = 1024 * 1024
 
 
 class Cause(StrEnum):
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class SendResult:
+class AttemptResult:
     """How one send ended. ``ran`` is the truth as far as it is known."""
 
     ran: Ran
@@ -65,18 +65,18 @@
     # The caller has the whole answer.
     delivered: bool = False
     # A whole answer of the target's own that reports a failure; may be passed on.
-    failure: HeldAnswer | None = None
+    failure: BufferedResponse | None = None
     weight_version: int = 0
     first_byte: float = 0.0
     # Another target than the one expected answered.
-    other_target: bool = False
+    wrong_target: bool = False
     # What the target was told, and when; None where nothing was sent.
-    marks: SendMarks | None = None
+    metadata: AttemptMetadata | None = None
     sent_at: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class HeldAnswer:
+class BufferedResponse:
     """A whole answer that has not been passed on."""
 
     status: int
@@ -88,174 +88,174 @@
     """Sends calls to targets and passes their answers on."""
 
     def __init__(
-        self, pool: TargetPool, fleet: Fleet, dialect: Dialect, begins: BeginWatch
+        self, pool: TargetPool, fleet: Fleet, codec: HeaderCodec, expiry_monitor: WeightExpiryMonitor
     ) -> None:
         self._pool = pool
         self._fleet = fleet
-        self._dialect = dialect
-        self._begins = begins
+        self._codec = codec
+        self._expiry_monitor = expiry_monitor
 
     async def send(
         self,
         call: Call,
-        sent: Sent,
-        prepare: Callable[[], Result[SendMarks, Cause]],
+        in_flight: Sent,
+        prepare: Callable[[], Result[AttemptMetadata, Cause]],
         delivery: Delivery,
-    ) -> SendResult:
-        """Send ``call`` to the target of ``sent`` and pass its answer on.
+    ) -> AttemptResult:
+        """Send ``call`` to the target of ``in_flight`` and pass its answer on.
 
         ``prepare`` is asked right before the send what the target is told, or why
-        nothing may be sent; it may raise. Raises ``CallerGoneError`` when nobody waits
+        nothing may be sent; it may raise. Raises ``CallerDisconnectedError`` when nobody waits
         for the answer.
         """
-        entry = sent.state.entry
-        fresh = not call.route.repeat.may_run_again
+        entry = in_flight.state.entry
+        recently_used = not call.route.repeat.may_run_again
         try:
-            connection = await self._pool.take(entry, fresh=fresh)
+            connection = await self._pool.acquire(entry, recently_used=recently_used)
         except ConnectError as error:
-            return SendResult(Ran.NO, Cause.CONNECT, str(error))
+            return AttemptResult(Ran.NO, Cause.CONNECT, str(error))
         # Nothing may be awaited between these checks and the send: a connection takes
         # up to a second, or as long as this process is suspended, and what held before
         # it may not hold any more.
         try:
-            if delivery.has_left:
-                raise CallerGoneError("left before the request was sent")
+            if delivery.is_disconnected:
+                raise CallerDisconnectedError("left before the request was sent")
             prepared = prepare()
         except BaseException:
-            self._pool.give_back_unused(entry, connection)
+            self._pool.release_unused(entry, connection)
             raise
         if isinstance(prepared, Err):
-            self._pool.give_back_unused(entry, connection)
-            return SendResult(Ran.NO, prepared.err_value)
-        marks, sent_at = prepared.unwrap(), read_clock()
+            self._pool.release_unused(entry, connection)
+            return AttemptResult(Ran.NO, prepared.err_value)
+        metadata, sent_at = prepared.unwrap(), read_clock()
         done = False
-        with self._begins.watch(call, marks, connection) as wait:
+        with self._expiry_monitor.watch(call, metadata, connection) as pending:
             try:
-                async with asyncio.timeout(call.timeout - sent_at):
-                    result = await self._ask(call, sent, wait, delivery)
+                async with asyncio.timeout(call.timeout_at - sent_at):
+                    result = await self._send_and_relay(call, in_flight, pending, delivery)
                 done = True
             except TimeoutError:
-                result = SendResult(Ran.UNKNOWN, Cause.TIMEOUT)
-            except BrokenAnswerError as error:
-                result = SendResult(Ran.UNKNOWN, Cause.BROKEN, str(error))
+                result = AttemptResult(Ran.UNKNOWN, Cause.TIMEOUT)
+            except BrokenResponseError as error:
+                result = AttemptResult(Ran.UNKNOWN, Cause.BROKEN, str(error))
             finally:
                 if done:
-                    self._pool.give_back(entry, connection)
+                    self._pool.release(entry, connection)
                 else:
-                    self._pool.drop(entry, connection)
-        if wait.taken_back and result.cause is Cause.BROKEN:
-            result = SendResult(Ran.UNKNOWN, Cause.OUTDATED)
-        result.marks, result.sent_at = marks, sent_at
+                    self._pool.discard(entry, connection)
+        if pending.aborted and result.cause is Cause.BROKEN:
+            result = AttemptResult(Ran.UNKNOWN, Cause.OUTDATED)
+        result.metadata, result.sent_at = metadata, sent_at
         return result
 
-    async def _ask(
-        self, call: Call, sent: Sent, wait: Wait, delivery: Delivery
-    ) -> SendResult:
-        started = read_clock()
-        marks = wait.marks
-        head = self._write_head(call, marks)
-        answer = await wait.connection.ask(
-            head, call.body, call.request_id, call.method
+    async def _send_and_relay(
+        self, call: Call, in_flight: Sent, pending: PendingRequest, delivery: Delivery
+    ) -> AttemptResult:
+        started_at = read_clock()
+        metadata = pending.metadata
+        request_head = self._write_head(call, metadata)
+        response = await pending.connection.send_request(
+            request_head, call.body, call.request_id, call.method
         )
-        said = self._dialect.read_answer(answer.status, answer.headers)
-        self._note_marks(call, sent, said)
-        if (said.sealed or said.not_run) and not said.misdirected:
-            record_limit(sent.state, started, said, call.request_id)
-        if said.not_run or said.misdirected:
-            await answer.read_all(MAX_HELD_BYTES)
-            cause = Cause.MISDIRECTED if said.misdirected else Cause.NOT_RUN
-            return SendResult(
+        response_metadata = self._codec.parse_response_headers(response.status, response.headers)
+        self._record_metadata(call, in_flight, response_metadata)
+        if (response_metadata.sealed or response_metadata.not_run) and not response_metadata.misdirected:
+            record_limit(in_flight.state, started_at, response_metadata, call.request_id)
+        if response_metadata.not_run or response_metadata.misdirected:
+            await response.read_all(MAX_BUFFERED_BYTES)
+            cause = Cause.MISDIRECTED if response_metadata.misdirected else Cause.NOT_RUN
+            return AttemptResult(
                 Ran.NO,
                 cause,
-                f"status {answer.status}, target {said.target}",
-                answer.status,
-                weight_version=said.weight_version,
-                other_target=bool(said.target) and said.target != marks.target,
+                f"status {response.status}, target {response_metadata.target}",
+                response.status,
+                weight_version=response_metadata.weight_version,
+                wrong_target=bool(response_metadata.target) and response_metadata.target != metadata.target,
             )
-        if not said.sealed and answer.status < 500:
-            detail = f"status {answer.status} without a seal"
-            return SendResult(Ran.UNKNOWN, Cause.UNSEALED, detail, answer.status)
-        if call.route.streams and answer.status == 200:
-            result = await self._pass_stream(
-                call, sent, wait, answer, delivery, started
+        if not response_metadata.sealed and response.status < 500:
+            detail = f"status {response.status} without a seal"
+            return AttemptResult(Ran.UNKNOWN, Cause.UNSEALED, detail, response.status)
+        if call.route.streams and response.status == 200:
+            result = await self._relay_stream(
+                call, in_flight, pending, response, delivery, started_at
             )
         else:
-            self._begins.note_begun(wait)
-            result = await self._pass_whole(call, answer, said, delivery, started)
-        result.weight_version = said.weight_version
+            self._expiry_monitor.record_started(pending)
+            result = await self._relay_complete(call, response, response_metadata, delivery, started_at)
+        result.weight_version = response_metadata.weight_version
         return result
 
-    async def _pass_whole(
+    async def _relay_complete(
         self,
         call: Call,
-        answer: Answer,
-        said: AnswerMarks,
+        response: TargetResponse,
+        response_metadata: ResponseMetadata,
         delivery: Delivery,
-        started: float,
-    ) -> SendResult:
-        body = await answer.read_all(MAX_HELD_BYTES)
-        result = SendResult(Ran.YES, status=answer.status)
-        result.first_byte = read_clock() - started
-        held = HeldAnswer(answer.status, answer.headers, body)
-        if answer.status >= 500:
+        started_at: float,
+    ) -> AttemptResult:
+        body = await response.read_all(MAX_BUFFERED_BYTES)
+        result = AttemptResult(Ran.YES, status=response.status)
+        result.first_byte = read_clock() - started_at
+        buffered = BufferedResponse(response.status, response.headers, body)
+        if response.status >= 500:
             # A safe request may find another target that does not fail it.
-            result.failure = held
+            result.failure = buffered
             return result
-        await delivery.send(held.status, held.headers, held.body)
+        await delivery.send(buffered.status, buffered.headers, buffered.body)
         result.delivered = True
         return result
 
-    async def _pass_stream(
+    async def _relay_stream(
         self,
         call: Call,
-        sent: Sent,
-        wait: Wait,
-        answer: Answer,
+        in_flight: Sent,
+        pending: PendingRequest,
+        response: TargetResponse,
         delivery: Delivery,
-        started: float,
-    ) -> SendResult:
-        result = SendResult(Ran.YES, status=answer.status)
+        started_at: float,
+    ) -> AttemptResult:
+        result = AttemptResult(Ran.YES, status=response.status)
         splitter = EventSplitter()
         try:
-            while data := await answer.read():
-                whole = splitter.feed(data)
-                if not whole:
+            while data := await response.read():
+                complete_events = splitter.feed(data)
+                if not complete_events:
                     continue
                 if not result.first_byte:
-                    result.first_byte = read_clock() - started
-                    self._begins.note_begun(wait)
-                    self._fleet.note_read(sent)
-                if not delivery.begun:
-                    await delivery.begin(answer.status, answer.headers)
-                await delivery.write(whole)
+                    result.first_byte = read_clock() - started_at
+                    self._expiry_monitor.record_started(pending)
+                    self._fleet.note_read(in_flight)
+                if not delivery.started:
+                    await delivery.start(response.status, response.headers)
+                await delivery.write(complete_events)
                 call.last_event = splitter.last_event
-        except BrokenAnswerError as error:
+        except BrokenResponseError as error:
             result.ran = Ran.UNKNOWN
             result.cause = Cause.BROKEN
             result.detail = str(error)
             return result
-        if splitter.rest:
+        if splitter.incomplete:
             result.ran = Ran.UNKNOWN
             result.cause = Cause.BROKEN
             result.detail = "the stream ended within an event"
             return result
-        if not delivery.begun:
-            await delivery.begin(answer.status, answer.headers)
+        if not delivery.started:
+            await delivery.start(response.status, response.headers)
         await delivery.finish()
         result.delivered = True
         return result
 
-    def _write_head(self, call: Call, marks: SendMarks) -> bytes:
+    def _write_head(self, call: Call, metadata: AttemptMetadata) -> bytes:
         lines = [f"{call.method} {call.raw_path} HTTP/1.1", f"Host: {call.host}"]
         lines += [f"{name}: {value}" for name, value in call.headers]
-        lines += [f"{name}: {value}" for name, value in self._dialect.write_send(marks)]
+        lines += [f"{name}: {value}" for name, value in self._codec.format_target_headers(metadata)]
         if call.body or call.method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
             lines.append(f"Content-Length: {len(call.body)}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
-    def _note_marks(self, call: Call, sent: Sent, said: AnswerMarks) -> None:
-        state = sent.state
-        if call.prompt is not None and said.weight_version and not said.misdirected:
-            state.note_version(call.prompt.model, said.weight_version)
-        if said.cold_seconds > 0:
-            state.cold.start(read_clock(), said.cold_seconds)
+    def _record_metadata(self, call: Call, in_flight: Sent, response_metadata: ResponseMetadata) -> None:
+        state = in_flight.state
+        if call.prompt is not None and response_metadata.weight_version and not response_metadata.misdirected:
+            state.note_version(call.prompt.model, response_metadata.weight_version)
+        if response_metadata.cold_seconds > 0:
+            state.cold.start(read_clock(), response_metadata.cold_seconds)
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -14,7 +14,7 @@
 
 from .exchange import Cause
 from .refusals import CallerError, ErrorCode, Ran
-from .send_log import SendLog
+from .attempt_log import AttemptLog
 
 if TYPE_CHECKING:
     import random
@@ -26,29 +26,29 @@
     from bamboopier_decisions.forwarding.retry_share import RetryShare, RetryShares
 
     from .delivery import Delivery
-    from .exchange import Exchange, SendResult
+    from .exchange import Exchange, AttemptResult
     from .active_configuration import ActiveConfiguration
-    from .messages import Call, SendMarks
+    from .messages import Call, AttemptMetadata
     from .metrics import ProxyMetrics
-    from .send_planner import SendPlanner
-    from .waiting_room import WaitingRoom
+    from .attempt_planner import AttemptPlanner
+    from .request_queues import RequestQueues
 
 # Sends of one request, those included that a target turned away unrun.
-MAX_SENDS = 4
+MAX_ATTEMPTS = 4
 # Seconds a target that turned a request away gets no other; it is full, stopping, or
 # loads weights.
-TURNED_AWAY_SECONDS = 0.15
+NOT_RUN_BACKOFF_SECONDS = 0.15
 
 # Seconds for which a target is left alone at whose address another one answers. Its own
 # entry lapses after three missed heartbeats; a new start has an entry of its own.
-REPLACED_SECONDS = 5.0
+REPLACED_BACKOFF_SECONDS = 5.0
 # Requests a second below which a part of targets' limits is taken for none.
-LEAST_PART = 1e-6
+MIN_LIMIT_SHARE_PER_SECOND = 1e-6
 
 log = structlog.get_logger()
 
 
-class Breaks(Protocol):
+class CrashQuarantine(Protocol):
     """What is known of requests that broke targets, here and at other gateways."""
 
     def record_crash(self, fingerprint: bytes, target: str) -> None:
@@ -67,12 +67,12 @@
         self,
         fleet: Fleet,
         active_configuration: ActiveConfiguration,
-        planner: SendPlanner,
+        planner: AttemptPlanner,
         exchange: Exchange,
-        room: WaitingRoom,
+        request_queues: RequestQueues,
         metrics: ProxyMetrics,
-        breaks: Breaks,
-        shares: RetryShares,
+        quarantine: CrashQuarantine,
+        retry_budgets: RetryShares,
         data_centre: str,
         random: random.Random,
     ) -> None:
@@ -80,89 +80,89 @@
         self._active_configuration = active_configuration
         self._planner = planner
         self._exchange = exchange
-        self._room = room
-        self._send_log = SendLog(planner, active_configuration, metrics)
+        self._request_queues = request_queues
+        self._attempt_log = AttemptLog(planner, active_configuration, metrics)
         self._metrics = metrics
-        self._breaks = breaks
-        self._shares = shares
+        self._quarantine = quarantine
+        self._retry_budgets = retry_budgets
         self._data_centre = data_centre
         self._random = random
 
     async def forward(self, call: Call, delivery: Delivery) -> None:
         """Answer the caller; raises ``CallerError`` when this system must answer."""
-        self._check_breaks(call)
-        share = self._shares.find(call.service)
-        share.add_request(read_clock())
+        self._check_quarantine(call)
+        retry_budget = self._retry_budgets.find(call.service)
+        retry_budget.add_request(read_clock())
         runs = 0
         while True:
-            sent = await self._find_place(call)
-            call.tried.append(sent.state.entry.name)
+            in_flight = await self._acquire_target(call)
+            call.tried.append(in_flight.state.entry.name)
             try:
-                result = await self._send(call, sent, delivery)
-                self._judge(call, sent, result)
+                result = await self._send(call, in_flight, delivery)
+                self._record_outcome(call, in_flight, result)
             except BaseException:
-                sent.state.standing.note_neutral()
+                in_flight.state.standing.note_neutral()
                 raise
             finally:
-                self._fleet.end(sent)
-                self._room.wake(call.service)
-            self._send_log.note(call, sent, result)
+                self._fleet.end(in_flight)
+                self._request_queues.wake(call.service)
+            self._attempt_log.record(call, in_flight, result)
             if result.delivered:
                 return
             if result.ran is not Ran.NO:
                 runs += 1
                 call.may_have_run = True
-            if not await self._goes_on(call, result, delivery, runs, share):
+            if not await self._retry_or_finish(call, result, delivery, runs, retry_budget):
                 return
 
-    async def _send(self, call: Call, sent: Sent, delivery: Delivery) -> SendResult:
-        def prepare() -> Result[SendMarks, Cause]:
-            return self._prepare(call, sent)
+    async def _send(self, call: Call, in_flight: Sent, delivery: Delivery) -> AttemptResult:
+        def prepare() -> Result[AttemptMetadata, Cause]:
+            return self._prepare(call, in_flight)
 
-        return await self._exchange.send(call, sent, prepare, delivery)
+        return await self._exchange.send(call, in_flight, prepare, delivery)
 
-    def _prepare(self, call: Call, sent: Sent) -> Result[SendMarks, Cause]:
+    def _prepare(self, call: Call, in_flight: Sent) -> Result[AttemptMetadata, Cause]:
         """Return what the target is told, or why nothing may be sent now.
 
         Raises ``CallerError`` once the request's key may have been taken away.
         """
         now = read_clock()
-        if now >= call.timeout:
+        if now >= call.timeout_at:
             return Err(Cause.LATE)
-        self._check_currency(call, now)
-        is_open = self._fleet.is_open(sent.state, now)
-        if not is_open or not self._planner.may_begin(now, call, sent):
+        self._check_freshness(call, now)
+        is_open = self._fleet.is_open(in_flight.state, now)
+        if not is_open or not self._planner.may_start(now, call, in_flight):
             return Err(Cause.CLOSED)
-        return Ok(self._planner.make_marks(now, call, sent))
+        return Ok(self._planner.make_metadata(now, call, in_flight))
 
-    async def _find_place(self, call: Call) -> Sent:
+    async def _acquire_target(self, call: Call) -> Sent:
         """Return a place at a target; raises ``CallerError`` when there is none."""
         demand = self._planner.make_demand(read_clock(), call)
         tried = set(call.tried)
-        placement = self._place(call, demand, tried)
+        placement = self._select_target(call, demand, tried)
         if placement.state is not None:
             return self._fleet.begin(read_clock(), placement.state, call.prompt)
         if placement.known == 0:
             raise self._refuse(call, ErrorCode.NO_TARGET, placement)
-        started = read_clock()
-        seconds = limit_wait(call.route.aim, call.timeout - started)
-        self._check_limits(call, placement, started + seconds)
+        started_at = read_clock()
+        seconds = limit_wait(call.route.aim, call.timeout_at - started_at)
+        self._check_limits(call, placement, started_at + seconds)
 
-        def find() -> Sent | None:
-            found = self._place(call, demand, tried)
+        def try_acquire() -> Sent | None:
+            found = self._select_target(call, demand, tried)
             if found.state is None:
                 return None
             return self._fleet.begin(read_clock(), found.state, call.prompt)
 
-        sent = await self._room.wait(
-            call.service, call.priority, seconds, find, self._fleet.end
+        in_flight = await self._request_queues.wait(
+            call.service, call.priority, seconds, try_acquire, self._fleet.end
         )
-        waited = read_clock() - started
+        waited = read_clock() - started_at
         self._metrics.waited.labels(call.service).observe(waited)
-        if sent is None:
-            placement = self._place(call, demand, tried)
+        if in_flight is None:
+            placement = self._select_target(call, demand, tried)
             raise self._refuse(call, ErrorCode.OVERLOADED, placement)
-        return sent
+        return in_flight
 
     def _check_limits(self, call: Call, placement: Placement, latest: float) -> None:
         """Refuse a request whose turn at all its targets is known to come too late.
@@ -173,16 +173,16 @@
         limited = placement.limited
         if limited.count == 0 or not limited.only:
             return
-        before = self._room.count_before(call.service, call.priority)
-        turn = limited.next_at + before / max(limited.part, LEAST_PART)
+        before = self._request_queues.count_before(call.service, call.priority)
+        turn = limited.next_at + before / max(limited.part, MIN_LIMIT_SHARE_PER_SECOND)
         if turn > latest:
             raise self._refuse(call, ErrorCode.OVERLOADED, placement)
 
-    def _place(self, call: Call, demand: Demand, tried: set[str]) -> Placement:
+    def _select_target(self, call: Call, demand: Demand, tried: set[str]) -> Placement:
         now = read_clock()
-        wanted = self._planner.find_wanted(now, call)
+        allowed_weights = self._planner.find_allowed_weights(now, call)
         return place(
-            now, self._fleet, demand, tried, wanted, self._data_centre, self._random
+            now, self._fleet, demand, tried, allowed_weights, self._data_centre, self._random
         )
 
     def _refuse(self, call: Call, code: ErrorCode, placement: Placement) -> CallerError:
@@ -195,17 +195,17 @@
             usable=placement.usable,
             open=placement.open,
             limited=placement.limited.count,
-            waiting=self._room.count(call.service),
+            waiting=self._request_queues.count(call.service),
             tried=call.tried,
         )
         if call.may_have_run:
             return CallerError(ErrorCode.OUTCOME_UNKNOWN, code.value, Ran.UNKNOWN)
         limited = placement.limited
-        room_in = limited.next_at - now if limited.only and limited.count else 0.0
-        wait = draw_return(call.timeout - now, self._random, room_in)
+        seconds_to_capacity = limited.next_at - now if limited.only and limited.count else 0.0
+        wait = draw_return(call.timeout_at - now, self._random, seconds_to_capacity)
         return CallerError(code, "no target has room", Ran.NO, wait)
 
-    def _check_currency(self, call: Call, now: float) -> None:
+    def _check_freshness(self, call: Call, now: float) -> None:
         """Refuse a request with a key once the key may have been taken away."""
         if call.workspace is None:
             return
@@ -214,18 +214,18 @@
         if call.may_have_run:
             message = "the configuration became too old to send this again"
             raise CallerError(ErrorCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN)
-        raise make_stale_refusal(self._active_configuration, now)
+        raise make_stale_configuration_error(self._active_configuration, now)
 
-    def _check_breaks(self, call: Call) -> None:
+    def _check_quarantine(self, call: Call) -> None:
         """Refuse a request that broke the targets that ran it."""
-        wait = self._breaks.find_wait(call.fingerprint)
+        wait = self._quarantine.find_wait(call.fingerprint)
         if wait > 0:
             message = "this request broke the targets that ran it"
             raise CallerError(ErrorCode.OVERLOADED, message, Ran.NO, wait)
 
-    def _judge(self, call: Call, sent: Sent, result: SendResult) -> None:
+    def _record_outcome(self, call: Call, in_flight: Sent, result: AttemptResult) -> None:
         """Take in what a send says of its target."""
-        state = sent.state
+        state = in_flight.state
         now = read_clock()
         match result.cause:
             case Cause.NONE if result.failure is not None:
@@ -235,39 +235,39 @@
             case Cause.CONNECT:
                 state.standing.note_unreachable(now)
             case Cause.NOT_RUN:
-                state.busy_until = now + TURNED_AWAY_SECONDS
+                state.busy_until = now + NOT_RUN_BACKOFF_SECONDS
                 state.standing.note_neutral()
             case Cause.MISDIRECTED:
                 state.standing.note_neutral()
-                if result.other_target:
+                if result.wrong_target:
                     # This start of the target is over; its entry only says so later.
-                    state.busy_until = now + REPLACED_SECONDS
+                    state.busy_until = now + REPLACED_BACKOFF_SECONDS
             case Cause.CLOSED | Cause.LATE | Cause.OUTDATED:
                 state.standing.note_neutral()
             case Cause.BROKEN | Cause.UNSEALED | Cause.TIMEOUT:
                 state.standing.note_failure(now)
                 if result.cause is Cause.BROKEN and not result.status:
-                    self._breaks.record_crash(call.fingerprint, state.entry.name)
+                    self._quarantine.record_crash(call.fingerprint, state.entry.name)
 
-    async def _goes_on(
+    async def _retry_or_finish(
         self,
         call: Call,
-        result: SendResult,
+        result: AttemptResult,
         delivery: Delivery,
         runs: int,
-        share: RetryShare,
+        retry_budget: RetryShare,
     ) -> bool:
         """Say whether another send follows; if not, the caller has its answer."""
-        if self._may_send_again(call, result, delivery, runs):
+        if self._may_retry(call, result, delivery, runs):
             free = result.cause in (Cause.CONNECT, Cause.CLOSED)
-            if free or share.take(read_clock(), self._fleet.gateways):
+            if free or retry_budget.take(read_clock(), self._fleet.gateways):
                 return True
-        if delivery.begun:
-            delivery.cut()
+        if delivery.started:
+            delivery.abort()
             return False
         if result.failure is not None:
-            held = result.failure
-            await delivery.send(held.status, held.headers, held.body)
+            buffered = result.failure
+            await delivery.send(buffered.status, buffered.headers, buffered.body)
             return False
         if call.may_have_run:
             code = ErrorCode.DEADLINE
@@ -276,31 +276,31 @@
             raise CallerError(code, result.cause.value, Ran.UNKNOWN)
         now = read_clock()
         # The caller may wait longer than its route allows, and come back.
-        end = call.timeout if now < call.timeout else call.deadline
+        end = call.timeout_at if now < call.timeout_at else call.deadline
         wait = draw_return(max(0.0, end - now), self._random)
         raise CallerError(ErrorCode.OVERLOADED, result.cause.value, Ran.NO, wait)
 
-    def _may_send_again(
-        self, call: Call, result: SendResult, delivery: Delivery, runs: int
+    def _may_retry(
+        self, call: Call, result: AttemptResult, delivery: Delivery, runs: int
     ) -> bool:
-        if len(call.tried) >= MAX_SENDS or read_clock() >= call.timeout:
+        if len(call.tried) >= MAX_ATTEMPTS or read_clock() >= call.timeout_at:
             return False
         if result.cause is Cause.TIMEOUT:
             return False
         if result.ran is Ran.NO:
-            return not delivery.begun or call.last_event is not None
+            return not delivery.started or call.last_event is not None
         if runs >= call.route.max_targets:
             return False
         match call.route.repeat:
             case Repeat.SAFE:
-                return not delivery.begun
+                return not delivery.started
             case Repeat.RESUMABLE:
-                return not delivery.begun or call.last_event is not None
+                return not delivery.started or call.last_event is not None
             case Repeat.ONCE:
                 return False
 
 
-def make_stale_refusal(active_configuration: ActiveConfiguration, now: float) -> CallerError:
+def make_stale_configuration_error(active_configuration: ActiveConfiguration, now: float) -> CallerError:
     """Return the refusal for keys that may have been taken away meanwhile."""
     age = active_configuration.currency.find_age(now)
     message = f"the configuration was last confirmed {age:.1f} s ago"
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -20,7 +20,7 @@
 from bamboopier_daemon.process_metrics import add_process_metrics
 from bamboopier_daemon.stopping import StopSignals
 
-from .begin_watch import BeginWatch
+from .weight_expiry_monitor import WeightExpiryMonitor
 from .caller_listener import CallerListener, serve_readiness
 from .exchange import Exchange
 from .forwarder import Forwarder
@@ -28,25 +28,25 @@
 from .gateway_state import GatewayState
 from .ingress import Ingress
 from .metrics import ProxyMetrics
-from .pause_watch import PauseWatch
-from .send_planner import SendPlanner
-from .settings_watch import SettingsWatch
+from .pause_monitor import PauseMonitor
+from .attempt_planner import AttemptPlanner
+from .settings_reloader import SettingsReloader
 from .store_followers import StoreFollowers
 from .target_pool import TargetPool
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from .dialect import Dialect
+    from .header_codec import HeaderCodec
     from .part_follower import PartStoreClient
     from .settings import ProxySettings
-    from .vocabulary import Store, Vocabulary
+    from .store_schema import Store, StoreSchema
 
 # Share of the grace time in which requests may end; the rest is for closing.
 GRACE_SHARE = 0.95
 # After not-ready shows, the balancer asks twice, a second apart, before it sends new
 # connections elsewhere. Callers are let go only then.
-UNREADY_SECONDS = 2.4
+UNREADY_DELAY_SECONDS = 2.4
 
 log = structlog.get_logger()
 
@@ -54,8 +54,8 @@
 async def run_gateway(
     settings: ProxySettings,
     store: Store,
-    vocabulary: Vocabulary,
-    dialect: Dialect,
+    schema: StoreSchema,
+    codec: HeaderCodec,
     part_store_client: PartStoreClient,
     read_settings: Callable[[], ProxySettings],
 ) -> None:
@@ -64,19 +64,19 @@
         raise ValueError("a gateway needs addresses for callers and for readiness")
     generator = random.Random(f"{settings.vm}:{os.getpid()}:{read_clock()}")
     metrics = ProxyMetrics()
-    pause_watch = PauseWatch(metrics.registry)
-    state = GatewayState(settings, vocabulary, pause_watch.pauses)
-    pause_watch.listeners.append(state.availability.record_pause)
-    followers = StoreFollowers(state, store, vocabulary, generator)
-    peers = GatewayPeers(settings, state, store, vocabulary, part_store_client, generator)
-    pool = TargetPool(dialect.name_request_id())
-    begins = BeginWatch(state.weights)
+    pause_monitor = PauseMonitor(metrics.registry)
+    state = GatewayState(settings, schema, pause_monitor.pauses)
+    pause_monitor.listeners.append(state.availability.record_pause)
+    followers = StoreFollowers(state, store, schema, generator)
+    peers = GatewayPeers(settings, state, store, schema, part_store_client, generator)
+    pool = TargetPool(codec.get_request_id_header())
+    expiry_monitor = WeightExpiryMonitor(state.weights)
     forwarder = Forwarder(
         state.fleet,
         state.active_configuration,
-        SendPlanner(state.weights, state.kept),
-        Exchange(pool, state.fleet, dialect, begins),
-        state.room,
+        AttemptPlanner(state.weights, state.kept),
+        Exchange(pool, state.fleet, codec, expiry_monitor),
+        state.request_queues,
         metrics,
         peers.hint_exchange,
         state.shares,
@@ -84,9 +84,9 @@
         generator,
     )
     ingress = Ingress(
-        dialect, state.active_configuration, forwarder, metrics, settings.memory_bytes, generator
+        codec, state.active_configuration, forwarder, metrics, settings.memory_bytes, generator
     )
-    watch = SettingsWatch(settings, read_settings, state.apply_settings)
+    settings_reloader = SettingsReloader(settings, read_settings, state.apply_settings)
 
     def is_ready() -> bool:
         return (
@@ -108,13 +108,13 @@
             await stack.enter_async_context(pool)
             await stack.enter_async_context(peers)
             for work in (
-                pause_watch.run(),
+                pause_monitor.run(),
                 *followers.list_coroutines(),
                 *peers.list_coroutines(),
-                state.room.run(),
-                watch.run(),
+                state.request_queues.run(),
+                settings_reloader.run(),
                 pool.run(),
-                begins.run(),
+                expiry_monitor.run(),
             ):
                 await stack.enter_async_context(keep_running(work))
             await stack.enter_async_context(
@@ -138,17 +138,17 @@
     settings: ProxySettings, ingress: Ingress, listener: CallerListener
 ) -> None:
     """Finish what is open; callers that still come are served, too."""
-    started = read_clock()
+    started_at = read_clock()
     ingress.stopping = True
     log.info("gateway stopping", open_requests=ingress.open_requests)
-    await asyncio.sleep(UNREADY_SECONDS)
+    await asyncio.sleep(UNREADY_DELAY_SECONDS)
     # Callers may still come: a listener that is closed leaves those that are already
     # connected without a word until the process ends.
     ingress.refusing = True
-    listener.let_go()
-    left = settings.grace_seconds * GRACE_SHARE - (read_clock() - started)
+    listener.close_when_idle()
+    remaining = settings.grace_seconds * GRACE_SHARE - (read_clock() - started_at)
     try:
-        async with asyncio.timeout(left):
+        async with asyncio.timeout(remaining):
             await ingress.idle.wait()
     except TimeoutError:
         log.warning("requests cut", open_requests=ingress.open_requests)
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -15,14 +15,14 @@
 from .configuration_loader import ConfigurationLoader
 from .active_configuration import ActiveConfiguration
 from .store_availability import StoreAvailability
-from .waiting_room import WaitingRoom
+from .request_queues import RequestQueues
 
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.model import Declared
     from bamboopier_decisions.forwarding.pauses import Pauses
 
     from .settings import ProxySettings
-    from .vocabulary import Vocabulary
+    from .store_schema import StoreSchema
 
 # Taken for the number of gateways until it is known. Failure answered: all gateways
 # start anew while engines come back cold; counted as one, each would send them all they
@@ -36,7 +36,7 @@
     """The beliefs of one gateway, and the requests that wait on them."""
 
     def __init__(
-        self, settings: ProxySettings, vocabulary: Vocabulary, pauses: Pauses
+        self, settings: ProxySettings, schema: StoreSchema, pauses: Pauses
     ) -> None:
         self.pauses = pauses
         self.fleet = Fleet()
@@ -45,9 +45,9 @@
         self.weights = WeightVersions(settings.version_seconds)
         self.shares = RetryShares(settings.retries)
         self.availability = StoreAvailability()
-        self.room = WaitingRoom()
+        self.request_queues = RequestQueues()
         self.active_configuration = ActiveConfiguration(settings.key_seconds, self._apply)
-        self.loader = ConfigurationLoader(vocabulary, self.active_configuration)
+        self.loader = ConfigurationLoader(schema, self.active_configuration)
         self._services: tuple[str, ...] = ()
 
     def apply_settings(self, changed: ProxySettings) -> None:
@@ -64,7 +64,7 @@
     def wake_all(self) -> None:
         """Look for places for all that wait: targets have changed."""
         for service in self._services:
-            self.room.wake(service)
+            self.request_queues.wake(service)
 
     def find_caller_limits(self) -> CallerLimits:
         """Return what callers may send."""
--- a/libraries/proxy/src/bamboopier_proxy/dialect.py
+++ b/libraries/proxy/src/bamboopier_proxy/header_codec.py
@@ -9,28 +9,28 @@
 
     from result import Result
 
-    from .messages import AnswerMarks, CallerMarks, HeaderList, SendMarks
+    from .messages import ResponseMetadata, RequestMetadata, HeaderList, AttemptMetadata
 
 
-class Dialect(Protocol):
+class HeaderCodec(Protocol):
     """Reads and writes the headers that carry meaning."""
 
-    def read_caller(
+    def parse_request_headers(
         self, headers: Iterable[tuple[str, str]]
-    ) -> Result[CallerMarks, str]:
+    ) -> Result[RequestMetadata, str]:
         """Return what a caller's headers say, or what is wrong with them."""
         ...
 
-    def write_send(self, marks: SendMarks) -> HeaderList:
+    def format_target_headers(self, metadata: AttemptMetadata) -> HeaderList:
         """Return the headers that this system sets on a request to a target."""
         ...
 
-    def read_answer(
+    def parse_response_headers(
         self, status: int, headers: Iterable[tuple[str, str]]
-    ) -> AnswerMarks:
+    ) -> ResponseMetadata:
         """Return what a target's answer says."""
         ...
 
-    def name_request_id(self) -> str:
+    def get_request_id_header(self) -> str:
         """Return the name of the header that carries a request's id."""
         ...
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -13,10 +13,10 @@
 from bamboopier_decisions.forwarding.route_table import draw_service
 from bamboopier_gateway.body import BodyBudget, read_body
 
-from .delivery import CallerGoneError, Delivery
-from .forwarder import make_stale_refusal
+from .delivery import CallerDisconnectedError, Delivery
+from .forwarder import make_stale_configuration_error
 from .messages import Call, make_fingerprint
-from .refusals import CallerError, ErrorCode, Ran, list_headers
+from .refusals import CallerError, ErrorCode, Ran, make_error_headers
 
 if TYPE_CHECKING:
     import random
@@ -26,22 +26,22 @@
     from bamboopier_decisions.forwarding.model import Route, Workspace
     from bamboopier_decisions.forwarding.route_table import RouteTable
 
-    from .dialect import Dialect
+    from .header_codec import HeaderCodec
     from .forwarder import Forwarder
     from .active_configuration import ActiveConfiguration
-    from .messages import CallerMarks
+    from .messages import RequestMetadata
     from .metrics import ProxyMetrics
 
 # Seconds a body may take to arrive.
-BODY_SECONDS = 10.0
+BODY_TIMEOUT_SECONDS = 10.0
 # Seconds a caller waits that does not say how long.
 DEFAULT_DEADLINE_SECONDS = 60.0
 # Share of this process's memory that bodies of open requests may take.
 BODY_MEMORY_SHARE = 0.15
 # Seconds after which a caller should come back to a process that knows nothing yet.
-STARTING_SECONDS = 0.5
+STARTING_RETRY_SECONDS = 0.5
 # Seconds after which a caller should come back to another process.
-STOPPING_SECONDS = 0.05
+STOPPING_RETRY_SECONDS = 0.05
 # Methods that belong to a connection and not to a resource.
 REFUSED_METHODS = frozenset({"CONNECT", "TRACE"})
 
@@ -53,14 +53,14 @@
 
     def __init__(
         self,
-        dialect: Dialect,
+        codec: HeaderCodec,
         active_configuration: ActiveConfiguration,
         forwarder: Forwarder,
         metrics: ProxyMetrics,
         memory_bytes: int,
         random: random.Random,
     ) -> None:
-        self._dialect = dialect
+        self._codec = codec
         self._active_configuration = active_configuration
         self._forwarder = forwarder
         self._metrics = metrics
@@ -88,15 +88,15 @@
         self._open += 1
         self._metrics.open_requests.set(self._open)
         self.idle.clear()
-        trace = _Trace()
+        trace = _RequestTrace()
         try:
             with self._bodies.open(request):
-                await self._answer(request, delivery, arrived, trace)
+                await self._process(request, delivery, arrived, trace)
         except CallerError as error:
-            await self._fail(request, delivery, trace, error)
-        except CallerGoneError as error:
+            await self._send_error(request, delivery, trace, error)
+        except CallerDisconnectedError as error:
             trace.outcome = f"caller gone: {error}"
-            delivery.cut()
+            delivery.abort()
         except asyncio.CancelledError:
             trace.outcome = "caller left"
             raise
@@ -104,67 +104,67 @@
             log.exception("request failed", request_id=trace.request_id)
             ran = Ran.UNKNOWN if trace.sent else Ran.NO
             fault = CallerError(ErrorCode.INTERNAL, "internal error", ran)
-            await self._fail(request, delivery, trace, fault)
+            await self._send_error(request, delivery, trace, fault)
         finally:
             self._open -= 1
             self._metrics.open_requests.set(self._open)
             if self._open == 0:
                 self.idle.set()
-            self._log_end(delivery, trace, arrived)
-        if not delivery.begun:
+            self._log_request(delivery, trace, arrived)
+        if not delivery.started:
             raise ConnectionResetError("the caller is gone")
         return delivery.response
 
-    async def _answer(
+    async def _process(
         self,
         request: web.BaseRequest,
         delivery: Delivery,
         arrived: float,
-        trace: _Trace,
+        trace: _RequestTrace,
     ) -> None:
         if self.refusing:
             message = "this process is stopping"
-            raise CallerError(ErrorCode.STOPPING, message, Ran.NO, STOPPING_SECONDS)
+            raise CallerError(ErrorCode.STOPPING, message, Ran.NO, STOPPING_RETRY_SECONDS)
         table = self._active_configuration.table
         if table is None:
             message = "no configuration is known yet"
             raise CallerError(
-                ErrorCode.STALE_CONFIGURATION, message, Ran.NO, STARTING_SECONDS
+                ErrorCode.STALE_CONFIGURATION, message, Ran.NO, STARTING_RETRY_SECONDS
             )
-        marks = self._read_marks(request, trace)
+        metadata = self._parse_metadata(request, trace)
         path = request.raw_path.partition("?")[0]
         host = _read_host(request)
         route = table.find_route(host, path)
         if route is None:
             raise CallerError(ErrorCode.NOT_FOUND, "no route for this host and path")
         trace.route = route.name
-        workspace = self._authenticate(table, route, marks, arrived)
+        workspace = self._authenticate(table, route, metadata, arrived)
         limit = table.declared.limits.body_bytes
-        body = await read_body(request, limit, BODY_SECONDS)
+        body = await read_body(request, limit, BODY_TIMEOUT_SECONDS)
         call = self._make_call(
-            request, marks, table, route, workspace, host, body, arrived
+            request, metadata, table, route, workspace, host, body, arrived
         )
         trace.call = call
         await self._forwarder.forward(call, delivery)
 
-    def _read_marks(self, request: web.BaseRequest, trace: _Trace) -> CallerMarks:
-        read = self._dialect.read_caller(request.headers.items())
+    def _parse_metadata(self, request: web.BaseRequest, trace: _RequestTrace) -> RequestMetadata:
+        read = self._codec.parse_request_headers(request.headers.items())
         if isinstance(read, Err):
             raise CallerError(ErrorCode.BAD_REQUEST, read.err_value)
-        marks = read.ok_value
-        trace.request_id = marks.request_id or trace.request_id
+        metadata = read.ok_value
+        trace.request_id = metadata.request_id or trace.request_id
         if request.method in REFUSED_METHODS:
             raise CallerError(ErrorCode.METHOD_NOT_ALLOWED, "this method is refused")
-        return marks
+        return metadata
 
     def _authenticate(
-        self, table: RouteTable, route: Route, marks: CallerMarks, now: float
+        self, table: RouteTable, route: Route, metadata: RequestMetadata, now: float
     ) -> Workspace | None:
         if not table.needs_key or route.public:
             return None
         if not self._active_configuration.currency.covers(now):
-            raise make_stale_refusal(self._active_configuration, now)
-        workspace = table.find_workspace(marks.key) if marks.key else None
+            raise make_stale_configuration_error(self._active_configuration, now)
+        workspace = table.find_workspace(metadata.key) if metadata.key else None
         if workspace is None:
             raise CallerError(ErrorCode.UNAUTHENTICATED, "no such key")
         return workspace
@@ -172,7 +172,7 @@
     def _make_call(
         self,
         request: web.BaseRequest,
-        marks: CallerMarks,
+        metadata: RequestMetadata,
         table: RouteTable,
         route: Route,
         workspace: Workspace | None,
@@ -180,26 +180,26 @@
         body: bytes,
         arrived: float,
     ) -> Call:
-        waits = marks.deadline_seconds
-        deadline = arrived + (DEFAULT_DEADLINE_SECONDS if waits is None else waits)
+        wait_seconds = metadata.deadline_seconds
+        deadline = arrived + (DEFAULT_DEADLINE_SECONDS if wait_seconds is None else wait_seconds)
         priority = route.priority
         if workspace is not None and workspace.priority is not None:
             priority = workspace.priority
         return Call(
-            request_id=marks.request_id,
+            request_id=metadata.request_id,
             method=request.method,
             raw_path=request.raw_path,
             host=request.headers["Host"],
-            headers=marks.passed,
+            headers=metadata.forwarded_headers,
             body=body,
             route=route,
             service=draw_service(route, self._random),
             workspace=workspace,
-            prompt=marks.prompt if route.carries_prompt else None,
+            prompt=metadata.prompt if route.carries_prompt else None,
             priority=priority,
             arrived=arrived,
             deadline=deadline,
-            timeout=min(deadline, arrived + route.timeout),
+            timeout_at=min(deadline, arrived + route.timeout),
             version=table.declared.version,
             fingerprint=make_fingerprint(
                 request.method,
@@ -207,33 +207,33 @@
                 workspace.name if workspace is not None else "",
                 body,
             ),
-            last_event=marks.last_event,
+            last_event=metadata.last_event,
         )
 
-    async def _fail(
+    async def _send_error(
         self,
         request: web.BaseRequest,
         delivery: Delivery,
-        trace: _Trace,
+        trace: _RequestTrace,
         error: CallerError,
     ) -> None:
         trace.outcome = f"{error.code.value}: {error.message}"
         self._metrics.refusals.labels(error.code.value).inc()
-        if delivery.begun:
-            delivery.cut()
+        if delivery.started:
+            delivery.abort()
             return
-        headers = list_headers(error, trace.request_id)
+        headers = make_error_headers(error, trace.request_id)
         if not request.content.at_eof():
             # The rest of the body is not read, so nothing can follow it.
-            delivery.closing = True
+            delivery.close_connection = True
         try:
             body = error.make_body(trace.request_id)
             await delivery.send(error.status, headers, body)
-        except CallerGoneError as gone:
+        except CallerDisconnectedError as gone:
             trace.outcome += f"; caller gone: {gone}"
 
-    def _log_end(self, delivery: Delivery, trace: _Trace, arrived: float) -> None:
-        status = delivery.response.status if delivery.begun else 0
+    def _log_request(self, delivery: Delivery, trace: _RequestTrace, arrived: float) -> None:
+        status = delivery.response.status if delivery.started else 0
         self._metrics.requests.labels(trace.route, status).inc()
         call = trace.call
         log.info(
@@ -249,7 +249,7 @@
         )
 
 
-class _Trace:
+class _RequestTrace:
     """What the last log line of a request tells."""
 
     __slots__ = ("call", "outcome", "request_id", "route")
--- a/libraries/proxy/src/bamboopier_proxy/limit_updates.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_updates.py
@@ -12,16 +12,16 @@
     from bamboopier_decisions.forwarding.rate_limit import LimitNews
     from bamboopier_decisions.forwarding.target_state import TargetState
 
-    from .messages import AnswerMarks
+    from .messages import ResponseMetadata
 
 log = structlog.get_logger()
 
 
 def record_limit(
-    state: TargetState, sent_at: float, metadata: AnswerMarks, request_id: str
+    state: TargetState, sent_at: float, metadata: ResponseMetadata, request_id: str
 ) -> None:
     """Take in an answer of the target itself to a request sent at ``sent_at``."""
-    if metadata.names_limit and metadata.limit_per_second is None:
+    if metadata.reports_limit and metadata.limit_per_second is None:
         # It still says that it is in need: what it said before stands.
         log.warning("limit not read", target=state.entry.name, request_id=request_id)
         return
--- a/libraries/proxy/src/bamboopier_proxy/messages.py
+++ b/libraries/proxy/src/bamboopier_proxy/messages.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerMarks:
+class RequestMetadata:
     """What a caller's headers say."""
 
     request_id: str
@@ -26,7 +26,7 @@
     # The caller has the events up to this one of a stream that broke off.
     last_event: str | None
     # End-to-end headers that go on unchanged.
-    passed: HeaderList
+    forwarded_headers: HeaderList
 
 
 def make_fingerprint(method: str, raw_path: str, workspace: str, body: bytes) -> bytes:
@@ -59,7 +59,7 @@
     # When the caller leaves.
     deadline: float
     # When the operator wants a final answer, not after ``deadline``.
-    timeout: float
+    timeout_at: float
     # Version of the configuration that let it in.
     version: int
     fingerprint: bytes
@@ -71,11 +71,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendMarks:
+class AttemptMetadata:
     """What a target is told beside the caller's own headers."""
 
     target: str
-    seconds_left: float
+    remaining_seconds: float
     workspace: str
     # Requests find cached parts only under the same text.
     cache_scope: str
@@ -85,11 +85,11 @@
     weight_version: int
     last_event: str | None
     # Where the target fetches and saves parts of the prompt.
-    parts: PartPlan | None = None
+    part_plan: PartPlan | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerMarks:
+class ResponseMetadata:
     """What a target's answer says beside status and body."""
 
     request_id: str
@@ -106,5 +106,5 @@
     cold_seconds: float
     # The target names the requests a second that it takes from all gateways together,
     # for as long as its answers do so; None where it cannot be read.
-    names_limit: bool = False
+    reports_limit: bool = False
     limit_per_second: float | None = None
--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -20,7 +20,7 @@
     from bamboopier_objects.objects import ChangedObject, Listing
 
     from .store_availability import StoreAvailability
-    from .vocabulary import NamedWeights, Vocabulary
+    from .store_schema import PublishedWeights, StoreSchema
 
 # Seconds for which the store did not answer from which it is taken to have been away:
 # longer than one watch whose connection went silent.
@@ -34,12 +34,12 @@
 
     def __init__(
         self,
-        vocabulary: Vocabulary,
+        schema: StoreSchema,
         fleet: Fleet,
         availability: StoreAvailability,
         wake: Callable[[], None],
     ) -> None:
-        self._vocabulary = vocabulary
+        self._schema = schema
         self._fleet = fleet
         self._availability = availability
         self._wake = wake
@@ -75,7 +75,7 @@
     ) -> None:
         """Take one entry that changed or is gone."""
         now = read_clock()
-        name = change.key.removeprefix(self._vocabulary.targets_prefix)
+        name = change.key.removeprefix(self._schema.targets_prefix)
         if change.value is None:
             recovering = self._availability.is_recovering(now)
             self._fleet.remove(now, name, self._availability.find_recovery(now))
@@ -101,8 +101,8 @@
         self._wake()
 
     def _decode(self, key: str, value: bytes) -> TargetEntry | None:
-        name = key.removeprefix(self._vocabulary.targets_prefix)
-        decoded = self._vocabulary.decode_target(name, value)
+        name = key.removeprefix(self._schema.targets_prefix)
+        decoded = self._schema.decode_target(name, value)
         if isinstance(decoded, Err):
             log.warning("entry set aside", target=name, reason=decoded.err_value)
             return None
@@ -114,12 +114,12 @@
 
     def __init__(
         self,
-        vocabulary: Vocabulary,
+        schema: StoreSchema,
         weights: WeightVersions,
         pauses: Pauses,
-        on_published: Callable[[NamedWeights, float], None],
+        on_published: Callable[[PublishedWeights, float], None],
     ) -> None:
-        self._vocabulary = vocabulary
+        self._schema = schema
         self._weights = weights
         self._pauses = pauses
         # Told of a version that was named while this process ran, and since when.
@@ -171,7 +171,7 @@
 
     def _apply(self, key: str, value: bytes, since: float, guessed: bool) -> None:
         """Take one version that was named at ``since`` at the earliest."""
-        decoded = self._vocabulary.decode_weights(value)
+        decoded = self._schema.decode_weights(value)
         if isinstance(decoded, Err):
             log.warning("entry set aside", key=key, reason=decoded.err_value)
             return
@@ -193,8 +193,8 @@
 class DrainObserver:
     """Keeps the data centres that are to get nothing."""
 
-    def __init__(self, vocabulary: Vocabulary, fleet: Fleet) -> None:
-        self._vocabulary = vocabulary
+    def __init__(self, schema: StoreSchema, fleet: Fleet) -> None:
+        self._schema = schema
         self._fleet = fleet
         self._drained: set[str] = set()
 
@@ -202,14 +202,14 @@
         self, listing: Listing, outage_seconds: float, known_until: float
     ) -> None:
         """Take all closures."""
-        prefix = self._vocabulary.closures_prefix
+        prefix = self._schema.drained_data_centres_prefix
         self._apply({found.key.removeprefix(prefix) for found in listing.objects})
 
     def apply_change(
         self, change: ChangedObject, known_until: float, *, late: bool
     ) -> None:
         """Take one closure, or its end."""
-        name = change.key.removeprefix(self._vocabulary.closures_prefix)
+        name = change.key.removeprefix(self._schema.drained_data_centres_prefix)
         drained = self._drained - {name}
         self._apply(drained | {name} if change.value is not None else drained)
 
--- a/libraries/proxy/src/bamboopier_proxy/store_followers.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_followers.py
@@ -20,7 +20,7 @@
     from bamboopier_objects.object_follower import ObjectObserver
 
     from .gateway_state import GatewayState
-    from .vocabulary import NamedWeights, Store, Vocabulary
+    from .store_schema import PublishedWeights, Store, StoreSchema
 
 # Seconds that one watch of weights or closures lasts.
 WATCH_SECONDS = 2.0
@@ -40,26 +40,26 @@
         self,
         state: GatewayState,
         store: Store,
-        vocabulary: Vocabulary,
+        schema: StoreSchema,
         random: random.Random,
     ) -> None:
         self._store = MonitoredStore(store, state.availability)
         self._random = random
-        self._publish_times = PublishTimes(store, vocabulary.ages_prefix, state.weights, random)
+        self._publish_times = PublishTimes(store, schema.publish_times_prefix, state.weights, random)
         self._configuration = ConfigurationFollower(
-            store, vocabulary, state.loader, state.availability, random
+            store, schema, state.loader, state.availability, random
         )
         self._targets = self._follow(
-            vocabulary.targets_prefix,
-            TargetObserver(vocabulary, state.fleet, state.availability, state.wake_all),
+            schema.targets_prefix,
+            TargetObserver(schema, state.fleet, state.availability, state.wake_all),
             TARGETS_WATCH_SECONDS,
         )
         self._weights = self._follow(
-            vocabulary.weights_prefix,
-            WeightsObserver(vocabulary, state.weights, state.pauses, self._on_published),
+            schema.weights_prefix,
+            WeightsObserver(schema, state.weights, state.pauses, self._on_published),
         )
         self._closures = self._follow(
-            vocabulary.closures_prefix, DrainObserver(vocabulary, state.fleet)
+            schema.drained_data_centres_prefix, DrainObserver(schema, state.fleet)
         )
 
     @property
@@ -83,5 +83,5 @@
             self._store, prefix, observer, seconds, self._random, read_clock
         )
 
-    def _on_published(self, named: NamedWeights, since: float) -> None:
+    def _on_published(self, named: PublishedWeights, since: float) -> None:
         self._publish_times.record_published(named.model, named.version, since)
--- a/libraries/proxy/src/bamboopier_proxy/vocabulary.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_schema.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NamedWeights:
+class PublishedWeights:
     """A weight version that the operator named for a model."""
 
     model: str
@@ -25,24 +25,24 @@
     """The platform's store: conditional writes, lists and watches."""
 
 
-class Vocabulary(Protocol):
+class StoreSchema(Protocol):
     """Keys of what others write, and how it is decoded."""
 
     configuration_key: str
     targets_prefix: str
     weights_prefix: str
     # Each name below it is a data centre that gets nothing.
-    closures_prefix: str
+    drained_data_centres_prefix: str
     # Where gateways register themselves.
     gateways_prefix: str
     # Where the holders of targets' orders are written.
     leases_prefix: str
     # Where the places to load weights are held.
-    slots_prefix: str
+    load_slots_prefix: str
     # Where it is written when weights were named.
-    ages_prefix: str
+    publish_times_prefix: str
     # Where it is written what targets in need take.
-    limits_prefix: str
+    rate_limits_prefix: str
 
     def decode_configuration(self, value: bytes) -> Result[Declared, str]:
         """Return a configuration, or what is wrong with it."""
@@ -52,6 +52,6 @@
         """Return a target's entry, or why it names no target to use."""
         ...
 
-    def decode_weights(self, value: bytes) -> Result[NamedWeights, str]:
+    def decode_weights(self, value: bytes) -> Result[PublishedWeights, str]:
         """Return a named weight version, or what is wrong with it."""
         ...
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -22,15 +22,15 @@
 from bamboopier_decisions.forwarding.prompt import Prompt, PromptPart
 from bamboopier_decisions.forwarding.retry_share import RetryBounds, RetryShares
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
-from bamboopier_proxy.answer import Answer
-from bamboopier_proxy.begin_watch import BeginWatch
+from bamboopier_proxy.target_response import TargetResponse
+from bamboopier_proxy.weight_expiry_monitor import WeightExpiryMonitor
 from bamboopier_proxy.exchange import Exchange
 from bamboopier_proxy.forwarder import Forwarder
 from bamboopier_proxy.active_configuration import ActiveConfiguration
-from bamboopier_proxy.messages import AnswerMarks, Call, SendMarks
+from bamboopier_proxy.messages import ResponseMetadata, Call, AttemptMetadata
 from bamboopier_proxy.metrics import ProxyMetrics
-from bamboopier_proxy.send_planner import SendPlanner
-from bamboopier_proxy.waiting_room import WaitingRoom
+from bamboopier_proxy.attempt_planner import AttemptPlanner
+from bamboopier_proxy.request_queues import RequestQueues
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -52,71 +52,71 @@
         return self.now
 
 
-class SlowPool:
+class StubPool:
     """Lets something happen while a connection is made; keeps what was sent on it."""
 
-    def __init__(self, happen: Callable[[], None]) -> None:
-        self._happen = happen
+    def __init__(self, on_connect: Callable[[], None]) -> None:
+        self._on_connect = on_connect
         self.heads: list[str] = []
         self.unused = 0
 
-    async def take(self, *_: object, **__: object) -> SlowPool:
-        self._happen()
+    async def acquire(self, *_: object, **__: object) -> StubPool:
+        self._on_connect()
         return self
 
-    async def ask(self, head: bytes, *_: object) -> Answer:
+    async def send_request(self, head: bytes, *_: object) -> TargetResponse:
         self.heads.append(head.decode())
-        answer = Answer(200, (), lambda _: None)
-        answer.finish()
-        return answer
+        response = TargetResponse(200, (), lambda _: None)
+        response.finish()
+        return response
 
-    def give_back_unused(self, *_: object) -> None:
+    def release_unused(self, *_: object) -> None:
         self.unused += 1
 
-    def give_back(self, *_: object) -> None:
+    def release(self, *_: object) -> None:
         """Take a used connection."""
 
 
-class PlainDialect:
+class StubCodec:
     """Writes what a target is told as plain headers; all answers are whole."""
 
-    def write_send(self, marks: SendMarks) -> tuple[tuple[str, str], ...]:
+    def format_target_headers(self, metadata: AttemptMetadata) -> tuple[tuple[str, str], ...]:
         return (
-            ("Seconds-Left", f"{marks.seconds_left:.3f}"),
-            ("Wanted-Weights", str(marks.weight_version)),
+            ("Seconds-Left", f"{metadata.remaining_seconds:.3f}"),
+            ("Wanted-Weights", str(metadata.weight_version)),
         )
 
-    def read_answer(self, *_: object) -> AnswerMarks:
-        return AnswerMarks("r1", True, False, False, "i-1", 0, 0.0)
+    def parse_response_headers(self, *_: object) -> ResponseMetadata:
+        return ResponseMetadata("r1", True, False, False, "i-1", 0, 0.0)
 
 
-class ForwarderLab:
+class ForwarderHarness:
     """A forwarder, what it believes, and what reached its one target."""
 
     def __init__(self) -> None:
         self.clock = Clock()
-        self.happen: Callable[[], None] = lambda: None
-        self.pool = SlowPool(lambda: self.happen())
+        self.on_connect: Callable[[], None] = lambda: None
+        self.pool = StubPool(lambda: self.on_connect())
         self.weights = WeightVersions(VERSION_SECONDS)
         self.active_configuration = ActiveConfiguration(KEY_SECONDS, lambda _: None)
         self.active_configuration.update(make_declared(), self.clock.now, self.clock.now)
         self.fleet = Fleet()
         self.fleet.set_services(make_declared().services)
         self.fleet.put(self.clock.now, make_entry())
-        dialect = cast("Any", PlainDialect())
-        breaks = mock.Mock()
-        breaks.find_wait.return_value = 0.0
-        self.breaks = breaks
+        codec = cast("Any", StubCodec())
+        quarantine = mock.Mock()
+        quarantine.find_wait.return_value = 0.0
+        self.quarantine = quarantine
         self.forwarder = Forwarder(
             self.fleet,
             self.active_configuration,
-            SendPlanner(self.weights, KeptParts()),
+            AttemptPlanner(self.weights, KeptParts()),
             Exchange(
-                cast("Any", self.pool), self.fleet, dialect, BeginWatch(self.weights)
+                cast("Any", self.pool), self.fleet, codec, WeightExpiryMonitor(self.weights)
             ),
-            WaitingRoom(),
+            RequestQueues(),
             ProxyMetrics(),
-            breaks,
+            quarantine,
             RetryShares(RetryBounds(0.2, 54.0, 10.0)),
             "z1",
             random.Random(1),
@@ -124,7 +124,7 @@
 
     async def forward(self, *, keyed: bool = True, prompt: bool = False) -> mock.Mock:
         """Forward one request; return its caller's delivery."""
-        delivery = mock.Mock(has_left=False, begun=False)
+        delivery = mock.Mock(is_disconnected=False, started=False)
         delivery.send = mock.AsyncMock()
         call = make_call(self.clock.now, keyed=keyed, prompt=prompt)
         with (
@@ -186,7 +186,7 @@
         priority=1,
         arrived=now,
         deadline=now + TIMEOUT_SECONDS,
-        timeout=now + TIMEOUT_SECONDS,
+        timeout_at=now + TIMEOUT_SECONDS,
         version=1,
         fingerprint=b"",
     )
--- a/libraries/proxy/tests/test_configuration_loader.py
+++ b/libraries/proxy/tests/test_configuration_loader.py
@@ -14,7 +14,7 @@
 from bamboopier_proxy.active_configuration import ActiveConfiguration
 
 if TYPE_CHECKING:
-    from bamboopier_proxy.vocabulary import Vocabulary
+    from bamboopier_proxy.store_schema import StoreSchema
 
 
 def decode(value: bytes) -> Result[Declared, str]:
@@ -26,9 +26,9 @@
 
 class ConfigurationLoaderTests(unittest.TestCase):
     def setUp(self) -> None:
-        vocabulary: Vocabulary = mock.Mock(decode_configuration=decode)
+        schema: StoreSchema = mock.Mock(decode_configuration=decode)
         self.active_configuration = ActiveConfiguration(5.0, lambda _: None)
-        self.loader = ConfigurationLoader(vocabulary, self.active_configuration)
+        self.loader = ConfigurationLoader(schema, self.active_configuration)
         for module in ("active_configuration", "configuration_loader"):
             patch = mock.patch(f"bamboopier_proxy.{module}.log")
             patch.start()
--- a/libraries/proxy/tests/test_exchange.py
+++ b/libraries/proxy/tests/test_exchange.py
@@ -13,18 +13,18 @@
 
 from bamboopier_daemon.clock import read_clock
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
-from bamboopier_proxy.begin_watch import BeginWatch
-from bamboopier_proxy.delivery import CallerGoneError, Delivery
-from bamboopier_proxy.exchange import Exchange, SendResult
+from bamboopier_proxy.weight_expiry_monitor import WeightExpiryMonitor
+from bamboopier_proxy.delivery import CallerDisconnectedError, Delivery
+from bamboopier_proxy.exchange import Exchange, AttemptResult
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
 
     from aiohttp import web
 
-    Leave = Callable[[socket.socket], None]
+    CallerAction = Callable[[socket.socket], None]
 
-BEGINS = BeginWatch(WeightVersions(12.0))
+EXPIRY_MONITOR = WeightExpiryMonitor(WeightVersions(12.0))
 
 
 def close(caller: socket.socket) -> None:
@@ -59,23 +59,23 @@
     caller.sendall(b"GET /more HTTP/1.1\r\n")
 
 
-class LeavingPool:
+class ActingCallerPool:
     """Its caller does something at the last moment before a send."""
 
-    def __init__(self, caller: socket.socket, leave: Leave) -> None:
+    def __init__(self, caller: socket.socket, act: CallerAction) -> None:
         self._caller = caller
-        self._leave = leave
+        self._act = act
         self.unused = 0
         self.used = 0
 
-    async def take(self, *_: object, **__: object) -> object:
-        self._leave(self._caller)
+    async def acquire(self, *_: object, **__: object) -> object:
+        self._act(self._caller)
         return object()
 
-    def give_back_unused(self, *_: object) -> None:
+    def release_unused(self, *_: object) -> None:
         self.unused += 1
 
-    def give_back(self, *_: object) -> None:
+    def release(self, *_: object) -> None:
         self.used += 1
 
 
@@ -97,38 +97,38 @@
         server.close()
 
 
-class LeavingCallerTests(unittest.IsolatedAsyncioTestCase):
-    async def send(self, leave: Leave) -> tuple[LeavingPool, mock.AsyncMock]:
+class DisconnectingCallerTests(unittest.IsolatedAsyncioTestCase):
+    async def send(self, act: CallerAction) -> tuple[ActingCallerPool, mock.AsyncMock]:
         """Send for a caller that leaves; return the pool and what was asked."""
-        call = cast("Any", mock.Mock(timeout=read_clock() + 60))
+        call = cast("Any", mock.Mock(timeout_at=read_clock() + 60))
         async with connect() as (caller, transport):
             request = cast("web.BaseRequest", SimpleNamespace(transport=transport))
-            pool, fleet = LeavingPool(caller, leave), mock.Mock()
-            exchange = Exchange(cast("Any", pool), fleet, mock.Mock(), BEGINS)
-            asked = mock.AsyncMock(return_value=SendResult(mock.Mock()))
+            pool, fleet = ActingCallerPool(caller, act), mock.Mock()
+            exchange = Exchange(cast("Any", pool), fleet, mock.Mock(), EXPIRY_MONITOR)
+            sent = mock.AsyncMock(return_value=AttemptResult(mock.Mock()))
             delivery = Delivery(request, lambda: False)
-            with mock.patch.object(exchange, "_ask", asked):
+            with mock.patch.object(exchange, "_send_and_relay", sent):
                 try:
                     await exchange.send(call, mock.Mock(), mock.Mock(), delivery)
-                except CallerGoneError:
-                    self.assertFalse(asked.called)
-        return pool, asked
+                except CallerDisconnectedError:
+                    self.assertFalse(sent.called)
+        return pool, sent
 
-    async def test_nothing_is_sent_for_a_caller_that_left(self) -> None:
+    async def test_nothing_is_sent_for_a_disconnected_caller(self) -> None:
         # A request waited for a place, or is sent again. Its caller's end is at the
         # kernel, and the event loop has not looked yet. The target's connection is
         # kept for the next request.
-        for leave in (close, reset, end_sending, end_behind_bytes):
-            with self.subTest(leave.__name__):
-                pool, asked = await self.send(leave)
-                self.assertFalse(asked.called)
+        for act in (close, reset, end_sending, end_behind_bytes):
+            with self.subTest(act.__name__):
+                pool, sent = await self.send(act)
+                self.assertFalse(sent.called)
                 self.assertEqual((pool.unused, pool.used), (1, 0))
 
-    async def test_a_caller_that_waits_is_served(self) -> None:
-        for leave in (stay, send_more):
-            with self.subTest(leave.__name__):
-                pool, asked = await self.send(leave)
-                self.assertTrue(asked.called)
+    async def test_a_connected_caller_is_served(self) -> None:
+        for act in (stay, send_more):
+            with self.subTest(act.__name__):
+                pool, sent = await self.send(act)
+                self.assertTrue(sent.called)
                 self.assertEqual((pool.unused, pool.used), (0, 1))
 
 
--- a/libraries/proxy/tests/test_publish_times.py
+++ b/libraries/proxy/tests/test_publish_times.py
@@ -19,7 +19,7 @@
 )
 from bamboopier_objects.objects import ABSENT, Listing, StoredObject
 from bamboopier_proxy.observers import WeightsObserver
-from bamboopier_proxy.vocabulary import NamedWeights
+from bamboopier_proxy.store_schema import PublishedWeights
 from bamboopier_proxy.publish_times import (
     CLOCK_ERROR_SECONDS,
     ENTRY_ERROR_SECONDS,
@@ -140,12 +140,12 @@
         module = "bamboopier_proxy.observers"
         self.enterContext(mock.patch(f"{module}.read_clock", return_value=NOW))
         self.enterContext(mock.patch(f"{module}.log"))
-        vocabulary = mock.Mock()
-        vocabulary.decode_weights.side_effect = lambda value: Ok(
-            NamedWeights("m", int(value))
+        schema = mock.Mock()
+        schema.decode_weights.side_effect = lambda value: Ok(
+            PublishedWeights("m", int(value))
         )
         observer = WeightsObserver(
-            vocabulary,
+            schema,
             self.weights,
             Pauses(NOW),
             lambda named, since: self.publish_times.record_published(
@@ -244,18 +244,18 @@
     ) -> list[WeightVersions]:
         """Let gateways hear by a list, after an outage for all, of version 2."""
         heard, written = [], []
-        vocabulary = mock.Mock()
-        vocabulary.decode_weights.side_effect = lambda value: Ok(
-            NamedWeights("m", int(value))
+        schema = mock.Mock()
+        schema.decode_weights.side_effect = lambda value: Ok(
+            PublishedWeights("m", int(value))
         )
         for pauses in gateways:
             weights = WeightVersions(12.0)
             publish_times = PublishTimes(self.store, "ages/", weights, random.Random(1))
 
-            def note(named: NamedWeights, since: float, to: PublishTimes = publish_times) -> None:
+            def note(named: PublishedWeights, since: float, to: PublishTimes = publish_times) -> None:
                 to.record_published(named.model, named.version, since)
 
-            observer = WeightsObserver(vocabulary, weights, pauses, note)
+            observer = WeightsObserver(schema, weights, pauses, note)
             before = Listing(5, (StoredObject("v/m", 5, b"1"),))
             observer.apply_listing(before, 0.0, float("-inf"))
             after = Listing(9, (StoredObject("v/m", 9, b"2"),))
--- a/libraries/proxy/tests/test_store_followers.py
+++ b/libraries/proxy/tests/test_store_followers.py
@@ -16,7 +16,7 @@
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 from bamboopier_objects.objects import Listing, StoredObject
 from bamboopier_proxy.store_followers import StoreFollowers
-from bamboopier_proxy.vocabulary import NamedWeights
+from bamboopier_proxy.store_schema import PublishedWeights
 from bamboopier_proxy.publish_times import PublishedAt, follow_weights
 
 NAMED = StoredObject("v/m", 7, b"2")
@@ -33,8 +33,8 @@
         state = mock.Mock()
         state.pauses = Pauses(read_clock())
         state.weights = WeightVersions(12.0)
-        vocabulary = mock.Mock(ages_prefix="a/", weights_prefix="v/")
-        vocabulary.decode_weights.return_value = Ok(NamedWeights("m", 2))
+        schema = mock.Mock(publish_times_prefix="a/", weights_prefix="v/")
+        schema.decode_weights.return_value = Ok(PublishedWeights("m", 2))
         entries: list[StoredObject] = []
 
         async def read(key: str) -> Ok[StoredObject | None]:
@@ -48,7 +48,7 @@
             await asyncio.sleep(3600)
 
         store = mock.Mock(read=read, list=list_below, watch_values=watch)
-        followers = StoreFollowers(state, store, vocabulary, random.Random(1))
+        followers = StoreFollowers(state, store, schema, random.Random(1))
         with (
             mock.patch("bamboopier_proxy.observers.log"),
             mock.patch("bamboopier_proxy.publish_times.log"),
--- a/libraries/proxy/tests/test_weights_observer.py
+++ b/libraries/proxy/tests/test_weights_observer.py
@@ -21,7 +21,7 @@
     StoredObject,
 )
 from bamboopier_proxy.observers import WeightsObserver
-from bamboopier_proxy.vocabulary import NamedWeights
+from bamboopier_proxy.store_schema import PublishedWeights
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -43,15 +43,15 @@
             mock.patch(f"{module}.read_clock", side_effect=lambda: self.now)
         )
         self.log = self.enterContext(mock.patch(f"{module}.log"))
-        vocabulary = mock.Mock()
-        vocabulary.decode_weights.side_effect = lambda value: Ok(
-            NamedWeights("m", int(value))
+        schema = mock.Mock()
+        schema.decode_weights.side_effect = lambda value: Ok(
+            PublishedWeights("m", int(value))
         )
         self.pauses = Pauses(self.now)
         self.weights = WeightVersions(12.0)
         self.changed = mock.Mock()
         self.observer = WeightsObserver(
-            vocabulary, self.weights, self.pauses, self.changed
+            schema, self.weights, self.pauses, self.changed
         )
 
     def send_by_watch(self, version: int) -> None:
@@ -66,7 +66,7 @@
     def test_a_version_received_by_a_watch_was_published_now(self) -> None:
         self.send_by_watch(2)
         self.assertEqual(self.weights.find_since("m"), 100.0)
-        self.changed.assert_called_once_with(NamedWeights("m", 2), 100.0)
+        self.changed.assert_called_once_with(PublishedWeights("m", 2), 100.0)
 
     def test_a_version_received_after_a_pause_may_be_as_old_as_it(self) -> None:
         # The process stands still for 3.3 s. The watch's answer is the first thing it
@@ -80,7 +80,7 @@
         self.send_by_list(1, NEVER)
         self.send_by_list(2, 98.5)
         self.assertEqual(self.weights.find_since("m"), 98.5)
-        self.changed.assert_called_once_with(NamedWeights("m", 2), 98.5)
+        self.changed.assert_called_once_with(PublishedWeights("m", 2), 98.5)
 
     def test_the_first_list_gives_no_publication_time(self) -> None:
         self.send_by_list(4, NEVER)
@@ -106,14 +106,14 @@
         )
         self.enterContext(mock.patch(f"{module}.log"))
         self.enterContext(mock.patch("bamboopier_objects.object_follower.log"))
-        vocabulary = mock.Mock()
-        vocabulary.decode_weights.side_effect = lambda value: Ok(
-            NamedWeights("m", int(value))
+        schema = mock.Mock()
+        schema.decode_weights.side_effect = lambda value: Ok(
+            PublishedWeights("m", int(value))
         )
         self.pauses = Pauses(self.now)
         self.weights = WeightVersions(12.0)
         self.observer = WeightsObserver(
-            vocabulary, self.weights, self.pauses, mock.Mock()
+            schema, self.weights, self.pauses, mock.Mock()
         )
 
     def run_for(self, seconds: float) -> None:
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -7,7 +7,7 @@
 PROXY = "libraries/proxy/src/bamboopier_proxy"
 OBSERVER = "tests.test_weights_observer.WeightsObserverTests"
 AGES = "tests.test_publish_times.PublishTimesTests"
-SENDS = "tests.test_sends.SendTests"
+ATTEMPTS = "tests.test_attempts.AttemptTests"
 FOLLOWED = "tests.test_weights_observer.FollowedWeightsTests"
 PEERS = "tests.test_gateway_peers.GatewayCountTests"
 STARTS = "tests.test_part_relay.FormerStartTests"
@@ -43,10 +43,10 @@
     Mutation(
         "a request whose caller has left is taken back by a reset",
         f"{PROXY}/target_connection.py",
-        '            reset_when_closed(self._transport.get_extra_info("socket"))\n',
+        '            enable_reset_on_close(self._transport.get_extra_info("socket"))\n',
         "            pass\n",
         "libraries/proxy",
-        "tests.test_target_connection.AbortTests.test_a_request_is_taken_back_by_a_reset",
+        "tests.test_target_connection.AbortTests.test_aborting_a_request_resets_the_connection",
     ),
     Mutation(
         "nothing is sent after the time of its route",
@@ -54,23 +54,23 @@
         "            return Err(Cause.LATE)\n",
         "            pass\n",
         "libraries/proxy",
-        f"{SENDS}.test_nothing_is_sent_after_the_time_of_its_route",
+        f"{ATTEMPTS}.test_nothing_is_sent_after_the_route_timeout",
     ),
     Mutation(
         "a key's proof is looked at right before the send",
         f"{PROXY}/forwarder.py",
-        "        self._check_currency(call, now)\n",
+        "        self._check_freshness(call, now)\n",
         "",
         "libraries/proxy",
-        f"{SENDS}.test_a_key_whose_proof_has_run_out_meanwhile_is_refused",
+        f"{ATTEMPTS}.test_a_key_is_refused_when_the_configuration_gets_stale",
     ),
     Mutation(
         "the time of older weights is looked at right before the send",
         f"{PROXY}/forwarder.py",
-        "        if not is_open or not self._planner.may_begin(now, call, sent):\n",
+        "        if not is_open or not self._planner.may_start(now, call, in_flight):\n",
         "        if not is_open:\n",
         "libraries/proxy",
-        f"{SENDS}.test_weights_whose_time_is_over_meanwhile_get_nothing",
+        f"{ATTEMPTS}.test_nothing_is_sent_to_a_target_whose_weights_expired",
     ),
     Mutation(
         "a gateway's own pause is no silence of the others",
@@ -181,19 +181,19 @@
     ),
     Mutation(
         "what waits at a target until its weights are over is taken back",
-        f"{PROXY}/begin_watch.py",
-        "            wait.connection.abort()\n",
+        f"{PROXY}/weight_expiry_monitor.py",
+        "            pending.connection.abort()\n",
         "",
         "libraries/proxy",
-        "tests.test_begin_watch.BeginWatchTests"
-        ".test_what_has_not_begun_in_time_is_taken_back",
+        "tests.test_weight_expiry_monitor.WeightExpiryMonitorTests"
+        ".test_requests_not_started_in_time_are_aborted",
     ),
     Mutation(
         "what has begun is not taken back",
-        f"{PROXY}/begin_watch.py",
-        "        self._waiting.discard(wait)\n\n",
+        f"{PROXY}/weight_expiry_monitor.py",
+        "        self._pending.discard(pending)\n\n",
         "        pass\n\n",
         "libraries/proxy",
-        "tests.test_begin_watch.BeginWatchTests.test_what_has_begun_goes_on",
+        "tests.test_weight_expiry_monitor.WeightExpiryMonitorTests.test_started_requests_continue",
     ),
 )
