--- a/libraries/decisions/src/bamboopier_decisions/routing/messages.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/messages.py
@@ -9,8 +9,8 @@
 class Ran(StrEnum):
     """What is known about whether a request has run."""
 
-    NO = "no"
-    YES = "yes"
+    NOT_EXECUTED = "no"
+    EXECUTED = "yes"
     UNKNOWN = "unknown"
 
 
--- a/libraries/gateway/src/bamboopier_gateway/attempt.py
+++ b/libraries/gateway/src/bamboopier_gateway/attempt.py
@@ -192,7 +192,7 @@
         if finished.body_bytes != self._body_bytes:
             self._break("the answer is not whole")
             return True
-        self._result.ran = Ran.YES
+        self._result.ran = Ran.EXECUTED
         self._result.finished = finished
         try:
             if self._last_chunk:
@@ -208,7 +208,7 @@
 
     def _note_not_run(self, not_run: pb.NotRun) -> None:
         result = self._result
-        result.ran = Ran.NO
+        result.ran = Ran.NOT_EXECUTED
         result.cause = not_run.cause
         result.detail = not_run.detail
         result.retry_after = not_run.retry_after_ms / _MILLISECONDS
@@ -234,7 +234,7 @@
         # it comes before anything else.
         refused = error.code() is grpc.StatusCode.PERMISSION_DENIED
         if refused or self._was_never_sent(error):
-            broken.ran = Ran.NO
+            broken.ran = Ran.NOT_EXECUTED
         return broken
 
     def _was_never_sent(self, error: grpc.aio.AioRpcError) -> bool:
--- a/libraries/gateway/src/bamboopier_gateway/errors.py
+++ b/libraries/gateway/src/bamboopier_gateway/errors.py
@@ -123,7 +123,7 @@
         self,
         code: ErrorCode,
         message: str,
-        ran: Ran = Ran.NO,
+        ran: Ran = Ran.NOT_EXECUTED,
         retry_after: float = 0.0,
     ) -> None:
         super().__init__(message)
--- a/libraries/gateway/src/bamboopier_gateway/forwarder.py
+++ b/libraries/gateway/src/bamboopier_gateway/forwarder.py
@@ -92,7 +92,7 @@
             self._router.abandon(call.request_id)
         if isinstance(decision, Refuse):
             return await self._refuse(call, decision, delivery)
-        if delivery.response.prepared and result.ran is not Ran.YES:
+        if delivery.response.prepared and result.ran is not Ran.EXECUTED:
             error = CallerError(
                 ErrorCode.OUTCOME_UNKNOWN, "the answer broke off", Ran.UNKNOWN
             )
@@ -110,7 +110,7 @@
         stub = await reach(address, left)
         if stub is None:
             return AttemptResult(
-                Ran.NO, pb.CONNECTION_LOST, "no connection to the agent", broken=True
+                Ran.NOT_EXECUTED, pb.CONNECTION_LOST, "no connection to the agent", broken=True
             )
 
         def note_head(load: pb.LoadReport, seconds: float) -> None:
@@ -150,7 +150,7 @@
             first_byte=result.first_byte,
         )
         self._count(call, result)
-        if result.ran is not Ran.YES:
+        if result.ran is not Ran.EXECUTED:
             _log_failure(call, send, result)
         return self._router.handle(ended)
 
@@ -196,7 +196,7 @@
             raise _make_unknown() from error
         if reply.state == pb.RecallReply.NEVER_RAN:
             message = "an earlier claim of this key never ran and is being released"
-            raise CallerError(ErrorCode.CLAIM_UNAVAILABLE, message, Ran.NO, 1.0)
+            raise CallerError(ErrorCode.CLAIM_UNAVAILABLE, message, Ran.NOT_EXECUTED, 1.0)
         if reply.state == pb.RecallReply.RUNNING:
             message = "a request with this idempotency key is under way"
             raise CallerError(ErrorCode.KEY_IN_PROGRESS, message, Ran.UNKNOWN, 1.0)
@@ -257,7 +257,7 @@
 def _make_claim_refusal(result: AttemptResult) -> CallerError:
     message = _CLAIM_CAUSES[result.cause]
     wait = result.retry_after
-    return CallerError(ErrorCode.CLAIM_UNAVAILABLE, message, Ran.NO, wait)
+    return CallerError(ErrorCode.CLAIM_UNAVAILABLE, message, Ran.NOT_EXECUTED, wait)
 
 
 def _make_quarantine_refusal(call: Call, wait: float) -> CallerError:
@@ -267,11 +267,11 @@
         workspace=call.workspace,
         service=call.service,
         reason=RefuseReason.QUARANTINED.value,
-        ran=Ran.NO.value,
+        ran=Ran.NOT_EXECUTED.value,
         retry_after=round(wait, 3),
     )
     message = "this request broke the targets that ran it"
-    return CallerError(ErrorCode.QUARANTINED, message, Ran.NO, wait)
+    return CallerError(ErrorCode.QUARANTINED, message, Ran.NOT_EXECUTED, wait)
 
 
 def _make_unknown() -> CallerError:
--- a/libraries/gateway/tests/test_attempt.py
+++ b/libraries/gateway/tests/test_attempt.py
@@ -47,14 +47,14 @@
 )
 # Name, events, how the stream ends, what is known, whether the caller has it whole.
 STREAMS = (
-    ("whole", A, None, Ran.YES, True),
-    ("refused", [make_event(0, not_run=NOT_RUN)], None, Ran.NO, False),
+    ("whole", A, None, Ran.EXECUTED, True),
+    ("refused", [make_event(0, not_run=NOT_RUN)], None, Ran.NOT_EXECUTED, False),
     ("unknown", [make_event(0, unknown=pb.Unknown())], None, Ran.UNKNOWN, False),
     ("nothing at all", [], None, Ran.UNKNOWN, False),
     ("connection lost at once", [], LOST, Ran.UNKNOWN, False),
     ("connection lost half way", A[:2], LOST, Ran.UNKNOWN, False),
     ("connection lost before the end", A[:3], LOST, Ran.UNKNOWN, False),
-    ("never sent", [], NEVER_SENT, Ran.NO, False),
+    ("never sent", [], NEVER_SENT, Ran.NOT_EXECUTED, False),
     ("never sent, yet an answer began", A[:1], NEVER_SENT, Ran.UNKNOWN, False),
     ("the agent failed with these words", [], AGENT_FAILED, Ran.UNKNOWN, False),
     ("ended early", A[:3], None, Ran.UNKNOWN, False),
@@ -127,7 +127,7 @@
         stub = answer_with(FakeStream(A, None))
         attempt = Attempt(make_call(), stub, 1, attempt_id=ATTEMPT)
         result = await attempt.run(Left())
-        self.assertEqual(result.ran, Ran.YES)
+        self.assertEqual(result.ran, Ran.EXECUTED)
         self.assertIsNotNone(result.finished)
 
     async def test_a_silent_agent_holds_nobody_past_the_deadline(self) -> None:
--- a/libraries/gateway/tests/test_forwarder.py
+++ b/libraries/gateway/tests/test_forwarder.py
@@ -123,7 +123,7 @@
         for relay in self.relays:
             relay.cut_unread()
         error = await self.fail_to_forward(make_call(body=ORDER))
-        self.assertEqual((error.ran, error.code), (Ran.NO, ErrorCode.OVERLOADED))
+        self.assertEqual((error.ran, error.code), (Ran.NOT_EXECUTED, ErrorCode.OVERLOADED))
         self.assertEqual([each.received for each in self.agents], [[], []])
         for relay in self.relays:
             self.assertNotIn(ORDER, relay.taken)
--- a/libraries/gateway/tests/test_lost_connections.py
+++ b/libraries/gateway/tests/test_lost_connections.py
@@ -44,7 +44,7 @@
             relay.cut()
             await channel.wait_for_state_change(grpc.ChannelConnectivity.READY)
             result = await attempt.run(FakeDelivery())
-        self.assertEqual((result.ran, agent.received), (Ran.NO, []))
+        self.assertEqual((result.ran, agent.received), (Ran.NOT_EXECUTED, []))
         self.assertEqual((result.cause, result.broken), (pb.CONNECTION_LOST, True))
 
     async def test_cut_after_the_agent_had_the_request(self) -> None:
--- a/libraries/gateway/tests/test_recall.py
+++ b/libraries/gateway/tests/test_recall.py
@@ -59,7 +59,7 @@
         async with asyncio.timeout(HANG_SECONDS), Agents() as agents:
             forwarder = Forwarder(other, other, agents, other, other, other)
             claimed = AttemptResult(
-                Ran.NO, pb.KEY_CLAIMED, claimed_by=self.address, claim_id="claim-1"
+                Ran.NOT_EXECUTED, pb.KEY_CLAIMED, claimed_by=self.address, claim_id="claim-1"
             )
             call = make_call(deadline=time.monotonic() + seconds)
             delivery: Any = FakeDelivery()
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -113,7 +113,7 @@
         try:
             connection = await self._pool.take(entry, fresh=fresh)
         except ConnectError as error:
-            return SendResult(Ran.NO, Cause.CONNECT, str(error))
+            return SendResult(Ran.NOT_EXECUTED, Cause.CONNECT, str(error))
         # Nothing may be awaited between these checks and the send: a connection takes
         # up to a second, or as long as this process is suspended, and what held before
         # it may not hold any more.
@@ -126,7 +126,7 @@
             raise
         if isinstance(prepared, Err):
             self._pool.give_back_unused(entry, connection)
-            return SendResult(Ran.NO, prepared.err_value)
+            return SendResult(Ran.NOT_EXECUTED, prepared.err_value)
         marks, sent_at = prepared.unwrap(), read_clock()
         done = False
         with self._begins.watch(call, marks, connection) as wait:
@@ -165,7 +165,7 @@
             await answer.read_all(MAX_HELD_BYTES)
             cause = Cause.MISDIRECTED if said.misdirected else Cause.NOT_RUN
             return SendResult(
-                Ran.NO,
+                Ran.NOT_EXECUTED,
                 cause,
                 f"status {answer.status}, target {said.target}",
                 answer.status,
@@ -194,7 +194,7 @@
         started: float,
     ) -> SendResult:
         body = await answer.read_all(MAX_HELD_BYTES)
-        result = SendResult(Ran.YES, status=answer.status)
+        result = SendResult(Ran.EXECUTED, status=answer.status)
         result.first_byte = read_clock() - started
         held = HeldAnswer(answer.status, answer.headers, body)
         if answer.status >= 500:
@@ -214,7 +214,7 @@
         delivery: Delivery,
         started: float,
     ) -> SendResult:
-        result = SendResult(Ran.YES, status=answer.status)
+        result = SendResult(Ran.EXECUTED, status=answer.status)
         splitter = EventSplitter()
         try:
             while data := await answer.read():
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -109,7 +109,7 @@
             self._send_log.note(call, sent, result)
             if result.delivered:
                 return
-            if result.ran is not Ran.NO:
+            if result.ran is not Ran.NOT_EXECUTED:
                 runs += 1
                 call.may_have_run = True
             if not await self._goes_on(call, result, delivery, runs, share):
@@ -203,7 +203,7 @@
         limited = placement.limited
         room_in = limited.next_at - now if limited.only and limited.count else 0.0
         wait = draw_return(call.timeout - now, self._random, room_in)
-        return CallerError(code, "no target has room", Ran.NO, wait)
+        return CallerError(code, "no target has room", Ran.NOT_EXECUTED, wait)
 
     def _check_currency(self, call: Call, now: float) -> None:
         """Refuse a request with a key once the key may have been taken away."""
@@ -221,7 +221,7 @@
         wait = self._breaks.find_wait(call.fingerprint)
         if wait > 0:
             message = "this request broke the targets that ran it"
-            raise CallerError(ErrorCode.OVERLOADED, message, Ran.NO, wait)
+            raise CallerError(ErrorCode.OVERLOADED, message, Ran.NOT_EXECUTED, wait)
 
     def _judge(self, call: Call, sent: Sent, result: SendResult) -> None:
         """Take in what a send says of its target."""
@@ -278,7 +278,7 @@
         # The caller may wait longer than its route allows, and come back.
         end = call.timeout if now < call.timeout else call.deadline
         wait = draw_return(max(0.0, end - now), self._random)
-        raise CallerError(ErrorCode.OVERLOADED, result.cause.value, Ran.NO, wait)
+        raise CallerError(ErrorCode.OVERLOADED, result.cause.value, Ran.NOT_EXECUTED, wait)
 
     def _may_send_again(
         self, call: Call, result: SendResult, delivery: Delivery, runs: int
@@ -287,7 +287,7 @@
             return False
         if result.cause is Cause.TIMEOUT:
             return False
-        if result.ran is Ran.NO:
+        if result.ran is Ran.NOT_EXECUTED:
             return not delivery.begun or call.last_event is not None
         if runs >= call.route.max_targets:
             return False
@@ -304,4 +304,4 @@
     """Return the refusal for keys that may have been taken away meanwhile."""
     age = knowledge.currency.find_age(now)
     message = f"the configuration was last confirmed {age:.1f} s ago"
-    return CallerError(ErrorCode.STALE_CONFIGURATION, message, Ran.NO, 1.0)
+    return CallerError(ErrorCode.STALE_CONFIGURATION, message, Ran.NOT_EXECUTED, 1.0)
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -102,7 +102,7 @@
             raise
         except Exception:
             log.exception("request failed", request_id=trace.request_id)
-            ran = Ran.UNKNOWN if trace.sent else Ran.NO
+            ran = Ran.UNKNOWN if trace.sent else Ran.NOT_EXECUTED
             fault = CallerError(ErrorCode.INTERNAL, "internal error", ran)
             await self._fail(request, delivery, trace, fault)
         finally:
@@ -124,12 +124,12 @@
     ) -> None:
         if self.refusing:
             message = "this process is stopping"
-            raise CallerError(ErrorCode.STOPPING, message, Ran.NO, STOPPING_SECONDS)
+            raise CallerError(ErrorCode.STOPPING, message, Ran.NOT_EXECUTED, STOPPING_SECONDS)
         table = self._knowledge.table
         if table is None:
             message = "no configuration is known yet"
             raise CallerError(
-                ErrorCode.STALE_CONFIGURATION, message, Ran.NO, STARTING_SECONDS
+                ErrorCode.STALE_CONFIGURATION, message, Ran.NOT_EXECUTED, STARTING_SECONDS
             )
         marks = self._read_marks(request, trace)
         path = request.raw_path.partition("?")[0]
--- a/tools/bench_context/drive.py
+++ b/tools/bench_context/drive.py
@@ -138,7 +138,7 @@
         )
         assert isinstance(decision, Send)
         name = decision.target
-        self.router.handle(AttemptEnded(now, request_id, name, Ran.YES))
+        self.router.handle(AttemptEnded(now, request_id, name, Ran.EXECUTED))
         return next(engine for engine in self.engines if engine.name == name)
 
     def _fetch(self, now: float, engine: Engine, prompt: Prompt) -> float:
--- a/tools/bench_load/baselines.py
+++ b/tools/bench_load/baselines.py
@@ -93,7 +93,7 @@
         elif isinstance(event, AttemptEnded):
             if event.target in self._open:
                 self._open[event.target] -= 1
-            if event.ran is Ran.YES or event.delivered:
+            if event.ran is Ran.EXECUTED or event.delivered:
                 return Deliver(event.request_id)
             reason = RefuseReason.TARGET_FAILED
             return Refuse(event.request_id, reason, event.ran, 1.0)
--- a/tools/bench_load/cost.py
+++ b/tools/bench_load/cost.py
@@ -79,7 +79,7 @@
             raise AssertionError(sent)
         router.handle(TargetReported(now, sent.target, load))
         router.handle(FirstByteCame(now, str(number), sent.target, 0.1))
-        router.handle(AttemptEnded(now, str(number), sent.target, Ran.YES))
+        router.handle(AttemptEnded(now, str(number), sent.target, Ran.EXECUTED))
     whole = time.perf_counter() - started
     scale = MICROSECONDS / REQUESTS
     return choosing * scale, whole * scale
--- a/tools/bench_load/simulation.py
+++ b/tools/bench_load/simulation.py
@@ -178,7 +178,7 @@
         order = attempt.order
         self._attempts[attempt.ask_id] = attempt
         if not self.engine.up:
-            self._fail(attempt.ask_id, Ran.NO)
+            self._fail(attempt.ask_id, Ran.NOT_EXECUTED)
             return
         work = WorkArrived(
             now=self._clock.now,
@@ -209,7 +209,7 @@
             self.tell(WorkEnded(self._clock.now, ask_id, False, cancelled=True))
             return
         if not self.engine.up:
-            self._fail(ask_id, Ran.NO)
+            self._fail(ask_id, Ran.NOT_EXECUTED)
             return
         self.engine.run(
             ask_id,
@@ -230,7 +230,7 @@
         attempt = self._attempts.pop(ask_id)
         tokens = attempt.order.output_tokens
         self.tell(WorkEnded(self._clock.now, ask_id, True, tokens))
-        self._answer(attempt, Ran.YES)
+        self._answer(attempt, Ran.EXECUTED)
 
     def _fail(self, ask_id: str, ran: Ran = Ran.UNKNOWN) -> None:
         attempt = self._attempts.pop(ask_id)
@@ -241,7 +241,7 @@
     def _reject(self, reject: Reject) -> None:
         attempt = self._attempts.pop(reject.request_id, None)
         if attempt is not None:
-            self._answer(attempt, Ran.NO, reject.retry_after)
+            self._answer(attempt, Ran.NOT_EXECUTED, reject.retry_after)
 
     def _cancel(self, ask_id: str) -> None:
         """The caller left at its deadline."""
@@ -264,7 +264,7 @@
             ran=ran,
             retry_after=wait,
             broken=broken,
-            delivered=attempt.first_byte > 0 and ran is not Ran.NO,
+            delivered=attempt.first_byte > 0 and ran is not Ran.NOT_EXECUTED,
             first_byte=attempt.first_byte,
         )
         load = self.report()
@@ -370,7 +370,7 @@
             block_keys=keys,
             priority=order.priority,
         )
-        self._follow(order, router.handle(event), Ran.NO)
+        self._follow(order, router.handle(event), Ran.NOT_EXECUTED)
 
     def _follow(self, order: Order, decision: RoutingDecision | None, ran: Ran) -> None:
         if isinstance(decision, Send):
@@ -383,7 +383,7 @@
             self.clock.call_later(HOP_SECONDS, lambda: agent.serve(attempt))
         elif isinstance(decision, Refuse):
             self._refuse(order, decision.retry_after)
-        elif ran is Ran.YES:
+        elif ran is Ran.EXECUTED:
             order.finished = self.clock.now
         else:
             order.first_token = 0.0
