--- a/libraries/decisions/src/bamboopier_decisions/routing/messages.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/messages.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 
 
-class Ran(StrEnum):
+class ExecutionStatus(StrEnum):
     """What is known about whether a request has run."""
 
     NOT_EXECUTED = "no"
@@ -151,7 +151,7 @@
     now: float
     request_id: str
     target: str
-    ran: Ran
+    ran: ExecutionStatus
     # The target refused for load; seconds until it thinks it worthwhile to return.
     retry_after: float = 0.0
     # The connection broke or the target crashed while it had the request.
@@ -196,7 +196,7 @@
 
     request_id: str
     reason: RefuseReason
-    ran: Ran
+    ran: ExecutionStatus
     retry_after: float
     # Where no target was left to send to: why each of the first was not.
     passed_over: tuple[PassedOver, ...] = ()
--- a/libraries/decisions/src/bamboopier_decisions/routing/router.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/router.py
@@ -12,7 +12,7 @@
     FirstByteCame,
     FleetChanged,
     PassedOver,
-    Ran,
+    ExecutionStatus,
     Refuse,
     RefuseReason,
     RequestArrived,
@@ -178,27 +178,27 @@
         if state is not None:
             if event.broken:
                 state.add_break(event.now)
-            elif event.ran is Ran.EXECUTED:
+            elif event.ran is ExecutionStatus.EXECUTED:
                 state.add_answer()
         if pending is None:
             return None
         key = pending.request.refusal_key
         if state is not None and event.retry_after > 0:
             state.refusals.add(event.now, key, event.retry_after)
-        elif state is not None and event.ran is Ran.EXECUTED:
+        elif state is not None and event.ran is ExecutionStatus.EXECUTED:
             state.refusals.forget(key)
-        if event.ran is Ran.EXECUTED or event.delivered:
+        if event.ran is ExecutionStatus.EXECUTED or event.delivered:
             self._budget.add_success()
             del self._pending[event.request_id]
             return Deliver(event.request_id)
-        if event.ran is Ran.UNKNOWN and not pending.request.idempotent:
+        if event.ran is ExecutionStatus.UNKNOWN and not pending.request.idempotent:
             # Another attempt could run it twice; the caller is told the truth.
             pending.may_have_run = True
             return self._refuse(pending, RefuseReason.TARGET_FAILED)
         return self._retry(pending, event)
 
     def _retry(self, pending: _Pending, event: AttemptEnded) -> RoutingDecision:
-        if event.ran is Ran.UNKNOWN:
+        if event.ran is ExecutionStatus.UNKNOWN:
             pending.may_have_run = True
             pending.broken += event.broken
         if event.retry_after > 0:
@@ -206,7 +206,7 @@
             pending.shortest_wait = min(waits)
         if pending.broken >= MAX_BROKEN:
             return self._refuse(pending, RefuseReason.TARGET_FAILED)
-        if event.ran is Ran.NOT_EXECUTED and not event.broken and event.retry_after <= 0:
+        if event.ran is ExecutionStatus.NOT_EXECUTED and not event.broken and event.retry_after <= 0:
             # A leaving or drained target, or a busy one that leaves it to another,
             # turned it away before it could run. That is no load, and it happens to
             # whole data centres at once: paid from the budget it would refuse most of
@@ -229,7 +229,7 @@
         request_id = pending.request.request_id
         del self._pending[request_id]
         wait = pending.shortest_wait or DEFAULT_RETRY_AFTER
-        ran = Ran.UNKNOWN if pending.may_have_run else Ran.NOT_EXECUTED
+        ran = ExecutionStatus.UNKNOWN if pending.may_have_run else ExecutionStatus.NOT_EXECUTED
         return Refuse(request_id, reason, ran, wait, passed_over)
 
     def _change_fleet(self, event: FleetChanged) -> None:
--- a/libraries/decisions/tests/routing_builders.py
+++ b/libraries/decisions/tests/routing_builders.py
@@ -8,7 +8,7 @@
     AttemptEnded,
     Distance,
     FleetChanged,
-    Ran,
+    ExecutionStatus,
     RequestArrived,
     TargetView,
 )
@@ -55,7 +55,7 @@
 def make_end(
     request_id: str,
     target: str,
-    ran: Ran,
+    ran: ExecutionStatus,
     now: float = 0.0,
     retry_after: float = 0.0,
     broken: bool = False,
--- a/libraries/decisions/tests/test_router.py
+++ b/libraries/decisions/tests/test_router.py
@@ -8,7 +8,7 @@
 from bamboopier_decisions.routing.messages import (
     FirstByteCame,
     Obstacle,
-    Ran,
+    ExecutionStatus,
     Refuse,
     RefuseReason,
     Send,
@@ -33,20 +33,20 @@
         router = make_router(2)
         first = router.handle(make_request("r"))
         self.assertIsInstance(first, Send)
-        second = router.handle(make_end("r", first.target, Ran.UNKNOWN, broken=True))
+        second = router.handle(make_end("r", first.target, ExecutionStatus.UNKNOWN, broken=True))
         self.assertIsInstance(second, Send)
-        end = make_end("r", second.target, Ran.NOT_EXECUTED, retry_after=1.0)
+        end = make_end("r", second.target, ExecutionStatus.NOT_EXECUTED, retry_after=1.0)
         refusal = router.handle(end)
         self.assertIsInstance(refusal, Refuse)
-        self.assertIs(refusal.ran, Ran.UNKNOWN)
+        self.assertIs(refusal.ran, ExecutionStatus.UNKNOWN)
 
     def test_an_unknown_outcome_of_a_non_idempotent_request_is_final(self) -> None:
         router = make_router(2)
         request = make_request("r", idempotent=False)
         sent = router.handle(request)
-        refusal = router.handle(make_end("r", sent.target, Ran.UNKNOWN, broken=True))
+        refusal = router.handle(make_end("r", sent.target, ExecutionStatus.UNKNOWN, broken=True))
         self.assertIsInstance(refusal, Refuse)
-        self.assertIs(refusal.ran, Ran.UNKNOWN)
+        self.assertIs(refusal.ran, ExecutionStatus.UNKNOWN)
 
 
 class LeavingTests(unittest.TestCase):
@@ -59,7 +59,7 @@
         router = make_router(4)
         sent = [router.handle(make_request(f"r{n}")) for n in range(50)]
         for number, first in enumerate(sent):
-            again = router.handle(make_end(f"r{number}", first.target, Ran.NOT_EXECUTED))
+            again = router.handle(make_end(f"r{number}", first.target, ExecutionStatus.NOT_EXECUTED))
             self.assertIsInstance(again, Send, number)
             self.assertNotEqual(again.target, first.target)
 
@@ -72,7 +72,7 @@
         router = make_router(2)
         first = router.handle(make_request("r0"))
         self.assertLess(first.max_wait, UNBOUNDED)
-        again = router.handle(make_end("r0", first.target, Ran.NOT_EXECUTED, broken=True))
+        again = router.handle(make_end("r0", first.target, ExecutionStatus.NOT_EXECUTED, broken=True))
         self.assertEqual(again.max_wait, UNBOUNDED)
         # The one that is stopped is passed over for a while.
         alone = router.handle(make_request("r1"))
@@ -87,11 +87,11 @@
         """
         router = make_router(2)
         first = router.handle(make_request("r0"))
-        again = router.handle(make_end("r0", first.target, Ran.UNKNOWN, broken=True))
-        router.handle(make_end("r0", again.target, Ran.EXECUTED))
+        again = router.handle(make_end("r0", first.target, ExecutionStatus.UNKNOWN, broken=True))
+        router.handle(make_end("r0", again.target, ExecutionStatus.EXECUTED))
         sent = router.handle(make_request("r1"))
         self.assertEqual(sent.target, again.target)
-        refusal = router.handle(make_end("r1", sent.target, Ran.NOT_EXECUTED))
+        refusal = router.handle(make_end("r1", sent.target, ExecutionStatus.NOT_EXECUTED))
         self.assertIs(refusal.reason, RefuseReason.OVERLOADED)
         passed_over = {p.target: p.obstacle for p in refusal.passed_over}
         self.assertEqual(
@@ -106,7 +106,7 @@
         for number in range(200):
             decision = router.handle(make_request(f"r{number}", workspace=f"w{number}"))
             while isinstance(decision, Send):
-                end = make_end(f"r{number}", decision.target, Ran.NOT_EXECUTED, retry_after=1.0)
+                end = make_end(f"r{number}", decision.target, ExecutionStatus.NOT_EXECUTED, retry_after=1.0)
                 decision = router.handle(end)
                 extra += isinstance(decision, Send)
         self.assertLessEqual(extra, 10)
@@ -117,7 +117,7 @@
         sends = 0
         while isinstance(decision, Send):
             sends += 1
-            decision = router.handle(make_end("r", decision.target, Ran.NOT_EXECUTED))
+            decision = router.handle(make_end("r", decision.target, ExecutionStatus.NOT_EXECUTED))
         self.assertEqual(sends, 8)
         self.assertIs(decision.reason, RefuseReason.ATTEMPTS)
 
@@ -166,7 +166,7 @@
             decision = router.handle(make_request(f"r{number}", now=now))
             if isinstance(decision, Send):
                 sends += 1
-                end = make_end(f"r{number}", "t0", Ran.NOT_EXECUTED, now, retry_after=10.0 - now)
+                end = make_end(f"r{number}", "t0", ExecutionStatus.NOT_EXECUTED, now, retry_after=10.0 - now)
                 decision = router.handle(end)
             self.assertIsInstance(decision, Refuse)
             self.assertGreater(decision.retry_after, 0)
@@ -176,7 +176,7 @@
     def test_the_refusal_of_one_workspace_does_not_hold_for_another(self) -> None:
         router = make_router(1)
         router.handle(make_request("r1", workspace="hot"))
-        router.handle(make_end("r1", "t0", Ran.NOT_EXECUTED, retry_after=10.0))
+        router.handle(make_end("r1", "t0", ExecutionStatus.NOT_EXECUTED, retry_after=10.0))
         decision = router.handle(make_request("r2", workspace="other"))
         self.assertIsInstance(decision, Send)
 
@@ -194,7 +194,7 @@
             targets.append(sent.target)
             seconds = 1.2 if sent.target in slow else 0.1
             router.handle(FirstByteCame(now + 0.05, name, sent.target, seconds))
-            router.handle(make_end(name, sent.target, Ran.EXECUTED, now + 0.05))
+            router.handle(make_end(name, sent.target, ExecutionStatus.EXECUTED, now + 0.05))
         return targets
 
     def test_it_is_set_aside_and_returns_when_it_is_quick_again(self) -> None:
--- a/libraries/decisions/tests/test_wait_bound.py
+++ b/libraries/decisions/tests/test_wait_bound.py
@@ -17,7 +17,7 @@
     AttemptEnded,
     Distance,
     FleetChanged,
-    Ran,
+    ExecutionStatus,
     RequestArrived,
     Send,
     TargetView,
@@ -65,7 +65,7 @@
             for _ in range(3):
                 assert isinstance(decision, Send), decision
                 tried.append((decision.target, decision.max_wait))
-                ended = AttemptEnded(100.0, name, decision.target, Ran.NOT_EXECUTED)
+                ended = AttemptEnded(100.0, name, decision.target, ExecutionStatus.NOT_EXECUTED)
                 decision = router.handle(ended)
             self.assertEqual(len({target for target, _ in tried}), 3)
             bounds = [bound for _, bound in tried]
--- a/libraries/gateway/src/bamboopier_gateway/attempt.py
+++ b/libraries/gateway/src/bamboopier_gateway/attempt.py
@@ -11,7 +11,7 @@
 
 import grpc
 
-from bamboopier_decisions.routing.messages import Ran
+from bamboopier_decisions.routing.messages import ExecutionStatus
 from bamboopier_protocol import agent_pb2 as pb
 
 from .delivery import find_length
@@ -39,7 +39,7 @@
 class AttemptResult:
     """How an attempt ended."""
 
-    ran: Ran
+    ran: ExecutionStatus
     cause: int = pb.CAUSE_UNSPECIFIED
     detail: str = ""
     # Seconds after which the target expects room again; 0 when it did not say.
@@ -65,7 +65,7 @@
     # Seconds the target may let the call wait before it turns it away.
     max_wait: float = math.inf
     attempt_id: str = field(default_factory=lambda: uuid.uuid4().hex)
-    _result: AttemptResult = field(default_factory=lambda: AttemptResult(Ran.UNKNOWN))
+    _result: AttemptResult = field(default_factory=lambda: AttemptResult(ExecutionStatus.UNKNOWN))
     _expected_sequence: int = 0
     _body_bytes: int = 0
     # The body's length where the target gave one, and what completes it.
@@ -192,7 +192,7 @@
         if finished.body_bytes != self._body_bytes:
             self._break("the answer is not whole")
             return True
-        self._result.ran = Ran.EXECUTED
+        self._result.ran = ExecutionStatus.EXECUTED
         self._result.finished = finished
         try:
             if self._last_chunk:
@@ -208,7 +208,7 @@
 
     def _note_not_run(self, not_run: pb.NotRun) -> None:
         result = self._result
-        result.ran = Ran.NOT_EXECUTED
+        result.ran = ExecutionStatus.NOT_EXECUTED
         result.cause = not_run.cause
         result.detail = not_run.detail
         result.retry_after = not_run.retry_after_ms / _MILLISECONDS
@@ -217,7 +217,7 @@
         result.broken = not_run.cause == pb.TARGET_DOWN
 
     def _break(self, detail: str) -> AttemptResult:
-        self._result.ran = Ran.UNKNOWN
+        self._result.ran = ExecutionStatus.UNKNOWN
         self._result.cause = pb.CONNECTION_LOST
         self._result.detail = detail
         self._result.broken = True
@@ -234,7 +234,7 @@
         # it comes before anything else.
         refused = error.code() is grpc.StatusCode.PERMISSION_DENIED
         if refused or self._was_never_sent(error):
-            broken.ran = Ran.NOT_EXECUTED
+            broken.ran = ExecutionStatus.NOT_EXECUTED
         return broken
 
     def _was_never_sent(self, error: grpc.aio.AioRpcError) -> bool:
--- a/libraries/gateway/src/bamboopier_gateway/errors.py
+++ b/libraries/gateway/src/bamboopier_gateway/errors.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 
 from bamboopier_configuration.errors import BamboopierError
-from bamboopier_decisions.routing.messages import Ran, RefuseReason
+from bamboopier_decisions.routing.messages import ExecutionStatus, RefuseReason
 
 if TYPE_CHECKING:
     from bamboopier_decisions.routing.messages import Refuse
@@ -106,7 +106,7 @@
     message: str
     type: str
     code: ErrorCode
-    ran: Ran
+    ran: ExecutionStatus
     request_id: str
     # Always null; OpenAI's client libraries expect the field.
     param: None = None
@@ -123,7 +123,7 @@
         self,
         code: ErrorCode,
         message: str,
-        ran: Ran = Ran.NOT_EXECUTED,
+        ran: ExecutionStatus = ExecutionStatus.NOT_EXECUTED,
         retry_after: float = 0.0,
     ) -> None:
         super().__init__(message)
@@ -172,7 +172,7 @@
 def make_refusal(refuse: Refuse) -> CallerError:
     """Return the caller's error for a router's refusal."""
     code = _CODES[refuse.reason]
-    if refuse.ran is Ran.UNKNOWN:
+    if refuse.ran is ExecutionStatus.UNKNOWN:
         code = ErrorCode.OUTCOME_UNKNOWN
     message = f"request given up: {refuse.reason.value}"
     return CallerError(code, message, refuse.ran, refuse.retry_after)
--- a/libraries/gateway/src/bamboopier_gateway/forwarder.py
+++ b/libraries/gateway/src/bamboopier_gateway/forwarder.py
@@ -11,7 +11,7 @@
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
     FirstByteCame,
-    Ran,
+    ExecutionStatus,
     Refuse,
     RefuseReason,
     RequestArrived,
@@ -85,16 +85,16 @@
                     return await self._recall(call, result, delivery)
                 if result.cause in _CLAIM_CAUSES:
                     raise _make_claim_refusal(result)
-                if result.cause in _CRASH_CAUSES and result.ran is Ran.UNKNOWN:
+                if result.cause in _CRASH_CAUSES and result.ran is ExecutionStatus.UNKNOWN:
                     self._quarantine.note_break(call, decision.target)
                 decision = self._tell_end(call, decision, result, delivery)
         finally:
             self._router.abandon(call.request_id)
         if isinstance(decision, Refuse):
             return await self._refuse(call, decision, delivery)
-        if delivery.response.prepared and result.ran is not Ran.EXECUTED:
+        if delivery.response.prepared and result.ran is not ExecutionStatus.EXECUTED:
             error = CallerError(
-                ErrorCode.OUTCOME_UNKNOWN, "the answer broke off", Ran.UNKNOWN
+                ErrorCode.OUTCOME_UNKNOWN, "the answer broke off", ExecutionStatus.UNKNOWN
             )
             return await delivery.fail(error)
         return delivery.response
@@ -110,7 +110,7 @@
         stub = await reach(address, left)
         if stub is None:
             return AttemptResult(
-                Ran.NOT_EXECUTED, pb.CONNECTION_LOST, "no connection to the agent", broken=True
+                ExecutionStatus.NOT_EXECUTED, pb.CONNECTION_LOST, "no connection to the agent", broken=True
             )
 
         def note_head(load: pb.LoadReport, seconds: float) -> None:
@@ -150,7 +150,7 @@
             first_byte=result.first_byte,
         )
         self._count(call, result)
-        if result.ran is not Ran.EXECUTED:
+        if result.ran is not ExecutionStatus.EXECUTED:
             _log_failure(call, send, result)
         return self._router.handle(ended)
 
@@ -196,10 +196,10 @@
             raise _make_unknown() from error
         if reply.state == pb.RecallReply.NEVER_RAN:
             message = "an earlier claim of this key never ran and is being released"
-            raise CallerError(ErrorCode.CLAIM_UNAVAILABLE, message, Ran.NOT_EXECUTED, 1.0)
+            raise CallerError(ErrorCode.CLAIM_UNAVAILABLE, message, ExecutionStatus.NOT_EXECUTED, 1.0)
         if reply.state == pb.RecallReply.RUNNING:
             message = "a request with this idempotency key is under way"
-            raise CallerError(ErrorCode.KEY_IN_PROGRESS, message, Ran.UNKNOWN, 1.0)
+            raise CallerError(ErrorCode.KEY_IN_PROGRESS, message, ExecutionStatus.UNKNOWN, 1.0)
         if reply.state != pb.RecallReply.KEPT:
             raise _make_unknown()
         await delivery.begin(reply.head)
@@ -257,7 +257,7 @@
 def _make_claim_refusal(result: AttemptResult) -> CallerError:
     message = _CLAIM_CAUSES[result.cause]
     wait = result.retry_after
-    return CallerError(ErrorCode.CLAIM_UNAVAILABLE, message, Ran.NOT_EXECUTED, wait)
+    return CallerError(ErrorCode.CLAIM_UNAVAILABLE, message, ExecutionStatus.NOT_EXECUTED, wait)
 
 
 def _make_quarantine_refusal(call: Call, wait: float) -> CallerError:
@@ -267,16 +267,16 @@
         workspace=call.workspace,
         service=call.service,
         reason=RefuseReason.QUARANTINED.value,
-        ran=Ran.NOT_EXECUTED.value,
+        ran=ExecutionStatus.NOT_EXECUTED.value,
         retry_after=round(wait, 3),
     )
     message = "this request broke the targets that ran it"
-    return CallerError(ErrorCode.QUARANTINED, message, Ran.NOT_EXECUTED, wait)
+    return CallerError(ErrorCode.QUARANTINED, message, ExecutionStatus.NOT_EXECUTED, wait)
 
 
 def _make_unknown() -> CallerError:
     message = "this idempotency key has been claimed before; its outcome is not known"
-    return CallerError(ErrorCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN)
+    return CallerError(ErrorCode.OUTCOME_UNKNOWN, message, ExecutionStatus.UNKNOWN)
 
 
 def _describe(call: Call) -> RequestArrived:
--- a/libraries/gateway/tests/test_delivery.py
+++ b/libraries/gateway/tests/test_delivery.py
@@ -14,7 +14,7 @@
 from aiohttp import web
 from aiohttp.test_utils import TestClient, TestServer
 
-from bamboopier_decisions.routing.messages import Ran
+from bamboopier_decisions.routing.messages import ExecutionStatus
 from bamboopier_gateway.delivery import Delivery
 from bamboopier_gateway.errors import CallerError, ErrorCode
 from bamboopier_protocol import agent_pb2 as pb
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-ERROR = CallerError(ErrorCode.OUTCOME_UNKNOWN, "broken off", Ran.UNKNOWN)
+ERROR = CallerError(ErrorCode.OUTCOME_UNKNOWN, "broken off", ExecutionStatus.UNKNOWN)
 # Only reached where an answer neither ends nor breaks.
 PATIENCE = aiohttp.ClientTimeout(total=5)
 LENGTH = pb.Header(name="Content-Length", value="10")
--- a/libraries/gateway/tests/test_forwarder.py
+++ b/libraries/gateway/tests/test_forwarder.py
@@ -21,7 +21,7 @@
 from bamboopier_decisions.routing.messages import (
     Distance,
     FleetChanged,
-    Ran,
+    ExecutionStatus,
     TargetView,
 )
 from bamboopier_decisions.routing.router import Router
@@ -123,7 +123,7 @@
         for relay in self.relays:
             relay.cut_unread()
         error = await self.fail_to_forward(make_call(body=ORDER))
-        self.assertEqual((error.ran, error.code), (Ran.NOT_EXECUTED, ErrorCode.OVERLOADED))
+        self.assertEqual((error.ran, error.code), (ExecutionStatus.NOT_EXECUTED, ErrorCode.OVERLOADED))
         self.assertEqual([each.received for each in self.agents], [[], []])
         for relay in self.relays:
             self.assertNotIn(ORDER, relay.taken)
@@ -151,7 +151,7 @@
         self.act = cut
         error = await self.fail_to_forward(make_call(body=ORDER))
         self.assertEqual(
-            (error.ran, error.code), (Ran.UNKNOWN, ErrorCode.OUTCOME_UNKNOWN)
+            (error.ran, error.code), (ExecutionStatus.UNKNOWN, ErrorCode.OUTCOME_UNKNOWN)
         )
         self.assertEqual([len(each.received) for each in self.agents], [1, 0])
 
@@ -173,7 +173,7 @@
         self.agents[0].when_asked = self.relays[0].cut_unread
         error = await self.fail_to_forward(make_call(body=ORDER))
         self.assertEqual(
-            (error.ran, error.code), (Ran.UNKNOWN, ErrorCode.OUTCOME_UNKNOWN)
+            (error.ran, error.code), (ExecutionStatus.UNKNOWN, ErrorCode.OUTCOME_UNKNOWN)
         )
         self.assertEqual([each.received for each in self.agents], [[], []])
 
--- a/libraries/gateway/tests/test_recall.py
+++ b/libraries/gateway/tests/test_recall.py
@@ -14,7 +14,7 @@
 
 import grpc
 
-from bamboopier_decisions.routing.messages import Ran
+from bamboopier_decisions.routing.messages import ExecutionStatus
 from bamboopier_gateway.agents import Agents
 from bamboopier_gateway.attempt import AttemptResult
 from bamboopier_gateway.errors import CallerError, ErrorCode
@@ -59,7 +59,7 @@
         async with asyncio.timeout(HANG_SECONDS), Agents() as agents:
             forwarder = Forwarder(other, other, agents, other, other, other)
             claimed = AttemptResult(
-                Ran.NOT_EXECUTED, pb.KEY_CLAIMED, claimed_by=self.address, claim_id="claim-1"
+                ExecutionStatus.NOT_EXECUTED, pb.KEY_CLAIMED, claimed_by=self.address, claim_id="claim-1"
             )
             call = make_call(deadline=time.monotonic() + seconds)
             delivery: Any = FakeDelivery()
@@ -86,12 +86,12 @@
         self.relay.cut()
         told = await self.ask(PAUSE_SECONDS)
         self.assertEqual(
-            (told.code, told.ran), (ErrorCode.OUTCOME_UNKNOWN, Ran.UNKNOWN)
+            (told.code, told.ran), (ErrorCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN)
         )
 
     async def test_the_holder_stands_still_for_good(self) -> None:
         self.relay.may_pass.clear()
         told = await self.ask(PAUSE_SECONDS)
         self.assertEqual(
-            (told.code, told.ran), (ErrorCode.OUTCOME_UNKNOWN, Ran.UNKNOWN)
+            (told.code, told.ran), (ErrorCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN)
         )
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -10,7 +10,7 @@
 from result import Err
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.routing.messages import Ran
+from bamboopier_decisions.routing.messages import ExecutionStatus
 
 from .answer import BrokenAnswerError
 from .delivery import CallerGoneError
@@ -58,7 +58,7 @@
 class SendResult:
     """How one send ended. ``ran`` is the truth as far as it is known."""
 
-    ran: Ran
+    ran: ExecutionStatus
     cause: Cause = Cause.NONE
     detail: str = ""
     status: int = 0
@@ -113,7 +113,7 @@
         try:
             connection = await self._pool.take(entry, fresh=fresh)
         except ConnectError as error:
-            return SendResult(Ran.NOT_EXECUTED, Cause.CONNECT, str(error))
+            return SendResult(ExecutionStatus.NOT_EXECUTED, Cause.CONNECT, str(error))
         # Nothing may be awaited between these checks and the send: a connection takes
         # up to a second, or as long as this process is suspended, and what held before
         # it may not hold any more.
@@ -126,7 +126,7 @@
             raise
         if isinstance(prepared, Err):
             self._pool.give_back_unused(entry, connection)
-            return SendResult(Ran.NOT_EXECUTED, prepared.err_value)
+            return SendResult(ExecutionStatus.NOT_EXECUTED, prepared.err_value)
         marks, sent_at = prepared.unwrap(), read_clock()
         done = False
         with self._begins.watch(call, marks, connection) as wait:
@@ -135,16 +135,16 @@
                     result = await self._ask(call, sent, wait, delivery)
                 done = True
             except TimeoutError:
-                result = SendResult(Ran.UNKNOWN, Cause.TIMEOUT)
+                result = SendResult(ExecutionStatus.UNKNOWN, Cause.TIMEOUT)
             except BrokenAnswerError as error:
-                result = SendResult(Ran.UNKNOWN, Cause.BROKEN, str(error))
+                result = SendResult(ExecutionStatus.UNKNOWN, Cause.BROKEN, str(error))
             finally:
                 if done:
                     self._pool.give_back(entry, connection)
                 else:
                     self._pool.drop(entry, connection)
         if wait.taken_back and result.cause is Cause.BROKEN:
-            result = SendResult(Ran.UNKNOWN, Cause.OUTDATED)
+            result = SendResult(ExecutionStatus.UNKNOWN, Cause.OUTDATED)
         result.marks, result.sent_at = marks, sent_at
         return result
 
@@ -165,7 +165,7 @@
             await answer.read_all(MAX_HELD_BYTES)
             cause = Cause.MISDIRECTED if said.misdirected else Cause.NOT_RUN
             return SendResult(
-                Ran.NOT_EXECUTED,
+                ExecutionStatus.NOT_EXECUTED,
                 cause,
                 f"status {answer.status}, target {said.target}",
                 answer.status,
@@ -174,7 +174,7 @@
             )
         if not said.sealed and answer.status < 500:
             detail = f"status {answer.status} without a seal"
-            return SendResult(Ran.UNKNOWN, Cause.UNSEALED, detail, answer.status)
+            return SendResult(ExecutionStatus.UNKNOWN, Cause.UNSEALED, detail, answer.status)
         if call.route.streams and answer.status == 200:
             result = await self._pass_stream(
                 call, sent, wait, answer, delivery, started
@@ -194,7 +194,7 @@
         started: float,
     ) -> SendResult:
         body = await answer.read_all(MAX_HELD_BYTES)
-        result = SendResult(Ran.EXECUTED, status=answer.status)
+        result = SendResult(ExecutionStatus.EXECUTED, status=answer.status)
         result.first_byte = read_clock() - started
         held = HeldAnswer(answer.status, answer.headers, body)
         if answer.status >= 500:
@@ -214,7 +214,7 @@
         delivery: Delivery,
         started: float,
     ) -> SendResult:
-        result = SendResult(Ran.EXECUTED, status=answer.status)
+        result = SendResult(ExecutionStatus.EXECUTED, status=answer.status)
         splitter = EventSplitter()
         try:
             while data := await answer.read():
@@ -230,12 +230,12 @@
                 await delivery.write(whole)
                 call.last_event = splitter.last_event
         except BrokenAnswerError as error:
-            result.ran = Ran.UNKNOWN
+            result.ran = ExecutionStatus.UNKNOWN
             result.cause = Cause.BROKEN
             result.detail = str(error)
             return result
         if splitter.rest:
-            result.ran = Ran.UNKNOWN
+            result.ran = ExecutionStatus.UNKNOWN
             result.cause = Cause.BROKEN
             result.detail = "the stream ended within an event"
             return result
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -13,7 +13,7 @@
 from bamboopier_decisions.forwarding.waiting import draw_return, limit_wait
 
 from .exchange import Cause
-from .refusals import CallerError, ErrorCode, Ran
+from .refusals import CallerError, ErrorCode, ExecutionStatus
 from .send_log import SendLog
 
 if TYPE_CHECKING:
@@ -109,7 +109,7 @@
             self._send_log.note(call, sent, result)
             if result.delivered:
                 return
-            if result.ran is not Ran.NOT_EXECUTED:
+            if result.ran is not ExecutionStatus.NOT_EXECUTED:
                 runs += 1
                 call.may_have_run = True
             if not await self._goes_on(call, result, delivery, runs, share):
@@ -199,11 +199,11 @@
             tried=call.tried,
         )
         if call.may_have_run:
-            return CallerError(ErrorCode.OUTCOME_UNKNOWN, code.value, Ran.UNKNOWN)
+            return CallerError(ErrorCode.OUTCOME_UNKNOWN, code.value, ExecutionStatus.UNKNOWN)
         limited = placement.limited
         room_in = limited.next_at - now if limited.only and limited.count else 0.0
         wait = draw_return(call.timeout - now, self._random, room_in)
-        return CallerError(code, "no target has room", Ran.NOT_EXECUTED, wait)
+        return CallerError(code, "no target has room", ExecutionStatus.NOT_EXECUTED, wait)
 
     def _check_currency(self, call: Call, now: float) -> None:
         """Refuse a request with a key once the key may have been taken away."""
@@ -213,7 +213,7 @@
             return
         if call.may_have_run:
             message = "the configuration became too old to send this again"
-            raise CallerError(ErrorCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN)
+            raise CallerError(ErrorCode.OUTCOME_UNKNOWN, message, ExecutionStatus.UNKNOWN)
         raise make_stale_refusal(self._knowledge, now)
 
     def _check_breaks(self, call: Call) -> None:
@@ -221,7 +221,7 @@
         wait = self._breaks.find_wait(call.fingerprint)
         if wait > 0:
             message = "this request broke the targets that ran it"
-            raise CallerError(ErrorCode.OVERLOADED, message, Ran.NOT_EXECUTED, wait)
+            raise CallerError(ErrorCode.OVERLOADED, message, ExecutionStatus.NOT_EXECUTED, wait)
 
     def _judge(self, call: Call, sent: Sent, result: SendResult) -> None:
         """Take in what a send says of its target."""
@@ -273,12 +273,12 @@
             code = ErrorCode.DEADLINE
             if result.cause not in (Cause.TIMEOUT, Cause.LATE):
                 code = ErrorCode.OUTCOME_UNKNOWN
-            raise CallerError(code, result.cause.value, Ran.UNKNOWN)
+            raise CallerError(code, result.cause.value, ExecutionStatus.UNKNOWN)
         now = read_clock()
         # The caller may wait longer than its route allows, and come back.
         end = call.timeout if now < call.timeout else call.deadline
         wait = draw_return(max(0.0, end - now), self._random)
-        raise CallerError(ErrorCode.OVERLOADED, result.cause.value, Ran.NOT_EXECUTED, wait)
+        raise CallerError(ErrorCode.OVERLOADED, result.cause.value, ExecutionStatus.NOT_EXECUTED, wait)
 
     def _may_send_again(
         self, call: Call, result: SendResult, delivery: Delivery, runs: int
@@ -287,7 +287,7 @@
             return False
         if result.cause is Cause.TIMEOUT:
             return False
-        if result.ran is Ran.NOT_EXECUTED:
+        if result.ran is ExecutionStatus.NOT_EXECUTED:
             return not delivery.begun or call.last_event is not None
         if runs >= call.route.max_targets:
             return False
@@ -304,4 +304,4 @@
     """Return the refusal for keys that may have been taken away meanwhile."""
     age = knowledge.currency.find_age(now)
     message = f"the configuration was last confirmed {age:.1f} s ago"
-    return CallerError(ErrorCode.STALE_CONFIGURATION, message, Ran.NOT_EXECUTED, 1.0)
+    return CallerError(ErrorCode.STALE_CONFIGURATION, message, ExecutionStatus.NOT_EXECUTED, 1.0)
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -16,7 +16,7 @@
 from .delivery import CallerGoneError, Delivery
 from .forwarder import make_stale_refusal
 from .messages import Call, make_fingerprint
-from .refusals import CallerError, ErrorCode, Ran, list_headers
+from .refusals import CallerError, ErrorCode, ExecutionStatus, list_headers
 
 if TYPE_CHECKING:
     import random
@@ -102,7 +102,7 @@
             raise
         except Exception:
             log.exception("request failed", request_id=trace.request_id)
-            ran = Ran.UNKNOWN if trace.sent else Ran.NOT_EXECUTED
+            ran = ExecutionStatus.UNKNOWN if trace.sent else ExecutionStatus.NOT_EXECUTED
             fault = CallerError(ErrorCode.INTERNAL, "internal error", ran)
             await self._fail(request, delivery, trace, fault)
         finally:
@@ -124,12 +124,12 @@
     ) -> None:
         if self.refusing:
             message = "this process is stopping"
-            raise CallerError(ErrorCode.STOPPING, message, Ran.NOT_EXECUTED, STOPPING_SECONDS)
+            raise CallerError(ErrorCode.STOPPING, message, ExecutionStatus.NOT_EXECUTED, STOPPING_SECONDS)
         table = self._knowledge.table
         if table is None:
             message = "no configuration is known yet"
             raise CallerError(
-                ErrorCode.STALE_CONFIGURATION, message, Ran.NOT_EXECUTED, STARTING_SECONDS
+                ErrorCode.STALE_CONFIGURATION, message, ExecutionStatus.NOT_EXECUTED, STARTING_SECONDS
             )
         marks = self._read_marks(request, trace)
         path = request.raw_path.partition("?")[0]
--- a/libraries/proxy/src/bamboopier_proxy/refusals.py
+++ b/libraries/proxy/src/bamboopier_proxy/refusals.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
-from bamboopier_decisions.routing.messages import Ran
+from bamboopier_decisions.routing.messages import ExecutionStatus
 from bamboopier_gateway.errors import CallerError, ErrorCode
 
 if TYPE_CHECKING:
     from .messages import HeaderList
 
-__all__ = ["CallerError", "ErrorCode", "Ran", "list_headers"]
+__all__ = ["CallerError", "ErrorCode", "ExecutionStatus", "list_headers"]
 
 
 def list_headers(error: CallerError, request_id: str) -> HeaderList:
--- a/libraries/proxy/tests/test_sends.py
+++ b/libraries/proxy/tests/test_sends.py
@@ -8,7 +8,7 @@
 
 import unittest
 
-from bamboopier_proxy.refusals import CallerError, ErrorCode, Ran
+from bamboopier_proxy.refusals import CallerError, ErrorCode, ExecutionStatus
 
 from .forwarder_builders import (
     KEY_SECONDS,
@@ -54,7 +54,7 @@
         # same: a van was dispatched for a caller who was told the end, or had left.
         self.pass_seconds(TIMEOUT_SECONDS + 1)
         error = await self.expect_refusal()
-        self.assertIs(error.ran, Ran.NOT_EXECUTED)
+        self.assertIs(error.ran, ExecutionStatus.NOT_EXECUTED)
         self.assertFalse(self.lab.breaks.note_break.called)
         standing = self.lab.fleet.list_service("desk", 0.0)[0].standing
         self.assertEqual(standing.failing_share, 0.0)
@@ -66,7 +66,7 @@
         state.limit.note_named(self.lab.clock.now, 0.5)
         with self.assertRaises(CallerError) as caught:
             await self.lab.forward()
-        self.assertIs(caught.exception.ran, Ran.NOT_EXECUTED)
+        self.assertIs(caught.exception.ran, ExecutionStatus.NOT_EXECUTED)
         # Callers wait for a third of the time that they have at the most.
         least = min(2.0, 0.3 * TIMEOUT_SECONDS)
         self.assertGreaterEqual(caught.exception.retry_after, least)
@@ -79,7 +79,7 @@
         self.pass_seconds(0.9)
         error = await self.expect_refusal()
         self.assertIs(error.code, ErrorCode.STALE_CONFIGURATION)
-        self.assertIs(error.ran, Ran.NOT_EXECUTED)
+        self.assertIs(error.ran, ExecutionStatus.NOT_EXECUTED)
         await self.lab.forward(keyed=False)
         self.assertEqual(len(self.lab.pool.heads), 1)
 
@@ -91,7 +91,7 @@
         self.lab.weights.name(MODEL, 2, now - VERSION_SECONDS + 2.6 + 0.5)
         self.pass_seconds(0.9)
         error = await self.expect_refusal(keyed=False, prompt=True)
-        self.assertIs(error.ran, Ran.NOT_EXECUTED)
+        self.assertIs(error.ran, ExecutionStatus.NOT_EXECUTED)
 
 
 if __name__ == "__main__":
--- a/tools/bench_context/drive.py
+++ b/tools/bench_context/drive.py
@@ -23,7 +23,7 @@
     AttemptEnded,
     Distance,
     FleetChanged,
-    Ran,
+    ExecutionStatus,
     RequestArrived,
     Send,
     TargetLoad,
@@ -138,7 +138,7 @@
         )
         assert isinstance(decision, Send)
         name = decision.target
-        self.router.handle(AttemptEnded(now, request_id, name, Ran.EXECUTED))
+        self.router.handle(AttemptEnded(now, request_id, name, ExecutionStatus.EXECUTED))
         return next(engine for engine in self.engines if engine.name == name)
 
     def _fetch(self, now: float, engine: Engine, prompt: Prompt) -> float:
--- a/tools/bench_load/baselines.py
+++ b/tools/bench_load/baselines.py
@@ -15,7 +15,7 @@
     AttemptEnded,
     Deliver,
     FleetChanged,
-    Ran,
+    ExecutionStatus,
     Refuse,
     RefuseReason,
     RequestArrived,
@@ -93,7 +93,7 @@
         elif isinstance(event, AttemptEnded):
             if event.target in self._open:
                 self._open[event.target] -= 1
-            if event.ran is Ran.EXECUTED or event.delivered:
+            if event.ran is ExecutionStatus.EXECUTED or event.delivered:
                 return Deliver(event.request_id)
             reason = RefuseReason.TARGET_FAILED
             return Refuse(event.request_id, reason, event.ran, 1.0)
--- a/tools/bench_load/cost.py
+++ b/tools/bench_load/cost.py
@@ -23,7 +23,7 @@
     Distance,
     FirstByteCame,
     FleetChanged,
-    Ran,
+    ExecutionStatus,
     RequestArrived,
     Send,
     TargetLoad,
@@ -79,7 +79,7 @@
             raise AssertionError(sent)
         router.handle(TargetReported(now, sent.target, load))
         router.handle(FirstByteCame(now, str(number), sent.target, 0.1))
-        router.handle(AttemptEnded(now, str(number), sent.target, Ran.EXECUTED))
+        router.handle(AttemptEnded(now, str(number), sent.target, ExecutionStatus.EXECUTED))
     whole = time.perf_counter() - started
     scale = MICROSECONDS / REQUESTS
     return choosing * scale, whole * scale
--- a/tools/bench_load/simulation.py
+++ b/tools/bench_load/simulation.py
@@ -24,7 +24,7 @@
     Distance,
     FirstByteCame,
     FleetChanged,
-    Ran,
+    ExecutionStatus,
     Refuse,
     RequestArrived,
     Send,
@@ -178,7 +178,7 @@
         order = attempt.order
         self._attempts[attempt.ask_id] = attempt
         if not self.engine.up:
-            self._fail(attempt.ask_id, Ran.NOT_EXECUTED)
+            self._fail(attempt.ask_id, ExecutionStatus.NOT_EXECUTED)
             return
         work = WorkArrived(
             now=self._clock.now,
@@ -209,7 +209,7 @@
             self.tell(WorkEnded(self._clock.now, ask_id, False, cancelled=True))
             return
         if not self.engine.up:
-            self._fail(ask_id, Ran.NOT_EXECUTED)
+            self._fail(ask_id, ExecutionStatus.NOT_EXECUTED)
             return
         self.engine.run(
             ask_id,
@@ -230,9 +230,9 @@
         attempt = self._attempts.pop(ask_id)
         tokens = attempt.order.output_tokens
         self.tell(WorkEnded(self._clock.now, ask_id, True, tokens))
-        self._answer(attempt, Ran.EXECUTED)
+        self._answer(attempt, ExecutionStatus.EXECUTED)
 
-    def _fail(self, ask_id: str, ran: Ran = Ran.UNKNOWN) -> None:
+    def _fail(self, ask_id: str, ran: ExecutionStatus = ExecutionStatus.UNKNOWN) -> None:
         attempt = self._attempts.pop(ask_id)
         self.tell(WorkWithdrawn(self._clock.now, ask_id))
         self.tell(WorkEnded(self._clock.now, ask_id, answered=False))
@@ -241,7 +241,7 @@
     def _reject(self, reject: Reject) -> None:
         attempt = self._attempts.pop(reject.request_id, None)
         if attempt is not None:
-            self._answer(attempt, Ran.NOT_EXECUTED, reject.retry_after)
+            self._answer(attempt, ExecutionStatus.NOT_EXECUTED, reject.retry_after)
 
     def _cancel(self, ask_id: str) -> None:
         """The caller left at its deadline."""
@@ -255,7 +255,7 @@
         self._simulation.abandon(order_id)
 
     def _answer(
-        self, attempt: _Attempt, ran: Ran, wait: float = 0.0, broken: bool = False
+        self, attempt: _Attempt, ran: ExecutionStatus, wait: float = 0.0, broken: bool = False
     ) -> None:
         ended = AttemptEnded(
             now=self._clock.now + HOP_SECONDS,
@@ -264,7 +264,7 @@
             ran=ran,
             retry_after=wait,
             broken=broken,
-            delivered=attempt.first_byte > 0 and ran is not Ran.NOT_EXECUTED,
+            delivered=attempt.first_byte > 0 and ran is not ExecutionStatus.NOT_EXECUTED,
             first_byte=attempt.first_byte,
         )
         load = self.report()
@@ -370,9 +370,9 @@
             block_keys=keys,
             priority=order.priority,
         )
-        self._follow(order, router.handle(event), Ran.NOT_EXECUTED)
+        self._follow(order, router.handle(event), ExecutionStatus.NOT_EXECUTED)
 
-    def _follow(self, order: Order, decision: RoutingDecision | None, ran: Ran) -> None:
+    def _follow(self, order: Order, decision: RoutingDecision | None, ran: ExecutionStatus) -> None:
         if isinstance(decision, Send):
             order.targets.append(decision.target)
             sent = self.clock.now
@@ -383,7 +383,7 @@
             self.clock.call_later(HOP_SECONDS, lambda: agent.serve(attempt))
         elif isinstance(decision, Refuse):
             self._refuse(order, decision.retry_after)
-        elif ran is Ran.EXECUTED:
+        elif ran is ExecutionStatus.EXECUTED:
             order.finished = self.clock.now
         else:
             order.first_token = 0.0
