--- a/libraries/agent/src/bamboopier_agent/gate.py
+++ b/libraries/agent/src/bamboopier_agent/gate.py
@@ -20,7 +20,7 @@
     from collections.abc import AsyncIterator
 
     from bamboopier_decisions.admission.admission import Admission
-    from bamboopier_decisions.admission.messages import AdmissionEvent, WorkArrived
+    from bamboopier_decisions.admission.messages import AdmissionEvent, AdmissionRequested
 
 TICK_SECONDS = 0.1
 
@@ -66,7 +66,7 @@
         self._idle.set()
 
     @asynccontextmanager
-    async def enter(self, work: WorkArrived) -> AsyncIterator[Entry]:
+    async def enter(self, work: AdmissionRequested) -> AsyncIterator[Entry]:
         """Wait for a place; the entry says whether there is one."""
         waiter = asyncio.get_running_loop().create_future()
         self._waiters[work.request_id] = waiter
--- a/libraries/agent/src/bamboopier_agent/service.py
+++ b/libraries/agent/src/bamboopier_agent/service.py
@@ -10,7 +10,7 @@
 import structlog
 from result import Err
 
-from bamboopier_decisions.admission.messages import WorkArrived
+from bamboopier_decisions.admission.messages import AdmissionRequested
 from bamboopier_decisions.claims.table import Verdict
 from bamboopier_protocol import agent_pb2 as pb, agent_pb2_grpc
 
@@ -203,9 +203,9 @@
             return answer.make_not_run(pb.WRONG_VERSION, detail=self._watch.version)
         return None
 
-    def _describe(self, request: pb.ServeRequest, stream: EventStream) -> WorkArrived:
+    def _describe(self, request: pb.ServeRequest, stream: EventStream) -> AdmissionRequested:
         workspace = self._follower.directory.workspaces.get(request.workspace)
-        return WorkArrived(
+        return AdmissionRequested(
             now=time.monotonic(),
             request_id=request.attempt_id,
             workspace=request.workspace,
--- a/libraries/decisions/src/bamboopier_decisions/admission/admission.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/admission.py
@@ -30,7 +30,7 @@
     StopRequested,
     TargetRestarted,
     Tick,
-    WorkArrived,
+    AdmissionRequested,
     WorkEnded,
     WorkWithdrawn,
 )
@@ -55,7 +55,7 @@
 
     __slots__ = ("first", "started", "work", "work_arrived")
 
-    def __init__(self, work: Waiting, arrived: WorkArrived, started: float) -> None:
+    def __init__(self, work: Waiting, arrived: AdmissionRequested, started: float) -> None:
         self.work = work
         self.work_arrived = arrived
         self.started = started
@@ -71,7 +71,7 @@
         self._max_waiting = max_waiting
         self._limit = ConcurrencyLimit(max_running)
         self._queue = FairQueue()
-        self._arrived: dict[str, WorkArrived] = {}
+        self._arrived: dict[str, AdmissionRequested] = {}
         self._running: dict[str, _Running] = {}
         self._stopping = False
         self._estimates = WorkEstimates()
@@ -127,7 +127,7 @@
 
     def _decide(self, event: AdmissionEvent) -> list[AdmissionDecision]:
         match event:
-            case WorkArrived():
+            case AdmissionRequested():
                 return self._arrive(event)
             case FirstToken():
                 self._note_first(event)
@@ -149,7 +149,7 @@
             case Tick():
                 return self._tick(event.now)
 
-    def _arrive(self, event: WorkArrived) -> list[AdmissionDecision]:
+    def _arrive(self, event: AdmissionRequested) -> list[AdmissionDecision]:
         if self._stopping:
             return [Reject(event.request_id, RejectReason.STOPPING, 0.0)]
         work = self._estimates.estimate(event.prompt_tokens, event.max_tokens)
@@ -182,7 +182,7 @@
         self._arrived[event.request_id] = event
         return decisions + self._start_next(event.now)
 
-    def _is_hopeless(self, waiting: Waiting, event: WorkArrived, wait: float) -> bool:
+    def _is_hopeless(self, waiting: Waiting, event: AdmissionRequested, wait: float) -> bool:
         """Say whether a request cannot be answered in time.
 
         With a slot free it is tried: it takes nobody's place, and the estimate of its
--- a/libraries/decisions/src/bamboopier_decisions/admission/messages.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/messages.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorkArrived:
+class AdmissionRequested:
     """A gateway asks this target to run a request."""
 
     now: float
@@ -117,7 +117,7 @@
 
 
 AdmissionEvent = (
-    WorkArrived
+    AdmissionRequested
     | FirstToken
     | WorkEnded
     | WorkWithdrawn
--- a/libraries/decisions/tests/test_admission.py
+++ b/libraries/decisions/tests/test_admission.py
@@ -18,7 +18,7 @@
     StopRequested,
     TargetRestarted,
     Tick,
-    WorkArrived,
+    AdmissionRequested,
     WorkEnded,
     WorkWithdrawn,
 )
@@ -28,8 +28,8 @@
 
 def make_work(
     number: int, now: float, workspace: str = "a", patience: float = 60.0
-) -> WorkArrived:
-    return WorkArrived(
+) -> AdmissionRequested:
+    return AdmissionRequested(
         now, f"r{number}", workspace, 1.0, 0, now + patience, 800, max_tokens=64
     )
 
@@ -200,7 +200,7 @@
             now = float(number * 10)
             name = f"r{number}"
             admission.handle(
-                WorkArrived(now, name, "a", 1.0, 0, now + 60, 8, max_tokens=tokens)
+                AdmissionRequested(now, name, "a", 1.0, 0, now + 60, 8, max_tokens=tokens)
             )
             admission.handle(FirstToken(now + 0.02, name, 0))
             ended = WorkEnded(now + seconds, name, True, tokens)
@@ -210,7 +210,7 @@
         """Ask for 1,600 tokens within a minute while others run; return the answer."""
         for number in range(running):
             admission.handle(make_work(1000 + number, 1e4, patience=600.0))
-        arrived = WorkArrived(1e4, "long", "a", 1.0, 0, 1e4 + 60, 800, max_tokens=1600)
+        arrived = AdmissionRequested(1e4, "long", "a", 1.0, 0, 1e4 + 60, 800, max_tokens=1600)
         return admission.handle(arrived)
 
     def test_two_token_answers_do_not_make_a_long_one_look_hopeless(self) -> None:
@@ -238,7 +238,7 @@
             decision
             for number in range(12)
             for decision in admission.handle(
-                WorkArrived(
+                AdmissionRequested(
                     1e4, f"s{number}", "a", 1.0, 0, 1e4 + 60, 8, max_tokens=1600
                 )
             )
--- a/libraries/decisions/tests/test_wait_bound.py
+++ b/libraries/decisions/tests/test_wait_bound.py
@@ -10,7 +10,7 @@
     Reject,
     RejectReason,
     Start,
-    WorkArrived,
+    AdmissionRequested,
     WorkEnded,
 )
 from bamboopier_decisions.routing.messages import (
@@ -30,10 +30,10 @@
 REQUESTS = 200
 
 
-def build_work(number: int, max_wait: float) -> WorkArrived:
+def build_work(number: int, max_wait: float) -> AdmissionRequested:
     """Return a request that takes the target some seconds."""
     name = f"r{number}"
-    return WorkArrived(0.0, name, "w", 1.0, 0, 60.0, 4000, 400, max_wait)
+    return AdmissionRequested(0.0, name, "w", 1.0, 0, 60.0, 4000, 400, max_wait)
 
 
 class WaitBoundTests(unittest.TestCase):
--- a/tools/bench_load/baselines.py
+++ b/tools/bench_load/baselines.py
@@ -7,7 +7,7 @@
 
 from bamboopier_decisions.admission.messages import (
     Start,
-    WorkArrived,
+    AdmissionRequested,
     WorkEnded,
     WorkWithdrawn,
 )
@@ -59,7 +59,7 @@
 
     def handle(self, event: AdmissionEvent) -> list[AdmissionDecision]:
         """Start what there is a slot for."""
-        if isinstance(event, WorkArrived):
+        if isinstance(event, AdmissionRequested):
             self._queue.append(event.request_id)
         elif isinstance(event, WorkEnded):
             self._running.discard(event.request_id)
--- a/tools/bench_load/cost.py
+++ b/tools/bench_load/cost.py
@@ -15,7 +15,7 @@
 from bamboopier_decisions.admission.messages import (
     Start,
     Tick,
-    WorkArrived,
+    AdmissionRequested,
     WorkEnded,
 )
 from bamboopier_decisions.routing.messages import (
@@ -104,7 +104,7 @@
 
     def arrive(number: int, now: float) -> None:
         workspace = f"w{number % workspaces}"
-        work = WorkArrived(
+        work = AdmissionRequested(
             now, str(number), workspace, 1.0, 0, now + 1e6, 800 + number % 97, 256
         )
         for decision in admission.handle(work):
--- a/tools/bench_load/simulation.py
+++ b/tools/bench_load/simulation.py
@@ -15,7 +15,7 @@
     StopRequested,
     TargetRestarted,
     Tick,
-    WorkArrived,
+    AdmissionRequested,
     WorkEnded,
     WorkWithdrawn,
 )
@@ -180,7 +180,7 @@
         if not self.engine.up:
             self._fail(attempt.ask_id, ExecutionStatus.NOT_EXECUTED)
             return
-        work = WorkArrived(
+        work = AdmissionRequested(
             now=self._clock.now,
             request_id=attempt.ask_id,
             workspace=order.workspace,
