--- a/libraries/agent/src/bamboopier_agent/gate.py
+++ b/libraries/agent/src/bamboopier_agent/gate.py
@@ -12,7 +12,7 @@
     Reject,
     Start,
     Tick,
-    WorkEnded,
+    RequestFinished,
     WorkWithdrawn,
 )
 
@@ -111,11 +111,11 @@
         self._waiters.pop(request_id, None)
         now = time.monotonic()
         self.tell(WorkWithdrawn(now, request_id))
-        self.tell(WorkEnded(now, request_id, answered=False, cancelled=True))
+        self.tell(RequestFinished(now, request_id, answered=False, cancelled=True))
 
 
-def _describe_end(entry: Entry, request_id: str) -> WorkEnded:
-    return WorkEnded(
+def _describe_end(entry: Entry, request_id: str) -> RequestFinished:
+    return RequestFinished(
         now=time.monotonic(),
         request_id=request_id,
         answered=entry.answered,
--- a/libraries/decisions/src/bamboopier_decisions/admission/admission.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/admission.py
@@ -31,7 +31,7 @@
     TargetRestarted,
     Tick,
     AdmissionRequested,
-    WorkEnded,
+    RequestFinished,
     WorkWithdrawn,
 )
 from .retry_hints import RetryHints
@@ -132,7 +132,7 @@
             case FirstToken():
                 self._note_first(event)
                 return []
-            case WorkEnded():
+            case RequestFinished():
                 return self._end(event)
             case WorkWithdrawn():
                 self._queue.remove(event.request_id)
@@ -260,7 +260,7 @@
         prompt_tokens = running.work_arrived.prompt_tokens
         self._estimates.add_first(prompt_tokens, new_tokens, seconds)
 
-    def _end(self, event: WorkEnded) -> list[AdmissionDecision]:
+    def _end(self, event: RequestFinished) -> list[AdmissionDecision]:
         running = self._running.get(event.request_id)
         if running is None:
             return []
@@ -277,7 +277,7 @@
             self._limit.add_failure()
         return self._start_next(event.now)
 
-    def _learn(self, event: WorkEnded, running: _Running, seconds: float) -> None:
+    def _learn(self, event: RequestFinished, running: _Running, seconds: float) -> None:
         decode = event.now - (running.first or running.started)
         arrived = running.work_arrived
         tokens = event.output_tokens
--- a/libraries/decisions/src/bamboopier_decisions/admission/messages.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/messages.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorkEnded:
+class RequestFinished:
     """A started request is over; ``answered`` when the target finished it."""
 
     now: float
@@ -119,7 +119,7 @@
 AdmissionEvent = (
     AdmissionRequested
     | FirstToken
-    | WorkEnded
+    | RequestFinished
     | WorkWithdrawn
     | TargetRestarted
     | StopRequested
--- a/libraries/decisions/tests/test_admission.py
+++ b/libraries/decisions/tests/test_admission.py
@@ -19,7 +19,7 @@
     TargetRestarted,
     Tick,
     AdmissionRequested,
-    WorkEnded,
+    RequestFinished,
     WorkWithdrawn,
 )
 
@@ -75,7 +75,7 @@
     def end(self, pick: int, how: str) -> None:
         if self.running:
             name = self.running.pop(pick % len(self.running))
-            ended = WorkEnded(self.now, name, how == "a", 30, cancelled=how == "c")
+            ended = RequestFinished(self.now, name, how == "a", 30, cancelled=how == "c")
             self.tell(ended)
 
     @rule(pick=st.integers(0, 7))
@@ -187,7 +187,7 @@
         admission = Admission(32, 64, Random(1))
         for number in range(100):
             admission.handle(make_work(number, float(number)))
-            left = WorkEnded(number + 0.5, f"r{number}", False, cancelled=True)
+            left = RequestFinished(number + 0.5, f"r{number}", False, cancelled=True)
             admission.handle(left)
         self.assertEqual(admission.limit, 2)
 
@@ -203,7 +203,7 @@
                 AdmissionRequested(now, name, "a", 1.0, 0, now + 60, 8, max_tokens=tokens)
             )
             admission.handle(FirstToken(now + 0.02, name, 0))
-            ended = WorkEnded(now + seconds, name, True, tokens)
+            ended = RequestFinished(now + seconds, name, True, tokens)
             admission.handle(ended)
 
     def ask_long(self, admission: Admission, running: int) -> object:
--- a/tools/bench_load/baselines.py
+++ b/tools/bench_load/baselines.py
@@ -8,7 +8,7 @@
 from bamboopier_decisions.admission.messages import (
     Start,
     AdmissionRequested,
-    WorkEnded,
+    RequestFinished,
     WorkWithdrawn,
 )
 from bamboopier_decisions.routing.messages import (
@@ -61,7 +61,7 @@
         """Start what there is a slot for."""
         if isinstance(event, AdmissionRequested):
             self._queue.append(event.request_id)
-        elif isinstance(event, WorkEnded):
+        elif isinstance(event, RequestFinished):
             self._running.discard(event.request_id)
         elif isinstance(event, WorkWithdrawn) and event.request_id in self._queue:
             self._queue.remove(event.request_id)
--- a/tools/bench_load/cost.py
+++ b/tools/bench_load/cost.py
@@ -16,7 +16,7 @@
     Start,
     Tick,
     AdmissionRequested,
-    WorkEnded,
+    RequestFinished,
 )
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
@@ -120,7 +120,7 @@
         # A shorter time than counts as a standing queue, which is kept short.
         now = step / REQUESTS
         arrive(waiting + 2 + step, now)
-        ended = WorkEnded(now, running.pop(0), False, cancelled=True)
+        ended = RequestFinished(now, running.pop(0), False, cancelled=True)
         running.extend(d.request_id for d in admission.handle(ended))
     each = (time.perf_counter() - started) / REQUESTS * MICROSECONDS
     started = time.perf_counter()
--- a/tools/bench_load/simulation.py
+++ b/tools/bench_load/simulation.py
@@ -16,7 +16,7 @@
     TargetRestarted,
     Tick,
     AdmissionRequested,
-    WorkEnded,
+    RequestFinished,
     WorkWithdrawn,
 )
 from bamboopier_decisions.routing.messages import (
@@ -206,7 +206,7 @@
     def _start(self, ask_id: str) -> None:
         attempt = self._attempts.get(ask_id)
         if attempt is None:
-            self.tell(WorkEnded(self._clock.now, ask_id, False, cancelled=True))
+            self.tell(RequestFinished(self._clock.now, ask_id, False, cancelled=True))
             return
         if not self.engine.up:
             self._fail(ask_id, ExecutionStatus.NOT_EXECUTED)
@@ -229,13 +229,13 @@
     def _finish(self, ask_id: str) -> None:
         attempt = self._attempts.pop(ask_id)
         tokens = attempt.order.output_tokens
-        self.tell(WorkEnded(self._clock.now, ask_id, True, tokens))
+        self.tell(RequestFinished(self._clock.now, ask_id, True, tokens))
         self._answer(attempt, ExecutionStatus.EXECUTED)
 
     def _fail(self, ask_id: str, ran: ExecutionStatus = ExecutionStatus.UNKNOWN) -> None:
         attempt = self._attempts.pop(ask_id)
         self.tell(WorkWithdrawn(self._clock.now, ask_id))
-        self.tell(WorkEnded(self._clock.now, ask_id, answered=False))
+        self.tell(RequestFinished(self._clock.now, ask_id, answered=False))
         self._answer(attempt, ran, broken=True)
 
     def _reject(self, reject: Reject) -> None:
@@ -251,7 +251,7 @@
         order_id = str(attempt.order.order_id)
         self.engine.cancel(ask_id)
         self.tell(WorkWithdrawn(self._clock.now, ask_id))
-        self.tell(WorkEnded(self._clock.now, ask_id, False, cancelled=True))
+        self.tell(RequestFinished(self._clock.now, ask_id, False, cancelled=True))
         self._simulation.abandon(order_id)
 
     def _answer(
