--- a/libraries/agent/src/bamboopier_agent/gate.py
+++ b/libraries/agent/src/bamboopier_agent/gate.py
@@ -13,7 +13,7 @@
     Start,
     Tick,
     RequestFinished,
-    WorkWithdrawn,
+    RequestCancelled,
 )
 
 if TYPE_CHECKING:
@@ -110,7 +110,7 @@
         """Undo a request whose gateway left while it waited or as it was let in."""
         self._waiters.pop(request_id, None)
         now = time.monotonic()
-        self.tell(WorkWithdrawn(now, request_id))
+        self.tell(RequestCancelled(now, request_id))
         self.tell(RequestFinished(now, request_id, answered=False, cancelled=True))
 
 
--- a/libraries/decisions/src/bamboopier_decisions/admission/admission.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/admission.py
@@ -32,7 +32,7 @@
     Tick,
     AdmissionRequested,
     RequestFinished,
-    WorkWithdrawn,
+    RequestCancelled,
 )
 from .retry_hints import RetryHints
 
@@ -134,7 +134,7 @@
                 return []
             case RequestFinished():
                 return self._end(event)
-            case WorkWithdrawn():
+            case RequestCancelled():
                 self._queue.remove(event.request_id)
                 self._arrived.pop(event.request_id, None)
                 return []
--- a/libraries/decisions/src/bamboopier_decisions/admission/messages.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/messages.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorkWithdrawn:
+class RequestCancelled:
     """The gateway cancelled a request that may still be waiting."""
 
     now: float
@@ -120,7 +120,7 @@
     AdmissionRequested
     | FirstToken
     | RequestFinished
-    | WorkWithdrawn
+    | RequestCancelled
     | TargetRestarted
     | StopRequested
     | ResumeRequested
--- a/libraries/decisions/tests/test_admission.py
+++ b/libraries/decisions/tests/test_admission.py
@@ -20,7 +20,7 @@
     Tick,
     AdmissionRequested,
     RequestFinished,
-    WorkWithdrawn,
+    RequestCancelled,
 )
 
 MAX_WAITING = 5
@@ -83,7 +83,7 @@
         if self.waiting:
             name = sorted(self.waiting)[pick % len(self.waiting)]
             self.waiting.discard(name)
-            self.tell(WorkWithdrawn(self.now, name))
+            self.tell(RequestCancelled(self.now, name))
 
     @rule(seconds=st.floats(0.01, 5.0))
     def wait(self, seconds: float) -> None:
--- a/tools/bench_load/baselines.py
+++ b/tools/bench_load/baselines.py
@@ -9,7 +9,7 @@
     Start,
     AdmissionRequested,
     RequestFinished,
-    WorkWithdrawn,
+    RequestCancelled,
 )
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
@@ -63,7 +63,7 @@
             self._queue.append(event.request_id)
         elif isinstance(event, RequestFinished):
             self._running.discard(event.request_id)
-        elif isinstance(event, WorkWithdrawn) and event.request_id in self._queue:
+        elif isinstance(event, RequestCancelled) and event.request_id in self._queue:
             self._queue.remove(event.request_id)
         decisions: list[AdmissionDecision] = []
         while self._queue and len(self._running) < self.limit:
--- a/tools/bench_load/simulation.py
+++ b/tools/bench_load/simulation.py
@@ -17,7 +17,7 @@
     Tick,
     AdmissionRequested,
     RequestFinished,
-    WorkWithdrawn,
+    RequestCancelled,
 )
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
@@ -234,7 +234,7 @@
 
     def _fail(self, ask_id: str, ran: ExecutionStatus = ExecutionStatus.UNKNOWN) -> None:
         attempt = self._attempts.pop(ask_id)
-        self.tell(WorkWithdrawn(self._clock.now, ask_id))
+        self.tell(RequestCancelled(self._clock.now, ask_id))
         self.tell(RequestFinished(self._clock.now, ask_id, answered=False))
         self._answer(attempt, ran, broken=True)
 
@@ -250,7 +250,7 @@
             return
         order_id = str(attempt.order.order_id)
         self.engine.cancel(ask_id)
-        self.tell(WorkWithdrawn(self._clock.now, ask_id))
+        self.tell(RequestCancelled(self._clock.now, ask_id))
         self.tell(RequestFinished(self._clock.now, ask_id, False, cancelled=True))
         self._simulation.abandon(order_id)
 
