--- a/libraries/agent/src/bamboopier_agent/gate.py
+++ b/libraries/agent/src/bamboopier_agent/gate.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from bamboopier_decisions.admission.messages import (
-    FirstToken,
+    FirstTokenReceived,
     Reject,
     Start,
     Tick,
@@ -53,7 +53,7 @@
 
         How much it prefilled is known only with the usage at the answer's end.
         """
-        self._gate.tell(FirstToken(time.monotonic(), self._request_id, 0))
+        self._gate.tell(FirstTokenReceived(time.monotonic(), self._request_id, 0))
 
 
 class AdmissionGate:
--- a/libraries/decisions/src/bamboopier_decisions/admission/admission.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/admission.py
@@ -22,7 +22,7 @@
 from .messages import (
     AdmissionDecision,
     AdmissionEvent,
-    FirstToken,
+    FirstTokenReceived,
     Reject,
     RejectReason,
     ResumeRequested,
@@ -129,7 +129,7 @@
         match event:
             case AdmissionRequested():
                 return self._arrive(event)
-            case FirstToken():
+            case FirstTokenReceived():
                 self._note_first(event)
                 return []
             case RequestFinished():
@@ -242,7 +242,7 @@
             return True
         return not self._lending.is_far_above(now, waiting.workspace, limit)
 
-    def _note_first(self, event: FirstToken) -> None:
+    def _note_first(self, event: FirstTokenReceived) -> None:
         running = self._running.get(event.request_id)
         if running is None or running.first is not None:
             return
--- a/libraries/decisions/src/bamboopier_decisions/admission/messages.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/messages.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FirstToken:
+class FirstTokenReceived:
     """The first byte for a request that had ``new_tokens`` of prompt to prefill.
 
     0 when that is known only at the end.
@@ -60,7 +60,7 @@
     # Neither answered nor failed: the caller left, or it was refused after its start.
     # It says nothing of the target.
     cancelled: bool = False
-    # Tokens that were prefilled, where ``FirstToken`` could not say.
+    # Tokens that were prefilled, where ``FirstTokenReceived`` could not say.
     new_tokens: int = 0
 
 
@@ -118,7 +118,7 @@
 
 AdmissionEvent = (
     AdmissionRequested
-    | FirstToken
+    | FirstTokenReceived
     | RequestFinished
     | RequestCancelled
     | TargetRestarted
--- a/libraries/decisions/tests/test_admission.py
+++ b/libraries/decisions/tests/test_admission.py
@@ -11,7 +11,7 @@
 from bamboopier_decisions.admission.admission import Admission
 from bamboopier_decisions.admission.concurrency_limit import ConcurrencyLimit
 from bamboopier_decisions.admission.messages import (
-    FirstToken,
+    FirstTokenReceived,
     Reject,
     RejectReason,
     Start,
@@ -69,7 +69,7 @@
     def begin_answer(self, pick: int, new_tokens: int) -> None:
         if self.running:
             name = self.running[pick % len(self.running)]
-            self.tell(FirstToken(self.now, name, new_tokens))
+            self.tell(FirstTokenReceived(self.now, name, new_tokens))
 
     @rule(pick=st.integers(0, 7), how=st.sampled_from("afc"))
     def end(self, pick: int, how: str) -> None:
@@ -202,7 +202,7 @@
             admission.handle(
                 AdmissionRequested(now, name, "a", 1.0, 0, now + 60, 8, max_tokens=tokens)
             )
-            admission.handle(FirstToken(now + 0.02, name, 0))
+            admission.handle(FirstTokenReceived(now + 0.02, name, 0))
             ended = RequestFinished(now + seconds, name, True, tokens)
             admission.handle(ended)
 
--- a/tools/bench_load/simulation.py
+++ b/tools/bench_load/simulation.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from bamboopier_decisions.admission.messages import (
-    FirstToken,
+    FirstTokenReceived,
     Reject,
     Start,
     StopRequested,
@@ -223,7 +223,7 @@
         attempt = self._attempts[ask_id]
         attempt.first_byte = self._clock.now - attempt.sent
         attempt.order.first_token = self._clock.now + HOP_SECONDS
-        self.tell(FirstToken(self._clock.now, ask_id, new))
+        self.tell(FirstTokenReceived(self._clock.now, ask_id, new))
         self._simulation.hear(self, attempt)
 
     def _finish(self, ask_id: str) -> None:
