--- a/libraries/agent/src/bamboopier_agent/gate.py
+++ b/libraries/agent/src/bamboopier_agent/gate.py
@@ -111,14 +111,14 @@
         self._waiters.pop(request_id, None)
         now = time.monotonic()
         self.tell(RequestCancelled(now, request_id))
-        self.tell(RequestFinished(now, request_id, answered=False, cancelled=True))
+        self.tell(RequestFinished(now, request_id, succeeded=False, cancelled=True))
 
 
 def _describe_end(entry: Entry, request_id: str) -> RequestFinished:
     return RequestFinished(
         now=time.monotonic(),
         request_id=request_id,
-        answered=entry.answered,
+        succeeded=entry.answered,
         output_tokens=entry.output_tokens,
         cancelled=not entry.answered and not entry.failed,
         new_tokens=entry.new_tokens,
--- a/libraries/decisions/src/bamboopier_decisions/admission/admission.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/admission.py
@@ -271,7 +271,7 @@
         self._queue.charge(
             running.work.workspace, (seconds - running.work.work) / running.work.weight
         )
-        if event.answered:
+        if event.succeeded:
             self._learn(event, running, seconds)
         elif not event.cancelled:
             self._limit.add_failure()
--- a/libraries/decisions/src/bamboopier_decisions/admission/messages.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/messages.py
@@ -51,11 +51,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFinished:
-    """A started request is over; ``answered`` when the target finished it."""
+    """A started request is over; ``succeeded`` when the target finished it."""
 
     now: float
     request_id: str
-    answered: bool
+    succeeded: bool
     output_tokens: int = 0
     # Neither answered nor failed: the caller left, or it was refused after its start.
     # It says nothing of the target.
--- a/libraries/decisions/tests/test_wait_bound.py
+++ b/libraries/decisions/tests/test_wait_bound.py
@@ -42,7 +42,7 @@
         # without a hint, since another target may have room; one without a bound waits.
         admission = Admission(2, 10, random.Random(1))
         admission.handle(build_work(0, UNBOUNDED))
-        admission.handle(RequestFinished(3.0, "r0", answered=True, output_tokens=100))
+        admission.handle(RequestFinished(3.0, "r0", succeeded=True, output_tokens=100))
         for number in (1, 2):
             started = admission.handle(build_work(number, SHORT_WAIT))
             self.assertEqual(started, [Start(f"r{number}")])
--- a/tools/bench_load/simulation.py
+++ b/tools/bench_load/simulation.py
@@ -235,7 +235,7 @@
     def _fail(self, ask_id: str, ran: ExecutionStatus = ExecutionStatus.UNKNOWN) -> None:
         attempt = self._attempts.pop(ask_id)
         self.tell(RequestCancelled(self._clock.now, ask_id))
-        self.tell(RequestFinished(self._clock.now, ask_id, answered=False))
+        self.tell(RequestFinished(self._clock.now, ask_id, succeeded=False))
         self._answer(attempt, ran, broken=True)
 
     def _reject(self, reject: Reject) -> None:
