--- a/libraries/agent/src/bamboopier_agent/context.py
+++ b/libraries/agent/src/bamboopier_agent/context.py
@@ -125,20 +125,20 @@
         return fetched
 
     def note_answer(
-        self, request: ServeRequest, cached_tokens: int, new_tokens: int, seconds: float
+        self, request: ServeRequest, cached_tokens: int, prefill_tokens: int, seconds: float
     ) -> None:
         """Learn from a finished request and queue its blocks for export.
 
-        ``seconds`` ran from sending to the first byte, for ``new_tokens`` of prefill.
+        ``seconds`` ran from sending to the first byte, for ``prefill_tokens`` of prefill.
         """
         now = time.monotonic()
         keys = tuple(request.model.block_keys)
         # The head of an answer that is not streamed comes after its last token, so
         # its time says nothing about prefill.
         streamed = request.model.stream
-        if streamed and new_tokens >= self.find_block_tokens(request):
-            self._rates.prefill.add(now, new_tokens, seconds)
-        if cached_tokens + new_tokens > 0:
+        if streamed and prefill_tokens >= self.find_block_tokens(request):
+            self._rates.prefill.add(now, prefill_tokens, seconds)
+        if cached_tokens + prefill_tokens > 0:
             cached = cached_tokens // self.find_block_tokens(request)
             if cached < len(keys):
                 self._resident.note_absent(keys[cached])
--- a/libraries/agent/src/bamboopier_agent/gate.py
+++ b/libraries/agent/src/bamboopier_agent/gate.py
@@ -33,7 +33,7 @@
         "_request_id",
         "answered",
         "failed",
-        "new_tokens",
+        "prefill_tokens",
         "output_tokens",
         "reject",
     )
@@ -46,7 +46,7 @@
         self.answered = False
         self.failed = False
         self.output_tokens = 0
-        self.new_tokens = 0
+        self.prefill_tokens = 0
 
     def mark_first_byte(self) -> None:
         """Tell the decisions that the target began to answer.
@@ -121,5 +121,5 @@
         succeeded=entry.answered,
         output_tokens=entry.output_tokens,
         cancelled=not entry.answered and not entry.failed,
-        new_tokens=entry.new_tokens,
+        prefill_tokens=entry.prefill_tokens,
     )
--- a/libraries/agent/src/bamboopier_agent/service.py
+++ b/libraries/agent/src/bamboopier_agent/service.py
@@ -345,12 +345,12 @@
         counted = usage.read()
         entry.answered = True
         if request.model.model:
-            new_tokens = max(0, counted.prompt_tokens - counted.cached_tokens)
+            prefill_tokens = max(0, counted.prompt_tokens - counted.cached_tokens)
             self._context.note_answer(
-                request, counted.cached_tokens, new_tokens, first_byte
+                request, counted.cached_tokens, prefill_tokens, first_byte
             )
         entry.output_tokens = counted.completion_tokens
-        entry.new_tokens = max(0, counted.prompt_tokens - counted.cached_tokens)
+        entry.prefill_tokens = max(0, counted.prompt_tokens - counted.cached_tokens)
         self._count_tokens(counted.prompt_tokens, counted.cached_tokens, fetched)
         self._log_end(request, "finished", counted.cached_tokens)
         yield answer.make_finished(
--- a/libraries/agent/tests/context_builders.py
+++ b/libraries/agent/tests/context_builders.py
@@ -147,8 +147,8 @@
         async with self.session.post("/v1/completions", json=body) as response:
             usage = (await response.json())["usage"]
         cached = int(usage["prompt_tokens_details"]["cached_tokens"])
-        new_tokens = usage["prompt_tokens"] - cached
-        self.keeper.note_answer(request, cached, new_tokens, 0.1)
+        prefill_tokens = usage["prompt_tokens"] - cached
+        self.keeper.note_answer(request, cached, prefill_tokens, 0.1)
         return cached
 
     async def run_and_export(
--- a/libraries/decisions/src/bamboopier_decisions/admission/admission.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/admission.py
@@ -247,25 +247,25 @@
         if running is None or running.first is not None:
             return
         running.first = event.now
-        if event.new_tokens > 0:
-            self._measure_prefill(running, event.new_tokens)
+        if event.prefill_tokens > 0:
+            self._measure_prefill(running, event.prefill_tokens)
 
-    def _measure_prefill(self, running: _Running, new_tokens: int) -> None:
+    def _measure_prefill(self, running: _Running, prefill_tokens: int) -> None:
         if running.first is None:
             return
         seconds = running.first - running.started
         # Prompts that are prefilled together share the engine's speed.
-        ratio = self._estimates.compare_first(new_tokens, seconds) / len(self._running)
+        ratio = self._estimates.compare_first(prefill_tokens, seconds) / len(self._running)
         self._limit.add_first_token(ratio)
         prompt_tokens = running.work_arrived.prompt_tokens
-        self._estimates.add_first(prompt_tokens, new_tokens, seconds)
+        self._estimates.add_first(prompt_tokens, prefill_tokens, seconds)
 
     def _end(self, event: RequestFinished) -> list[AdmissionDecision]:
         running = self._running.get(event.request_id)
         if running is None:
             return []
-        if event.new_tokens > 0:
-            self._measure_prefill(running, event.new_tokens)
+        if event.prefill_tokens > 0:
+            self._measure_prefill(running, event.prefill_tokens)
         del self._running[event.request_id]
         seconds = event.now - running.started
         self._queue.charge(
--- a/libraries/decisions/src/bamboopier_decisions/admission/estimates.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/estimates.py
@@ -106,16 +106,16 @@
         """Say whether answers of about the expected length have been measured."""
         return max_tokens * self._output.value <= KNOWN_FACTOR * self._longest
 
-    def compare_first(self, new_tokens: int, seconds: float) -> float:
+    def compare_first(self, prefill_tokens: int, seconds: float) -> float:
         """Return ``seconds`` to a first token as a multiple of the expected ones."""
-        expected = new_tokens * self._prefill.value
+        expected = prefill_tokens * self._prefill.value
         return seconds / expected if expected > 0 and self._measured else 1.0
 
-    def add_first(self, prompt_tokens: int, new_tokens: int, seconds: float) -> None:
+    def add_first(self, prompt_tokens: int, prefill_tokens: int, seconds: float) -> None:
         """Learn from a first token."""
         self._measured = True
         self._first.add(seconds, prompt_tokens)
-        self._prefill.add(seconds, new_tokens)
+        self._prefill.add(seconds, prefill_tokens)
 
     def add_answer(
         self, seconds: float, decode_seconds: float, output_tokens: int, allowed: int
--- a/libraries/decisions/src/bamboopier_decisions/admission/messages.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/messages.py
@@ -39,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FirstTokenReceived:
-    """The first byte for a request that had ``new_tokens`` of prompt to prefill.
+    """The first byte for a request that had ``prefill_tokens`` of prompt to prefill.
 
     0 when that is known only at the end.
     """
 
     now: float
     request_id: str
-    new_tokens: int
+    prefill_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
     # It says nothing of the target.
     cancelled: bool = False
     # Tokens that were prefilled, where ``FirstTokenReceived`` could not say.
-    new_tokens: int = 0
+    prefill_tokens: int = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/libraries/decisions/src/bamboopier_decisions/routing/choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/choice.py
@@ -102,9 +102,9 @@
     for position, state in enumerate(weighed):
         # Nobody knows better at first than that the first owner is warm.
         is_warm = state.view.target in names or (position == 0 and bool(owners))
-        new_tokens = _count_new(request, is_warm)
-        expected.append(state.expect_first_byte(now, new_tokens))
-        saved.append((request.prompt_tokens - new_tokens) / state.prefill_rate)
+        prefill_tokens = _count_new(request, is_warm)
+        expected.append(state.expect_first_byte(now, prefill_tokens))
+        saved.append((request.prompt_tokens - prefill_tokens) / state.prefill_rate)
     best = min(range(len(weighed)), key=expected.__getitem__)
     reason = _explain(best, len(owners), len(weighed))
     candidates = tuple(
--- a/libraries/decisions/src/bamboopier_decisions/routing/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/target_state.py
@@ -134,8 +134,8 @@
             return True
         return now - self._reported >= NOT_ACCEPTING_SECONDS
 
-    def expect_first_byte(self, now: float, new_tokens: int) -> float:
-        """Return the expected seconds to the first byte with ``new_tokens`` to prefill.
+    def expect_first_byte(self, now: float, prefill_tokens: int) -> float:
+        """Return the expected seconds to the first byte with ``prefill_tokens`` to prefill.
 
         What was sent since the last report counts as if it were still queued, less
         what has been done since.
@@ -150,4 +150,4 @@
         wait += min(sent, max(0.0, running - load.limit)) * self._slot_seconds
         batch = BATCH_SECONDS * min(1.0, running / max(1, load.limit))
         hop = HOP_SECONDS[self.view.distance]
-        return hop + wait + batch + (new_tokens + queued) / rate
+        return hop + wait + batch + (prefill_tokens + queued) / rate
--- a/libraries/decisions/tests/test_admission.py
+++ b/libraries/decisions/tests/test_admission.py
@@ -65,11 +65,11 @@
         self.waiting.add(f"r{self.number}")
         self.tell(make_work(self.number, self.now, workspace, patience))
 
-    @rule(pick=st.integers(0, 7), new_tokens=st.integers(0, 800))
-    def begin_answer(self, pick: int, new_tokens: int) -> None:
+    @rule(pick=st.integers(0, 7), prefill_tokens=st.integers(0, 800))
+    def begin_answer(self, pick: int, prefill_tokens: int) -> None:
         if self.running:
             name = self.running[pick % len(self.running)]
-            self.tell(FirstTokenReceived(self.now, name, new_tokens))
+            self.tell(FirstTokenReceived(self.now, name, prefill_tokens))
 
     @rule(pick=st.integers(0, 7), how=st.sampled_from("afc"))
     def end(self, pick: int, how: str) -> None:
--- a/tools/bench_context/drive.py
+++ b/tools/bench_context/drive.py
@@ -198,16 +198,16 @@
         self, now: float, arrived: float, engine: Engine, prompt: Prompt
     ) -> None:
         cached = engine.count_cached(prompt.keys) * BLOCK_TOKENS
-        new_tokens = prompt.tokens - cached
+        prefill_tokens = prompt.tokens - cached
         start = max(now, engine.busy_until)
-        engine.busy_until = start + new_tokens / self.site.prefill_rate
+        engine.busy_until = start + prefill_tokens / self.site.prefill_rate
         milliseconds = int((engine.busy_until - arrived) * 1000)
         milliseconds = min(MAX_MILLISECONDS, max(1, milliseconds))
         self.first_token.record_value(milliseconds)
         if prompt.returning:
             self.returning.record_value(milliseconds)
         self.prompt_tokens += prompt.tokens
-        self.recomputed_tokens += new_tokens
+        self.recomputed_tokens += prefill_tokens
         engine.remember(now, prompt.keys)
         if self.policy.weights:
             self._at(engine.busy_until, lambda at: self._offer(at, engine, prompt))
