--- a/libraries/agent/src/bamboopier_agent/gate.py
+++ b/libraries/agent/src/bamboopier_agent/gate.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-    from bamboopier_decisions.admission.admission import Admission
+    from bamboopier_decisions.admission.controller import Admission
     from bamboopier_decisions.admission.messages import AdmissionEvent, AdmissionRequested
 
 TICK_SECONDS = 0.1
--- a/libraries/agent/tests/order_builders.py
+++ b/libraries/agent/tests/order_builders.py
@@ -19,7 +19,7 @@
 from bamboopier_configuration.directory import Directory
 from bamboopier_configuration.model import Configuration, Model, Service
 from bamboopier_configuration.settings import Address, AgentSettings
-from bamboopier_decisions.admission.admission import Admission
+from bamboopier_decisions.admission.controller import Admission
 from bamboopier_decisions.membership.lease import Lease
 from bamboopier_objects.errors import (
     PlatformError,
--- a/libraries/agent/tests/service_builders.py
+++ b/libraries/agent/tests/service_builders.py
@@ -17,7 +17,7 @@
 from bamboopier_configuration.directory import Directory
 from bamboopier_configuration.model import Configuration
 from bamboopier_configuration.settings import Address, AgentSettings
-from bamboopier_decisions.admission.admission import Admission
+from bamboopier_decisions.admission.controller import Admission
 from bamboopier_protocol import agent_pb2 as pb
 
 from .builders import DISPATCH, FakeObjects
--- a/libraries/decisions/tests/test_admission.py
+++ b/libraries/decisions/tests/test_admission.py
@@ -8,7 +8,7 @@
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from bamboopier_decisions.admission.admission import Admission
+from bamboopier_decisions.admission.controller import Admission
 from bamboopier_decisions.admission.concurrency_limit import ConcurrencyLimit
 from bamboopier_decisions.admission.messages import (
     FirstTokenReceived,
--- a/libraries/decisions/tests/test_wait_bound.py
+++ b/libraries/decisions/tests/test_wait_bound.py
@@ -5,7 +5,7 @@
 import random
 import unittest
 
-from bamboopier_decisions.admission.admission import Admission
+from bamboopier_decisions.admission.controller import Admission
 from bamboopier_decisions.admission.messages import (
     Reject,
     RejectReason,
--- a/tools/bench_load/cost.py
+++ b/tools/bench_load/cost.py
@@ -11,7 +11,7 @@
 
 import fire
 
-from bamboopier_decisions.admission.admission import Admission
+from bamboopier_decisions.admission.controller import Admission
 from bamboopier_decisions.admission.messages import (
     Start,
     Tick,
--- a/tools/bench_load/table.py
+++ b/tools/bench_load/table.py
@@ -9,7 +9,7 @@
 
 import fire
 
-from bamboopier_decisions.admission.admission import Admission
+from bamboopier_decisions.admission.controller import Admission
 from bamboopier_decisions.routing.router import Router
 
 from .baselines import PlainRouter, UnboundedFifo
