--- a/libraries/agent/src/bamboopier_agent/daemon.py
+++ b/libraries/agent/src/bamboopier_agent/daemon.py
@@ -22,7 +22,7 @@
 from bamboopier_daemon.peer_check import PeerCheck
 from bamboopier_daemon.process_metrics import add_process_metrics
 from bamboopier_daemon.stopping import StopEnd, StopSignals
-from bamboopier_decisions.admission.controller import Admission
+from bamboopier_decisions.admission.controller import AdmissionController
 from bamboopier_decisions.membership.lease import Lease
 from bamboopier_objects.follower import ConfigurationFollower
 from bamboopier_objects.http_platform import HttpPlatform
@@ -75,7 +75,7 @@
         )
         store = await stack.enter_async_context(StoreClient())
         gate = AdmissionGate(
-            Admission(settings.max_running, settings.max_waiting, generator)
+            AdmissionController(settings.max_running, settings.max_waiting, generator)
         )
         secret = bytes.fromhex(settings.block_secret)
         metrics = AgentMetrics()
--- a/libraries/agent/src/bamboopier_agent/gate.py
+++ b/libraries/agent/src/bamboopier_agent/gate.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-    from bamboopier_decisions.admission.controller import Admission
+    from bamboopier_decisions.admission.controller import AdmissionController
     from bamboopier_decisions.admission.messages import AdmissionEvent, AdmissionRequested
 
 TICK_SECONDS = 0.1
@@ -57,9 +57,9 @@
 
 
 class AdmissionGate:
-    """Drives one ``Admission`` from live requests and the clock."""
+    """Drives one ``AdmissionController`` from live requests and the clock."""
 
-    def __init__(self, admission: Admission) -> None:
+    def __init__(self, admission: AdmissionController) -> None:
         self.admission = admission
         self._waiters: dict[str, asyncio.Future[Reject | None]] = {}
         self._idle = asyncio.Event()
--- a/libraries/agent/tests/order_builders.py
+++ b/libraries/agent/tests/order_builders.py
@@ -19,7 +19,7 @@
 from bamboopier_configuration.directory import Directory
 from bamboopier_configuration.model import Configuration, Model, Service
 from bamboopier_configuration.settings import Address, AgentSettings
-from bamboopier_decisions.admission.controller import Admission
+from bamboopier_decisions.admission.controller import AdmissionController
 from bamboopier_decisions.membership.lease import Lease
 from bamboopier_objects.errors import (
     PlatformError,
@@ -153,7 +153,7 @@
         version: str = "v2",
     ) -> None:
         self.engine = engine
-        self.gate = AdmissionGate(Admission(4, 4, random.Random(1)))
+        self.gate = AdmissionGate(AdmissionController(4, 4, random.Random(1)))
         settings = build_settings(name)
         self.standing = TargetStanding(settings, self.gate)
         holder = vm or name
--- a/libraries/agent/tests/service_builders.py
+++ b/libraries/agent/tests/service_builders.py
@@ -17,7 +17,7 @@
 from bamboopier_configuration.directory import Directory
 from bamboopier_configuration.model import Configuration
 from bamboopier_configuration.settings import Address, AgentSettings
-from bamboopier_decisions.admission.controller import Admission
+from bamboopier_decisions.admission.controller import AdmissionController
 from bamboopier_protocol import agent_pb2 as pb
 
 from .builders import DISPATCH, FakeObjects
@@ -72,7 +72,7 @@
     return AgentService(
         settings,
         untyped_target,
-        AdmissionGate(Admission(8, 8, random.Random(1))),
+        AdmissionGate(AdmissionController(8, 8, random.Random(1))),
         ClaimTable(objects, name),
         KeptAnswers(10_000),
         context,
--- a/libraries/decisions/src/bamboopier_decisions/admission/controller.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/controller.py
@@ -62,7 +62,7 @@
         self.first: float | None = None
 
 
-class Admission:
+class AdmissionController:
     """Admits work to one target; one instance per agent."""
 
     def __init__(
--- a/libraries/decisions/tests/test_admission.py
+++ b/libraries/decisions/tests/test_admission.py
@@ -8,7 +8,7 @@
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from bamboopier_decisions.admission.controller import Admission
+from bamboopier_decisions.admission.controller import AdmissionController
 from bamboopier_decisions.admission.concurrency_limit import ConcurrencyLimit
 from bamboopier_decisions.admission.messages import (
     FirstTokenReceived,
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.admission = Admission(8, MAX_WAITING, Random(1))
+        self.admission = AdmissionController(8, MAX_WAITING, Random(1))
         self.now = 0.0
         self.number = 0
         self.waiting: set[str] = set()
@@ -119,7 +119,7 @@
         self,
     ) -> None:
         """A workspace that asks for little is refused: another filled the queue."""
-        admission = Admission(2, 4, Random(1))
+        admission = AdmissionController(2, 4, Random(1))
         for number in range(6):
             admission.handle(make_work(number, number * 0.001, "hot"))
         decisions = admission.handle(make_work(6, 0.1, "other"))
@@ -132,7 +132,7 @@
 
     def test_those_refused_together_do_not_return_together(self) -> None:
         """All who were refused in a second come back in one and are refused again."""
-        admission = Admission(2, 4, Random(1))
+        admission = AdmissionController(2, 4, Random(1))
         hints = [
             decision.retry_after
             for number in range(46)
@@ -184,7 +184,7 @@
         Its callers leave at their deadlines; counted as answers, they would let the
         fleet in before it is warm.
         """
-        admission = Admission(32, 64, Random(1))
+        admission = AdmissionController(32, 64, Random(1))
         for number in range(100):
             admission.handle(make_work(number, float(number)))
             left = RequestFinished(number + 0.5, f"r{number}", False, cancelled=True)
@@ -194,7 +194,7 @@
 
 class EstimateTests(unittest.TestCase):
     def serve(
-        self, admission: Admission, count: int, tokens: int, seconds: float
+        self, admission: AdmissionController, count: int, tokens: int, seconds: float
     ) -> None:
         for number in range(count):
             now = float(number * 10)
@@ -206,7 +206,7 @@
             ended = RequestFinished(now + seconds, name, True, tokens)
             admission.handle(ended)
 
-    def ask_long(self, admission: Admission, running: int) -> object:
+    def ask_long(self, admission: AdmissionController, running: int) -> object:
         """Ask for 1,600 tokens within a minute while others run; return the answer."""
         for number in range(running):
             admission.handle(make_work(1000 + number, 1e4, patience=600.0))
@@ -219,7 +219,7 @@
         It has given many answers of two tokens that took 0.1 s for their overhead
         alone. Taken as its pace, 1,600 tokens would take 80 s; it needs 8.
         """
-        admission = Admission(8, 64, Random(1))
+        admission = AdmissionController(8, 64, Random(1))
         self.serve(admission, 60, 2, 0.12)
         running = admission.limit + 1
         self.assertEqual(self.ask_long(admission, running), [])
@@ -232,7 +232,7 @@
         Its limit is two, and nothing long was measured yet. Each takes 8 s, so the
         last starts after 16 s of its minute.
         """
-        admission = Admission(32, 64, Random(1))
+        admission = AdmissionController(32, 64, Random(1))
         self.serve(admission, 3, 2, 0.12)
         decisions = [
             decision
@@ -247,13 +247,13 @@
         self.assertEqual(admission.handle(Tick(1e4 + 5)), [])
 
     def test_a_target_with_a_free_slot_refuses_nothing_by_an_estimate(self) -> None:
-        admission = Admission(8, 64, Random(1))
+        admission = AdmissionController(8, 64, Random(1))
         self.serve(admission, 60, 64, 6.4)
         self.assertEqual(self.ask_long(admission, 0), [Start("long")])
 
     def test_a_pace_measured_over_long_answers_counts_in_a_queue(self) -> None:
         """Work that cannot be done by its deadline waits for a place and is cut off."""
-        admission = Admission(8, 64, Random(1))
+        admission = AdmissionController(8, 64, Random(1))
         self.serve(admission, 60, 640, 64.0)
         (decision,) = self.ask_long(admission, admission.limit + 1)
         self.assertIsInstance(decision, Reject)
--- a/libraries/decisions/tests/test_wait_bound.py
+++ b/libraries/decisions/tests/test_wait_bound.py
@@ -5,7 +5,7 @@
 import random
 import unittest
 
-from bamboopier_decisions.admission.controller import Admission
+from bamboopier_decisions.admission.controller import AdmissionController
 from bamboopier_decisions.admission.messages import (
     Reject,
     RejectReason,
@@ -40,7 +40,7 @@
     def test_a_busy_target_turns_away_at_once_what_may_not_wait(self) -> None:
         # The target is full. A request that may wait 0.1 s is answered "not run"
         # without a hint, since another target may have room; one without a bound waits.
-        admission = Admission(2, 10, random.Random(1))
+        admission = AdmissionController(2, 10, random.Random(1))
         admission.handle(build_work(0, UNBOUNDED))
         admission.handle(RequestFinished(3.0, "r0", succeeded=True, output_tokens=100))
         for number in (1, 2):
--- a/tools/bench_load/cost.py
+++ b/tools/bench_load/cost.py
@@ -11,7 +11,7 @@
 
 import fire
 
-from bamboopier_decisions.admission.controller import Admission
+from bamboopier_decisions.admission.controller import AdmissionController
 from bamboopier_decisions.admission.messages import (
     Start,
     Tick,
@@ -99,7 +99,7 @@
 def measure_admission(waiting: int, workspaces: int) -> tuple[float, float, float]:
     """Return microseconds per arrival with its end, per tick, and bytes per request."""
     tracemalloc.start()
-    admission = Admission(32, 1_000_000, Random(1))
+    admission = AdmissionController(32, 1_000_000, Random(1))
     running: list[str] = []
 
     def arrive(number: int, now: float) -> None:
--- a/tools/bench_load/table.py
+++ b/tools/bench_load/table.py
@@ -9,7 +9,7 @@
 
 import fire
 
-from bamboopier_decisions.admission.controller import Admission
+from bamboopier_decisions.admission.controller import AdmissionController
 from bamboopier_decisions.routing.router import Router
 
 from .baselines import PlainRouter, UnboundedFifo
@@ -24,7 +24,7 @@
 
 OURS = Policy(
     "bamboopier",
-    lambda random: Admission(MAX_RUNNING, MAX_WAITING, random),
+    lambda random: AdmissionController(MAX_RUNNING, MAX_WAITING, random),
     Router,
 )
 ROUND_ROBIN = Policy(
