--- a/libraries/decisions/src/bamboopier_decisions/routing/messages.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/messages.py
@@ -135,7 +135,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FirstByteCame:
+class FirstByteReceived:
     """An attempt's answer began ``seconds`` after it was sent."""
 
     now: float
@@ -210,6 +210,6 @@
 
 
 RoutingEvent = (
-    RequestArrived | TargetReported | FirstByteCame | AttemptEnded | FleetChanged
+    RequestArrived | TargetReported | FirstByteReceived | AttemptEnded | FleetChanged
 )
 RoutingDecision = Send | Refuse | Deliver
--- a/libraries/decisions/src/bamboopier_decisions/routing/router.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/router.py
@@ -9,7 +9,7 @@
 from .messages import (
     AttemptEnded,
     Deliver,
-    FirstByteCame,
+    FirstByteReceived,
     FleetChanged,
     PassedOver,
     ExecutionStatus,
@@ -103,7 +103,7 @@
                 state = self._targets.get(event.target)
                 if state is not None:
                     state.report(event.now, event.load)
-            case FirstByteCame():
+            case FirstByteReceived():
                 self._note_first_byte(event)
             case FleetChanged():
                 self._change_fleet(event)
@@ -156,7 +156,7 @@
         reason = RefuseReason.OVERLOADED if refused else RefuseReason.NO_TARGET
         return self._refuse(pending, reason, _explain(now, pending, targets))
 
-    def _note_first_byte(self, event: FirstByteCame) -> None:
+    def _note_first_byte(self, event: FirstByteReceived) -> None:
         pending = self._pending.get(event.request_id)
         state = self._targets.get(event.target)
         if pending is None or state is None:
--- a/libraries/decisions/tests/test_router.py
+++ b/libraries/decisions/tests/test_router.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from bamboopier_decisions.routing.messages import (
-    FirstByteCame,
+    FirstByteReceived,
     Obstacle,
     ExecutionStatus,
     Refuse,
@@ -193,7 +193,7 @@
             sent = router.handle(make_request(name, now))
             targets.append(sent.target)
             seconds = 1.2 if sent.target in slow else 0.1
-            router.handle(FirstByteCame(now + 0.05, name, sent.target, seconds))
+            router.handle(FirstByteReceived(now + 0.05, name, sent.target, seconds))
             router.handle(make_end(name, sent.target, ExecutionStatus.EXECUTED, now + 0.05))
         return targets
 
--- a/libraries/gateway/src/bamboopier_gateway/forwarder.py
+++ b/libraries/gateway/src/bamboopier_gateway/forwarder.py
@@ -10,7 +10,7 @@
 
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
-    FirstByteCame,
+    FirstByteReceived,
     ExecutionStatus,
     Refuse,
     RefuseReason,
@@ -116,7 +116,7 @@
         def note_head(load: pb.LoadReport, seconds: float) -> None:
             now = time.monotonic()
             self._router.handle(TargetReported(now, send.target, read_load(load)))
-            came = FirstByteCame(now, call.request_id, send.target, seconds)
+            came = FirstByteReceived(now, call.request_id, send.target, seconds)
             self._router.handle(came)
 
         attempt = Attempt(
--- a/tools/bench_load/cost.py
+++ b/tools/bench_load/cost.py
@@ -21,7 +21,7 @@
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
     Distance,
-    FirstByteCame,
+    FirstByteReceived,
     FleetChanged,
     ExecutionStatus,
     RequestArrived,
@@ -78,7 +78,7 @@
         if not isinstance(sent, Send):
             raise AssertionError(sent)
         router.handle(TargetReported(now, sent.target, load))
-        router.handle(FirstByteCame(now, str(number), sent.target, 0.1))
+        router.handle(FirstByteReceived(now, str(number), sent.target, 0.1))
         router.handle(AttemptEnded(now, str(number), sent.target, ExecutionStatus.EXECUTED))
     whole = time.perf_counter() - started
     scale = MICROSECONDS / REQUESTS
--- a/tools/bench_load/simulation.py
+++ b/tools/bench_load/simulation.py
@@ -22,7 +22,7 @@
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
     Distance,
-    FirstByteCame,
+    FirstByteReceived,
     FleetChanged,
     ExecutionStatus,
     Refuse,
@@ -336,7 +336,7 @@
         router = self._homes[str(attempt.order.order_id)]
         now, request_id = self.clock.now, str(attempt.order.order_id)
         router.handle(TargetReported(now, agent.name, agent.report()))
-        router.handle(FirstByteCame(now, request_id, agent.name, attempt.first_byte))
+        router.handle(FirstByteReceived(now, request_id, agent.name, attempt.first_byte))
 
     def end(self, attempt: _Attempt, ended: AttemptEnded, load: TargetLoad) -> None:
         """Bring an attempt's end to its gateway and carry out the decision."""
