--- a/libraries/decisions/src/bamboopier_decisions/routing/choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/choice.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING
 
-from .messages import Candidate, Obstacle, SendReason
+from .messages import Candidate, ExclusionReason, SendReason
 
 if TYPE_CHECKING:
     import random
@@ -59,13 +59,13 @@
     return block_keys[min(len(block_keys), AFFINITY_BLOCKS) - 1]
 
 
-def find_obstacle(
+def find_exclusion_reason(
     now: float, state: TargetState, request: RequestArrived, tried: Set[str]
-) -> Obstacle | None:
+) -> ExclusionReason | None:
     """Say why a target is not sent the request; None if it may be."""
     if state.view.target in tried:
-        return Obstacle.TRIED
-    return state.find_obstacle(now, request.refusal_key, request.weight_version)
+        return ExclusionReason.TRIED
+    return state.find_exclusion_reason(now, request.refusal_key, request.weight_version)
 
 
 def choose_target(
@@ -81,7 +81,7 @@
         return None
 
     def is_untried(state: TargetState) -> bool:
-        return find_obstacle(now, state, request, tried) is None
+        return find_exclusion_reason(now, state, request, tried) is None
 
     def is_usable(state: TargetState) -> bool:
         chance = state.find_chance(now)
@@ -121,8 +121,8 @@
     now: float, state: TargetState, request: RequestArrived, tried: Set[str]
 ) -> bool:
     """Say whether a target is no choice for a request, also once it has room."""
-    obstacle = find_obstacle(now, state, request, tried)
-    return obstacle not in (None, Obstacle.REFUSED)
+    reason = find_exclusion_reason(now, state, request, tried)
+    return reason not in (None, ExclusionReason.REFUSED)
 
 
 def _count_new(request: RequestArrived, is_warm: bool) -> int:
--- a/libraries/decisions/src/bamboopier_decisions/routing/messages.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/messages.py
@@ -44,7 +44,7 @@
     QUARANTINED = "quarantined"
 
 
-class Obstacle(StrEnum):
+class ExclusionReason(StrEnum):
     """Why a target is not sent a request."""
 
     # It has had this request.
@@ -62,11 +62,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PassedOver:
+class ExcludedTarget:
     """A target that a refused request was not sent to."""
 
     target: str
-    obstacle: Obstacle
+    reason: ExclusionReason
 
 
 @dataclass(frozen=True, slots=True)
@@ -199,7 +199,7 @@
     ran: ExecutionStatus
     retry_after: float
     # Where no target was left to send to: why each of the first was not.
-    passed_over: tuple[PassedOver, ...] = ()
+    excluded: tuple[ExcludedTarget, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
--- a/libraries/decisions/src/bamboopier_decisions/routing/router.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/router.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from .choice import choose_target, find_affinity, find_obstacle
+from .choice import choose_target, find_affinity, find_exclusion_reason
 from .hash_ring import compute_points
 from .messages import (
     AttemptEnded,
     Deliver,
     FirstByteReceived,
     FleetChanged,
-    PassedOver,
+    ExcludedTarget,
     ExecutionStatus,
     Refuse,
     RefuseReason,
@@ -224,13 +224,13 @@
         self,
         pending: _Pending,
         reason: RefuseReason,
-        passed_over: tuple[PassedOver, ...] = (),
+        excluded: tuple[ExcludedTarget, ...] = (),
     ) -> Refuse:
         request_id = pending.request.request_id
         del self._pending[request_id]
         wait = pending.shortest_wait or DEFAULT_RETRY_AFTER
         ran = ExecutionStatus.UNKNOWN if pending.may_have_run else ExecutionStatus.NOT_EXECUTED
-        return Refuse(request_id, reason, ran, wait, passed_over)
+        return Refuse(request_id, reason, ran, wait, excluded)
 
     def _change_fleet(self, event: FleetChanged) -> None:
         since = event.now if self._targets else LONG_AGO
@@ -256,11 +256,11 @@
 
 def _explain(
     now: float, pending: _Pending, targets: ServiceTargets
-) -> tuple[PassedOver, ...]:
+) -> tuple[ExcludedTarget, ...]:
     """Return why the first targets are not sent a request that is given up."""
     found = []
     for state in targets.list_first()[:MAX_EXPLAINED]:
-        obstacle = find_obstacle(now, state, pending.request, pending.tried)
-        if obstacle is not None:
-            found.append(PassedOver(state.view.target, obstacle))
+        reason = find_exclusion_reason(now, state, pending.request, pending.tried)
+        if reason is not None:
+            found.append(ExcludedTarget(state.view.target, reason))
     return tuple(found)
--- a/libraries/decisions/src/bamboopier_decisions/routing/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/target_state.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .messages import Distance, Obstacle, TargetLoad, TargetView
+from .messages import Distance, ExclusionReason, TargetLoad, TargetView
 from .refusals import Refusals
 from .slowness import Slowness
 
@@ -104,21 +104,21 @@
         self._pause = 0.0
         self._paused_until = 0.0
 
-    def find_obstacle(
+    def find_exclusion_reason(
         self, now: float, workspace: str, version: str
-    ) -> Obstacle | None:
+    ) -> ExclusionReason | None:
         """Say why no work of ``workspace`` on weights ``version`` may go here."""
         if not self.serves(now, version):
-            return Obstacle.OTHER_WEIGHTS
+            return ExclusionReason.OTHER_WEIGHTS
         if now < self._paused_until:
-            return Obstacle.BROKEN
+            return ExclusionReason.BROKEN
         if not self.slowness.may_try(now):
-            return Obstacle.SLOW
+            return ExclusionReason.SLOW
         silent = now - self._reported >= NOT_ACCEPTING_SECONDS
         if not self.load.accepting and not silent:
-            return Obstacle.NOT_ACCEPTING
+            return ExclusionReason.NOT_ACCEPTING
         if not self.refusals.may_try(now, workspace):
-            return Obstacle.REFUSED
+            return ExclusionReason.REFUSED
         return None
 
     def find_chance(self, now: float) -> float:
--- a/libraries/decisions/tests/test_router.py
+++ b/libraries/decisions/tests/test_router.py
@@ -7,7 +7,7 @@
 
 from bamboopier_decisions.routing.messages import (
     FirstByteReceived,
-    Obstacle,
+    ExclusionReason,
     ExecutionStatus,
     Refuse,
     RefuseReason,
@@ -93,10 +93,10 @@
         self.assertEqual(sent.target, again.target)
         refusal = router.handle(make_end("r1", sent.target, ExecutionStatus.NOT_EXECUTED))
         self.assertIs(refusal.reason, RefuseReason.OVERLOADED)
-        passed_over = {p.target: p.obstacle for p in refusal.passed_over}
+        excluded = {p.target: p.reason for p in refusal.excluded}
         self.assertEqual(
-            passed_over,
-            {first.target: Obstacle.BROKEN, sent.target: Obstacle.TRIED},
+            excluded,
+            {first.target: ExclusionReason.BROKEN, sent.target: ExclusionReason.TRIED},
         )
 
     def test_refusals_for_load_are_paid_from_the_budget(self) -> None:
--- a/libraries/gateway/src/bamboopier_gateway/forwarder.py
+++ b/libraries/gateway/src/bamboopier_gateway/forwarder.py
@@ -166,7 +166,7 @@
             reason=refuse.reason.value,
             ran=refuse.ran.value,
             retry_after=round(refuse.retry_after, 3),
-            passed_over={p.target: p.obstacle.value for p in refuse.passed_over},
+            passed_over={p.target: p.reason.value for p in refuse.excluded},
         )
         raise make_refusal(refuse)
 
