--- a/libraries/decisions/src/bamboopier_decisions/routing/messages.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/messages.py
@@ -175,7 +175,7 @@
     """A target that was weighed, with its expected seconds to the first byte."""
 
     target: str
-    expected: float
+    expected_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
--- a/libraries/gateway/src/bamboopier_gateway/forwarder.py
+++ b/libraries/gateway/src/bamboopier_gateway/forwarder.py
@@ -217,7 +217,7 @@
             target=send.target,
             weight_version=_name_version(call),
             reason=send.reason.value,
-            candidates={c.target: round(c.expected, 4) for c in send.candidates},
+            candidates={c.target: round(c.expected_seconds, 4) for c in send.candidates},
         )
 
     def _count(self, call: Call, result: AttemptResult) -> None:
