--- a/libraries/decisions/src/bamboopier_decisions/admission/concurrency_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/concurrency_limit.py
@@ -16,105 +16,105 @@
 
 from __future__ import annotations
 
-FIRST_LIMIT = 2
+INITIAL_LIMIT = 2
 # A failed request takes the limit down by this factor, once per round.
-BACK_OFF = 0.5
+FAILURE_SHRINK_FACTOR = 0.5
 # Pace against the best one above which the limit shrinks.
-TOLERANCE = 2.0
+SHRINK_LATENCY_RATIO = 2.0
 # Pace above which slow start ends: answers lag the batch that made them, so doubling
 # on would overshoot by the time the limit shrinks.
-SLOW_START_TOLERANCE = 1.4
+SLOW_START_LATENCY_RATIO = 1.4
 # Least factor of one such step.
-MIN_STEP = 0.7
+MIN_SHRINK_FACTOR = 0.7
 # A pace this much worse than the usual one means a cold engine. It is above what a
 # full batch shows, so that load alone does not look like it.
 COLD_RATIO = 4.0
 # So many such measurements in a row: one may be a hiccup.
 COLD_SAMPLES = 3
-PACE_SMOOTHING = 0.2
+LATENCY_SMOOTHING = 0.2
 # How fast the best pace follows a worse one seen at low load (new weights, say).
-BEST_SMOOTHING = 0.02
+BEST_LATENCY_SMOOTHING = 0.02
 
 
 class ConcurrencyLimit:
-    """A limit between one and ``maximum``, starting at ``FIRST_LIMIT``."""
+    """A limit between one and ``maximum``, starting at ``INITIAL_LIMIT``."""
 
     __slots__ = (
-        "_best",
-        "_cold",
+        "_best_latency",
+        "_cold_samples",
         "_limit",
         "_maximum",
-        "_pace",
+        "_latency",
         "_round",
-        "_slow_start",
+        "_slow_start_threshold",
     )
 
     def __init__(self, maximum: int) -> None:
         self._maximum = maximum
-        self._limit = float(min(FIRST_LIMIT, maximum))
+        self._limit = float(min(INITIAL_LIMIT, maximum))
         # Growth is fast below this and slow above.
-        self._slow_start = float(maximum)
+        self._slow_start_threshold = float(maximum)
         self._round = 0
-        self._best = 0.0
-        self._pace = 0.0
+        self._best_latency = 0.0
+        self._latency = 0.0
         # Consecutive measurements that look like a cold engine.
-        self._cold = 0
+        self._cold_samples = 0
 
     @property
     def value(self) -> int:
         """Return how many requests may run at once."""
         return int(self._limit)
 
-    def add_answer(self, running: int, pace: float = 0.0) -> None:
-        """Learn from an answer; ``pace`` is 0 when it was too short to tell."""
-        if pace > 0:
-            self._learn(running, pace)
-        if self._pace > SLOW_START_TOLERANCE * self._best:
-            self._slow_start = min(self._slow_start, self._limit)
+    def record_success(self, running: int, latency: float = 0.0) -> None:
+        """Learn from an answer; ``latency`` is 0 when it was too short to tell."""
+        if latency > 0:
+            self._record_latency(running, latency)
+        if self._latency > SLOW_START_LATENCY_RATIO * self._best_latency:
+            self._slow_start_threshold = min(self._slow_start_threshold, self._limit)
         self._round += 1
         if self._round >= self._limit:
             self._end_round()
         if running < self.value:
             return
-        grown = 1.0 if self._limit < self._slow_start else 1.0 / self._limit
+        grown = 1.0 if self._limit < self._slow_start_threshold else 1.0 / self._limit
         self._limit = min(float(self._maximum), self._limit + grown)
 
-    def add_first_token(self, ratio: float) -> None:
+    def record_first_token(self, ratio: float) -> None:
         """Take the time to a first token as a multiple of the usual one.
 
         It tells of a cold engine long before the first slow answer is whole.
         """
-        self._cold = self._cold + 1 if ratio > COLD_RATIO else 0
-        if self._cold >= COLD_SAMPLES:
+        self._cold_samples = self._cold_samples + 1 if ratio > COLD_RATIO else 0
+        if self._cold_samples >= COLD_SAMPLES:
             self.reset()
 
-    def add_failure(self) -> None:
+    def record_failure(self) -> None:
         """Shrink after a request the target did not answer."""
-        self._slow_start = max(1.0, self._limit * BACK_OFF)
-        self._limit = self._slow_start
+        self._slow_start_threshold = max(1.0, self._limit * FAILURE_SHRINK_FACTOR)
+        self._limit = self._slow_start_threshold
         self._round = 0
 
     def reset(self) -> None:
         """Start over for a target that went cold."""
-        self._limit = float(min(FIRST_LIMIT, self._maximum))
-        self._slow_start = float(self._maximum)
-        self._pace = 0.0
+        self._limit = float(min(INITIAL_LIMIT, self._maximum))
+        self._slow_start_threshold = float(self._maximum)
+        self._latency = 0.0
         self._round = 0
-        self._cold = 0
+        self._cold_samples = 0
 
-    def _learn(self, running: int, pace: float) -> None:
-        if self._pace == 0:
-            self._pace = pace
-        self._pace += PACE_SMOOTHING * (pace - self._pace)
-        if self._best == 0 or self._pace < self._best:
-            self._best = self._pace
-        elif 2 * running <= self.value or self.value <= FIRST_LIMIT:
-            self._best += BEST_SMOOTHING * (self._pace - self._best)
+    def _record_latency(self, running: int, latency: float) -> None:
+        if self._latency == 0:
+            self._latency = latency
+        self._latency += LATENCY_SMOOTHING * (latency - self._latency)
+        if self._best_latency == 0 or self._latency < self._best_latency:
+            self._best_latency = self._latency
+        elif 2 * running <= self.value or self.value <= INITIAL_LIMIT:
+            self._best_latency += BEST_LATENCY_SMOOTHING * (self._latency - self._best_latency)
 
     def _end_round(self) -> None:
         self._round = 0
-        if self._pace <= TOLERANCE * self._best:
+        if self._latency <= SHRINK_LATENCY_RATIO * self._best_latency:
             return
-        step = max(MIN_STEP, TOLERANCE * self._best / self._pace)
-        self._limit = max(1.0, self._limit * step)
-        self._slow_start = self._limit
+        factor = max(MIN_SHRINK_FACTOR, SHRINK_LATENCY_RATIO * self._best_latency / self._latency)
+        self._limit = max(1.0, self._limit * factor)
+        self._slow_start_threshold = self._limit
--- a/libraries/decisions/src/bamboopier_decisions/admission/controller.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/controller.py
@@ -256,7 +256,7 @@
         seconds = running.first - running.started
         # Prompts that are prefilled together share the engine's speed.
         ratio = self._estimates.compare_first(prefill_tokens, seconds) / len(self._running)
-        self._limit.add_first_token(ratio)
+        self._limit.record_first_token(ratio)
         prompt_tokens = running.work_arrived.prompt_tokens
         self._estimates.add_first(prompt_tokens, prefill_tokens, seconds)
 
@@ -274,7 +274,7 @@
         if event.succeeded:
             self._learn(event, running, seconds)
         elif not event.cancelled:
-            self._limit.add_failure()
+            self._limit.record_failure()
         return self._start_next(event.now)
 
     def _learn(self, event: RequestFinished, running: _Running, seconds: float) -> None:
@@ -291,7 +291,7 @@
         if len(self._queue) > 0:
             # Those far above their share wait although slots are free.
             in_use = max(in_use, self._limit.value)
-        self._limit.add_answer(in_use, pace)
+        self._limit.record_success(in_use, pace)
 
     def _stop(self, now: float) -> list[AdmissionDecision]:
         self._stopping = True
--- a/libraries/decisions/tests/test_admission.py
+++ b/libraries/decisions/tests/test_admission.py
@@ -146,9 +146,9 @@
 
 
 class ConcurrencyLimitTests(unittest.TestCase):
-    def answer(self, limit: ConcurrencyLimit, count: int, pace: float) -> None:
+    def answer(self, limit: ConcurrencyLimit, count: int, latency: float) -> None:
         for _ in range(count):
-            limit.add_answer(limit.value, pace)
+            limit.record_success(limit.value, latency)
 
     def test_a_fresh_limit_starts_small_and_answers_open_it(self) -> None:
         limit = ConcurrencyLimit(32)
@@ -165,17 +165,17 @@
         limit = ConcurrencyLimit(64)
         for _ in range(600):
             over = max(0, limit.value - 20)
-            limit.add_answer(limit.value, 0.025 * (1 + 0.2 * over))
+            limit.record_success(limit.value, 0.025 * (1 + 0.2 * over))
         self.assertLessEqual(limit.value, 28)
         self.assertGreaterEqual(limit.value, 16)
 
     def test_an_engine_gone_cold_is_noticed_by_its_first_tokens(self) -> None:
         limit = ConcurrencyLimit(32)
         self.answer(limit, 60, 0.025)
-        limit.add_first_token(6.0)
-        limit.add_first_token(6.0)
+        limit.record_first_token(6.0)
+        limit.record_first_token(6.0)
         self.assertEqual(limit.value, 32)
-        limit.add_first_token(6.0)
+        limit.record_first_token(6.0)
         self.assertEqual(limit.value, 2)
 
     def test_callers_that_leave_neither_open_nor_close_it(self) -> None:
