--- a/libraries/decisions/src/bamboopier_decisions/admission/controller.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/controller.py
@@ -16,7 +16,7 @@
 
 from .concurrency_limit import ConcurrencyLimit
 from .drain_rate import DrainRate
-from .estimates import MIN_PACE_TOKENS, WorkEstimates
+from .cost_estimator import MIN_DECODE_SAMPLE_TOKENS, CostEstimator
 from .fair_queue import FairQueue, Waiting
 from .lending import Lending
 from .messages import (
@@ -74,7 +74,7 @@
         self._arrived: dict[str, AdmissionRequested] = {}
         self._running: dict[str, _Running] = {}
         self._stopping = False
-        self._estimates = WorkEstimates()
+        self._cost_estimator = CostEstimator()
         self._hints = RetryHints(random)
         self._lending = Lending()
         self._drain = DrainRate()
@@ -99,7 +99,7 @@
     @property
     def prefill_rate(self) -> float:
         """Return the measured prompt tokens a second."""
-        return self._estimates.prefill_rate
+        return self._cost_estimator.prefill_rate
 
     @property
     def accepting(self) -> bool:
@@ -152,7 +152,7 @@
     def _arrive(self, event: AdmissionRequested) -> list[AdmissionDecision]:
         if self._stopping:
             return [Reject(event.request_id, RejectReason.STOPPING, 0.0)]
-        work = self._estimates.estimate(event.prompt_tokens, event.max_tokens)
+        work = self._cost_estimator.estimate(event.prompt_tokens, event.max_tokens)
         self._lending.note_arrival(event.now, event.workspace, event.weight, work)
         waiting = Waiting(
             event.request_id,
@@ -199,7 +199,7 @@
     def _is_full(self, now: float) -> bool:
         bound = self._max_waiting
         if self._is_standing(now):
-            rate = self._limit.value / max(0.01, self._estimates.service_seconds)
+            rate = self._limit.value / max(0.01, self._cost_estimator.service_seconds)
             bound = min(bound, max(MIN_QUEUE, int(rate * STANDING_WAIT)))
         return len(self._queue) >= bound
 
@@ -255,10 +255,10 @@
             return
         seconds = running.first - running.started
         # Prompts that are prefilled together share the engine's speed.
-        ratio = self._estimates.compare_first(prefill_tokens, seconds) / len(self._running)
+        ratio = self._cost_estimator.compare_first_token(prefill_tokens, seconds) / len(self._running)
         self._limit.record_first_token(ratio)
         prompt_tokens = running.work_arrived.prompt_tokens
-        self._estimates.add_first(prompt_tokens, prefill_tokens, seconds)
+        self._cost_estimator.record_first_token(prompt_tokens, prefill_tokens, seconds)
 
     def _end(self, event: RequestFinished) -> list[AdmissionDecision]:
         running = self._running.get(event.request_id)
@@ -281,9 +281,9 @@
         decode = event.now - (running.first or running.started)
         arrived = running.work_arrived
         tokens = event.output_tokens
-        self._estimates.add_answer(seconds, decode, tokens, arrived.max_tokens)
+        self._cost_estimator.record_success(seconds, decode, tokens, arrived.max_tokens)
         pace = 0.0
-        if tokens >= MIN_PACE_TOKENS:
+        if tokens >= MIN_DECODE_SAMPLE_TOKENS:
             pace = decode / tokens
         elif arrived.max_tokens == 0:
             pace = seconds
@@ -348,7 +348,7 @@
         """Return the expected seconds until work behind ``ahead`` seconds starts."""
         # One slot falls free after a service time over their number on average.
         over = len(self._running) - self._limit.value
-        taken = max(0, 1 + over) * self._estimates.service_seconds
+        taken = max(0, 1 + over) * self._cost_estimator.service_seconds
         return (ahead + taken) / max(1, self._limit.value) / self._drain.share
 
     def _reject(self, waiting: Waiting, now: float, reason: RejectReason) -> Reject:
