--- a/libraries/decisions/src/bamboopier_decisions/admission/controller.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/controller.py
@@ -15,7 +15,7 @@
 from typing import TYPE_CHECKING
 
 from .concurrency_limit import ConcurrencyLimit
-from .drain_rate import DrainRate
+from .throughput_ratio import ThroughputRatio
 from .cost_estimator import MIN_DECODE_SAMPLE_TOKENS, CostEstimator
 from .fair_queue import FairQueue, Waiting
 from .lending import Lending
@@ -77,7 +77,7 @@
         self._cost_estimator = CostEstimator()
         self._hints = RetryHints(random)
         self._lending = Lending()
-        self._drain = DrainRate()
+        self._throughput = ThroughputRatio()
         # Since when the queue has not been empty; None while it is.
         self._standing_since: float | None = None
 
@@ -230,7 +230,7 @@
             if waiting is None:
                 break
             request_id = waiting.request_id
-            self._drain.add_work(waiting.work)
+            self._throughput.add_started_cost(waiting.work)
             arrived = self._arrived.pop(request_id)
             self._running[request_id] = _Running(waiting, arrived, now)
             decisions.append(Start(request_id))
@@ -305,7 +305,7 @@
         # Slots that are kept free say nothing of how fast the target works.
         full = len(self._running) >= self._limit.value
         standing = full and len(self._queue) > 0
-        self._drain.tick(now, standing, self._limit.value)
+        self._throughput.tick(now, standing, self._limit.value)
         late = self._queue.take_late(now)
         late += self._take_hopeless(now)
         for entry in late:
@@ -349,7 +349,7 @@
         # One slot falls free after a service time over their number on average.
         over = len(self._running) - self._limit.value
         taken = max(0, 1 + over) * self._cost_estimator.service_seconds
-        return (ahead + taken) / max(1, self._limit.value) / self._drain.share
+        return (ahead + taken) / max(1, self._limit.value) / self._throughput.value
 
     def _reject(self, waiting: Waiting, now: float, reason: RejectReason) -> Reject:
         if reason is RejectReason.STOPPING:
--- a/libraries/decisions/src/bamboopier_decisions/admission/drain_rate.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/throughput_ratio.py
@@ -10,20 +10,20 @@
 
 SAMPLE_SECONDS = 0.5
 SMOOTHING = 0.3
-LEAST = 0.1
+MIN_RATIO = 0.1
 
 
-class DrainRate:
+class ThroughputRatio:
     """The share of the promised work that is done while a queue stands."""
 
-    __slots__ = ("_done", "_since", "share")
+    __slots__ = ("_done", "_since", "value")
 
     def __init__(self) -> None:
-        self.share = 1.0
+        self.value = 1.0
         self._since: float | None = None
         self._done = 0.0
 
-    def add_work(self, seconds: float) -> None:
+    def add_started_cost(self, seconds: float) -> None:
         """Count the expected seconds of a request that left the queue to run."""
         self._done += seconds
 
@@ -36,7 +36,7 @@
         elapsed = now - self._since
         if elapsed < SAMPLE_SECONDS:
             return
-        share = min(1.0, max(LEAST, self._done / (elapsed * max(1, limit))))
-        self.share += SMOOTHING * (share - self.share)
+        ratio = min(1.0, max(MIN_RATIO, self._done / (elapsed * max(1, limit))))
+        self.value += SMOOTHING * (ratio - self.value)
         self._since = now
         self._done = 0.0
