--- a/libraries/decisions/src/bamboopier_decisions/admission/controller.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/controller.py
@@ -17,7 +17,7 @@
 from .concurrency_limit import ConcurrencyLimit
 from .throughput_ratio import ThroughputRatio
 from .cost_estimator import MIN_DECODE_SAMPLE_TOKENS, CostEstimator
-from .fair_queue import FairQueue, Waiting
+from .fair_queue import FairQueue, QueuedRequest
 from .lending import Lending
 from .messages import (
     AdmissionDecision,
@@ -55,7 +55,7 @@
 
     __slots__ = ("first", "started", "work", "work_arrived")
 
-    def __init__(self, work: Waiting, arrived: AdmissionRequested, started: float) -> None:
+    def __init__(self, work: QueuedRequest, arrived: AdmissionRequested, started: float) -> None:
         self.work = work
         self.work_arrived = arrived
         self.started = started
@@ -114,7 +114,7 @@
         """
         if len(self._running) < self._limit.value:
             return 0.0
-        return self._estimate_start(self._queue.estimate_ahead("", 1.0))
+        return self._estimate_start(self._queue.estimate_cost_ahead("", 1.0))
 
     def handle(self, event: AdmissionEvent) -> list[AdmissionDecision]:
         """Take one event; return the decisions it calls for, in order."""
@@ -154,7 +154,7 @@
             return [Reject(event.request_id, RejectReason.STOPPING, 0.0)]
         work = self._cost_estimator.estimate(event.prompt_tokens, event.max_tokens)
         self._lending.note_arrival(event.now, event.workspace, event.weight, work)
-        waiting = Waiting(
+        waiting = QueuedRequest(
             event.request_id,
             event.workspace,
             event.weight,
@@ -182,7 +182,7 @@
         self._arrived[event.request_id] = event
         return decisions + self._start_next(event.now)
 
-    def _is_hopeless(self, waiting: Waiting, event: AdmissionRequested, wait: float) -> bool:
+    def _is_hopeless(self, waiting: QueuedRequest, event: AdmissionRequested, wait: float) -> bool:
         """Say whether a request cannot be answered in time.
 
         With a slot free it is tried: it takes nobody's place, and the estimate of its
@@ -203,13 +203,13 @@
             bound = min(bound, max(MIN_QUEUE, int(rate * STANDING_WAIT)))
         return len(self._queue) >= bound
 
-    def _push_out(self, newcomer: Waiting) -> Waiting | None:
+    def _push_out(self, newcomer: QueuedRequest) -> QueuedRequest | None:
         """Make room for a workspace below the one with most waiting, if it is.
 
         Without it one workspace fills the bounded queue and the others are refused,
         however little they ask for.
         """
-        longest = self._queue.find_longest()
+        longest = self._queue.find_largest_backlog()
         if longest is None:
             return None
         workspace, load = longest
@@ -236,7 +236,7 @@
             decisions.append(Start(request_id))
         return decisions
 
-    def _may_start(self, waiting: Waiting, now: float) -> bool:
+    def _may_start(self, waiting: QueuedRequest, now: float) -> bool:
         limit = self._limit.value
         if len(self._running) < self._lending.find_lent(limit):
             return True
@@ -306,21 +306,21 @@
         full = len(self._running) >= self._limit.value
         standing = full and len(self._queue) > 0
         self._throughput.tick(now, standing, self._limit.value)
-        late = self._queue.take_late(now)
+        late = self._queue.remove_expired(now)
         late += self._take_hopeless(now)
         for entry in late:
             self._arrived.pop(entry.request_id)
         return [self._reject(entry, now, RejectReason.DEADLINE) for entry in late]
 
-    def _take_hopeless(self, now: float) -> list[Waiting]:
+    def _take_hopeless(self, now: float) -> list[QueuedRequest]:
         """Take out the newest of the longest lines that will not be reached in time.
 
         The queue may drain more slowly than it seemed on their arrival; without this
         they would wait until their deadline is past before they are refused.
         """
-        hopeless: list[Waiting] = []
+        hopeless: list[QueuedRequest] = []
         while len(self._queue) > 0:
-            longest = self._queue.find_longest()
+            longest = self._queue.find_largest_backlog()
             if longest is None:
                 break
             newest = self._queue.find_newest(longest[0])
@@ -331,14 +331,14 @@
             hopeless.append(newest)
         return hopeless
 
-    def _estimate_wait(self, waiting: Waiting) -> float:
+    def _estimate_wait(self, waiting: QueuedRequest) -> float:
         """Return the expected seconds until a newly arrived request starts."""
         if self._is_free(waiting):
             return 0.0
         workspace, weight = waiting.workspace, waiting.weight
-        return self._estimate_start(self._queue.estimate_ahead(workspace, weight))
+        return self._estimate_start(self._queue.estimate_cost_ahead(workspace, weight))
 
-    def _is_free(self, waiting: Waiting) -> bool:
+    def _is_free(self, waiting: QueuedRequest) -> bool:
         """Say whether a slot is free for the workspace: others that wait are held."""
         if len(self._running) >= self._limit.value:
             return False
@@ -351,12 +351,12 @@
         taken = max(0, 1 + over) * self._cost_estimator.service_seconds
         return (ahead + taken) / max(1, self._limit.value) / self._throughput.value
 
-    def _reject(self, waiting: Waiting, now: float, reason: RejectReason) -> Reject:
+    def _reject(self, waiting: QueuedRequest, now: float, reason: RejectReason) -> Reject:
         if reason is RejectReason.STOPPING:
             return Reject(waiting.request_id, reason, 0.0)
         workspace, weight = waiting.workspace, waiting.weight
-        delay = self._estimate_start(self._queue.estimate_ahead(workspace, weight))
-        share = self._queue.find_share(workspace, weight)
+        delay = self._estimate_start(self._queue.estimate_cost_ahead(workspace, weight))
+        share = self._queue.compute_share(workspace, weight)
         step = waiting.work / share / max(1, self._limit.value)
         wait = self._hints.book(now, workspace, delay, step)
         return Reject(waiting.request_id, reason, wait)
--- a/libraries/decisions/src/bamboopier_decisions/admission/fair_queue.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/fair_queue.py
@@ -23,16 +23,16 @@
 
 # Within a workspace a request's place is its arrival plus this multiple of its
 # expected seconds: short before long, yet long work is reached after a bounded wait.
-STRETCH = 2.0
+COST_DELAY_FACTOR = 2.0
 # A heap is rebuilt when dead entries outnumber live ones and this many.
-MIN_DEAD = 64
+MIN_STALE_ENTRIES = 64
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class QueuedRequest:
     """A request in the queue.
 
-    ``work`` is its expected seconds of target time; started after ``latest_start`` it
+    ``cost`` is its expected seconds of target time; started after ``latest_start`` it
     could not finish by its deadline.
     """
 
@@ -42,32 +42,32 @@
     priority: int
     arrival: float
     latest_start: float
-    work: float
+    cost: float
 
     @property
-    def place(self) -> tuple[int, float, str]:
+    def sort_key(self) -> tuple[int, float, str]:
         """Return the order within the workspace; smaller goes first."""
-        place = min(self.arrival + STRETCH * self.work, self.latest_start)
-        return (self.priority, place, self.request_id)
+        sort_key = min(self.arrival + COST_DELAY_FACTOR * self.cost, self.latest_start)
+        return (self.priority, sort_key, self.request_id)
 
 
-class _Line:
+class _WorkspaceQueue:
     """One workspace's waiting requests."""
 
-    __slots__ = ("arrivals", "count", "heap", "virtual", "weight", "work")
+    __slots__ = ("arrivals", "count", "heap", "virtual_start", "weight", "cost")
 
-    def __init__(self, virtual: float, weight: float) -> None:
-        self.heap: list[tuple[tuple[int, float, str], Waiting]] = []
+    def __init__(self, virtual_start: float, weight: float) -> None:
+        self.heap: list[tuple[tuple[int, float, str], QueuedRequest]] = []
         # In order of arrival, to find the newest.
-        self.arrivals: deque[Waiting] = deque()
+        self.arrivals: deque[QueuedRequest] = deque()
         self.count = 0
-        self.work = 0.0
+        self.cost = 0.0
         self.weight = weight
         # Virtual time at which this workspace's next request starts.
-        self.virtual = virtual
+        self.virtual_start = virtual_start
 
     @property
-    def load(self) -> float:
+    def backlog(self) -> float:
         """Return how many requests wait per unit of weight."""
         return self.count / self.weight
 
@@ -76,107 +76,107 @@
     """Holds waiting requests and yields them in fair order."""
 
     def __init__(self) -> None:
-        self._lines: dict[str, _Line] = {}
-        self._entries: dict[str, Waiting] = {}
+        self._queues: dict[str, _WorkspaceQueue] = {}
+        self._requests: dict[str, QueuedRequest] = {}
         # Heap of (virtual start, workspace); stale entries are skipped when popped.
-        self._order: list[tuple[float, str]] = []
+        self._by_virtual_start: list[tuple[float, str]] = []
         # Heap of (latest start, request id).
-        self._latest: list[tuple[float, str]] = []
+        self._by_latest_start: list[tuple[float, str]] = []
         # Heap of (minus requests per weight, workspace).
-        self._longest: list[tuple[float, str]] = []
-        self._virtual = 0.0
-        self._work = 0.0
+        self._by_backlog: list[tuple[float, str]] = []
+        self._virtual_time = 0.0
+        self._cost = 0.0
         self._weight = 0.0
         # Virtual time each idle workspace has already used, kept while still ahead.
-        self._used: dict[str, float] = {}
-        self._used_bound = MIN_DEAD
+        self._idle_virtual_times: dict[str, float] = {}
+        self._idle_bound = MIN_STALE_ENTRIES
 
     def __len__(self) -> int:
-        return len(self._entries)
+        return len(self._requests)
 
     @property
-    def work(self) -> float:
+    def cost(self) -> float:
         """Return the expected seconds of all that waits."""
-        return self._work
+        return self._cost
 
     def count(self, workspace: str) -> int:
         """Return how many requests of ``workspace`` wait."""
-        line = self._lines.get(workspace)
-        return line.count if line is not None else 0
+        queue = self._queues.get(workspace)
+        return queue.count if queue is not None else 0
 
-    def find_share(self, workspace: str, weight: float) -> float:
+    def compute_share(self, workspace: str, weight: float) -> float:
         """Return the part of the target due to ``workspace`` among those waiting."""
-        total = self._weight if workspace in self._lines else self._weight + weight
+        total = self._weight if workspace in self._queues else self._weight + weight
         return min(1.0, weight / total)
 
-    def estimate_ahead(self, workspace: str, weight: float) -> float:
+    def estimate_cost_ahead(self, workspace: str, weight: float) -> float:
         """Return the expected seconds of work before a new request of ``workspace``.
 
         Its own line is served at its share; of each other line about half the first
         requests go before its first.
         """
-        line = self._lines.get(workspace)
-        own = line.work if line is not None else 0.0
-        mean = self._work / max(1, len(self._entries))
-        ahead = own / self.find_share(workspace, weight) + mean * len(self._lines) / 2
-        return min(self._work, ahead)
+        queue = self._queues.get(workspace)
+        own = queue.cost if queue is not None else 0.0
+        mean = self._cost / max(1, len(self._requests))
+        ahead = own / self.compute_share(workspace, weight) + mean * len(self._queues) / 2
+        return min(self._cost, ahead)
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, queued: QueuedRequest) -> None:
         """Add a request."""
-        workspace = waiting.workspace
-        line = self._lines.get(workspace)
-        if line is None:
-            start = max(self._virtual, self._used.pop(workspace, 0.0))
-            line = _Line(start, waiting.weight)
-            self._lines[workspace] = line
-            self._weight += line.weight
-            heapq.heappush(self._order, (start, workspace))
-        heapq.heappush(line.heap, (waiting.place, waiting))
-        line.arrivals.append(waiting)
-        line.count += 1
-        line.work += waiting.work
-        self._entries[waiting.request_id] = waiting
-        self._work += waiting.work
-        heapq.heappush(self._latest, (waiting.latest_start, waiting.request_id))
-        heapq.heappush(self._longest, (-line.load, workspace))
+        workspace = queued.workspace
+        queue = self._queues.get(workspace)
+        if queue is None:
+            start = max(self._virtual_time, self._idle_virtual_times.pop(workspace, 0.0))
+            queue = _WorkspaceQueue(start, queued.weight)
+            self._queues[workspace] = queue
+            self._weight += queue.weight
+            heapq.heappush(self._by_virtual_start, (start, workspace))
+        heapq.heappush(queue.heap, (queued.sort_key, queued))
+        queue.arrivals.append(queued)
+        queue.count += 1
+        queue.cost += queued.cost
+        self._requests[queued.request_id] = queued
+        self._cost += queued.cost
+        heapq.heappush(self._by_latest_start, (queued.latest_start, queued.request_id))
+        heapq.heappush(self._by_backlog, (-queue.backlog, workspace))
         self._compact()
 
     def pop(
-        self, is_eligible: Callable[[Waiting], bool] = lambda _: True
-    ) -> Waiting | None:
+        self, is_eligible: Callable[[QueuedRequest], bool] = lambda _: True
+    ) -> QueuedRequest | None:
         """Remove and return the next request that is eligible, if there is one.
 
         Each workspace offers its first one only.
         """
         skipped: list[tuple[float, str]] = []
-        found: Waiting | None = None
-        while self._order and found is None:
-            virtual, workspace = heapq.heappop(self._order)
-            line = self._lines.get(workspace)
-            if line is None or line.virtual != virtual:
+        found: QueuedRequest | None = None
+        while self._by_virtual_start and found is None:
+            virtual_start, workspace = heapq.heappop(self._by_virtual_start)
+            queue = self._queues.get(workspace)
+            if queue is None or queue.virtual_start != virtual_start:
                 continue
-            first = self._find_first(line)
+            first = self._find_first(queue)
             if is_eligible(first):
                 found = first
-                self._take(line, first)
+                self._dequeue(queue, first)
             else:
-                skipped.append((virtual, workspace))
+                skipped.append((virtual_start, workspace))
         for entry in skipped:
-            heapq.heappush(self._order, entry)
+            heapq.heappush(self._by_virtual_start, entry)
         return found
 
-    def remove(self, request_id: str) -> Waiting | None:
+    def remove(self, request_id: str) -> QueuedRequest | None:
         """Take a request out of the queue, if it waits."""
-        waiting = self._entries.get(request_id)
-        if waiting is None:
+        queued = self._requests.get(request_id)
+        if queued is None:
             return None
-        line = self._lines[waiting.workspace]
-        self._forget(waiting, line)
-        if len(line.heap) > 2 * line.count + MIN_DEAD:
-            line.heap = [entry for entry in line.heap if self._is_live(entry[1])]
-            heapq.heapify(line.heap)
-            line.arrivals = deque(w for w in line.arrivals if self._is_live(w))
-        return waiting
+        queue = self._queues[queued.workspace]
+        self._discard(queued, queue)
+        if len(queue.heap) > 2 * queue.count + MIN_STALE_ENTRIES:
+            queue.heap = [entry for entry in queue.heap if self._is_live(entry[1])]
+            heapq.heapify(queue.heap)
+            queue.arrivals = deque(w for w in queue.arrivals if self._is_live(w))
+        return queued
 
     def charge(self, workspace: str, seconds: float) -> None:
         """Correct what ``workspace`` used by ``seconds`` of target time per weight.
@@ -184,99 +184,99 @@
         Without it a workspace whose answers run longer than expected would get more
         than its share with each of them.
         """
-        line = self._lines.get(workspace)
-        if line is not None:
-            line.virtual = max(self._virtual, line.virtual + seconds)
-            heapq.heappush(self._order, (line.virtual, workspace))
+        queue = self._queues.get(workspace)
+        if queue is not None:
+            queue.virtual_start = max(self._virtual_time, queue.virtual_start + seconds)
+            heapq.heappush(self._by_virtual_start, (queue.virtual_start, workspace))
             return
-        used = self._used.get(workspace, self._virtual) + seconds
-        self._keep_used(workspace, used)
+        used = self._idle_virtual_times.get(workspace, self._virtual_time) + seconds
+        self._store_idle_virtual_time(workspace, used)
 
-    def take_late(self, now: float) -> list[Waiting]:
+    def remove_expired(self, now: float) -> list[QueuedRequest]:
         """Remove and return what could not finish by its deadline even if next."""
-        late: list[Waiting] = []
-        while self._latest and self._latest[0][0] < now:
-            _, request_id = heapq.heappop(self._latest)
-            waiting = self.remove(request_id)
-            if waiting is not None:
-                late.append(waiting)
-        return late
-
-    def find_longest(self) -> tuple[str, float] | None:
+        expired: list[QueuedRequest] = []
+        while self._by_latest_start and self._by_latest_start[0][0] < now:
+            _, request_id = heapq.heappop(self._by_latest_start)
+            queued = self.remove(request_id)
+            if queued is not None:
+                expired.append(queued)
+        return expired
+
+    def find_largest_backlog(self) -> tuple[str, float] | None:
         """Return the workspace with most requests per weight, and that number."""
-        while self._longest:
-            load, workspace = self._longest[0]
-            line = self._lines.get(workspace)
-            if line is not None and line.load == -load:
-                return workspace, line.load
-            heapq.heappop(self._longest)
-            if line is not None and line.load < -load:
-                heapq.heappush(self._longest, (-line.load, workspace))
+        while self._by_backlog:
+            backlog, workspace = self._by_backlog[0]
+            queue = self._queues.get(workspace)
+            if queue is not None and queue.backlog == -backlog:
+                return workspace, queue.backlog
+            heapq.heappop(self._by_backlog)
+            if queue is not None and queue.backlog < -backlog:
+                heapq.heappush(self._by_backlog, (-queue.backlog, workspace))
         return None
 
-    def find_newest(self, workspace: str) -> Waiting | None:
+    def find_newest(self, workspace: str) -> QueuedRequest | None:
         """Return the request of ``workspace`` that came last."""
-        line = self._lines.get(workspace)
-        if line is None:
+        queue = self._queues.get(workspace)
+        if queue is None:
             return None
-        while not self._is_live(line.arrivals[-1]):
-            line.arrivals.pop()
-        return line.arrivals[-1]
+        while not self._is_live(queue.arrivals[-1]):
+            queue.arrivals.pop()
+        return queue.arrivals[-1]
 
-    def list_all(self) -> list[Waiting]:
+    def list_all(self) -> list[QueuedRequest]:
         """Return every waiting request."""
-        return list(self._entries.values())
-
-    def _is_live(self, waiting: Waiting) -> bool:
-        return self._entries.get(waiting.request_id) is waiting
-
-    def _find_first(self, line: _Line) -> Waiting:
-        while not self._is_live(line.heap[0][1]):
-            heapq.heappop(line.heap)
-        return line.heap[0][1]
-
-    def _take(self, line: _Line, first: Waiting) -> None:
-        heapq.heappop(line.heap)
-        self._virtual = max(self._virtual, line.virtual)
-        line.virtual += first.work / first.weight
-        heapq.heappush(self._order, (line.virtual, first.workspace))
-        self._forget(first, line)
-
-    def _forget(self, waiting: Waiting, line: _Line) -> None:
-        del self._entries[waiting.request_id]
-        line.count -= 1
-        line.work -= waiting.work
-        self._work = max(0.0, self._work - waiting.work) if self._entries else 0.0
-        while line.arrivals and not self._is_live(line.arrivals[0]):
-            line.arrivals.popleft()
-        if line.count == 0:
-            self._close(waiting.workspace, line)
-
-    def _close(self, workspace: str, line: _Line) -> None:
-        del self._lines[workspace]
-        self._weight = self._weight - line.weight if self._lines else 0.0
-        self._keep_used(workspace, line.virtual)
-
-    def _keep_used(self, workspace: str, virtual: float) -> None:
-        if virtual > self._virtual:
-            self._used[workspace] = virtual
+        return list(self._requests.values())
+
+    def _is_live(self, queued: QueuedRequest) -> bool:
+        return self._requests.get(queued.request_id) is queued
+
+    def _find_first(self, queue: _WorkspaceQueue) -> QueuedRequest:
+        while not self._is_live(queue.heap[0][1]):
+            heapq.heappop(queue.heap)
+        return queue.heap[0][1]
+
+    def _dequeue(self, queue: _WorkspaceQueue, first: QueuedRequest) -> None:
+        heapq.heappop(queue.heap)
+        self._virtual_time = max(self._virtual_time, queue.virtual_start)
+        queue.virtual_start += first.cost / first.weight
+        heapq.heappush(self._by_virtual_start, (queue.virtual_start, first.workspace))
+        self._discard(first, queue)
+
+    def _discard(self, queued: QueuedRequest, queue: _WorkspaceQueue) -> None:
+        del self._requests[queued.request_id]
+        queue.count -= 1
+        queue.cost -= queued.cost
+        self._cost = max(0.0, self._cost - queued.cost) if self._requests else 0.0
+        while queue.arrivals and not self._is_live(queue.arrivals[0]):
+            queue.arrivals.popleft()
+        if queue.count == 0:
+            self._remove_queue(queued.workspace, queue)
+
+    def _remove_queue(self, workspace: str, queue: _WorkspaceQueue) -> None:
+        del self._queues[workspace]
+        self._weight = self._weight - queue.weight if self._queues else 0.0
+        self._store_idle_virtual_time(workspace, queue.virtual_start)
+
+    def _store_idle_virtual_time(self, workspace: str, virtual_start: float) -> None:
+        if virtual_start > self._virtual_time:
+            self._idle_virtual_times[workspace] = virtual_start
         else:
-            self._used.pop(workspace, None)
-        if len(self._used) > self._used_bound:
-            ahead = {w: v for w, v in self._used.items() if v > self._virtual}
-            self._used = ahead
-            self._used_bound = 2 * len(ahead) + MIN_DEAD
+            self._idle_virtual_times.pop(workspace, None)
+        if len(self._idle_virtual_times) > self._idle_bound:
+            ahead = {w: v for w, v in self._idle_virtual_times.items() if v > self._virtual_time}
+            self._idle_virtual_times = ahead
+            self._idle_bound = 2 * len(ahead) + MIN_STALE_ENTRIES
 
     def _compact(self) -> None:
-        if len(self._latest) > 2 * len(self._entries) + MIN_DEAD:
-            entries = self._entries.values()
-            self._latest = [(w.latest_start, w.request_id) for w in entries]
-            heapq.heapify(self._latest)
-        if len(self._longest) > 2 * len(self._lines) + MIN_DEAD:
-            lines = self._lines.items()
-            self._longest = [(-line.load, name) for name, line in lines]
-            heapq.heapify(self._longest)
-        if len(self._order) > 2 * len(self._lines) + MIN_DEAD:
-            lines = self._lines.items()
-            self._order = [(line.virtual, name) for name, line in lines]
-            heapq.heapify(self._order)
+        if len(self._by_latest_start) > 2 * len(self._requests) + MIN_STALE_ENTRIES:
+            entries = self._requests.values()
+            self._by_latest_start = [(w.latest_start, w.request_id) for w in entries]
+            heapq.heapify(self._by_latest_start)
+        if len(self._by_backlog) > 2 * len(self._queues) + MIN_STALE_ENTRIES:
+            queues = self._queues.items()
+            self._by_backlog = [(-queue.backlog, name) for name, queue in queues]
+            heapq.heapify(self._by_backlog)
+        if len(self._by_virtual_start) > 2 * len(self._queues) + MIN_STALE_ENTRIES:
+            queues = self._queues.items()
+            self._by_virtual_start = [(queue.virtual_start, name) for name, queue in queues]
+            heapq.heapify(self._by_virtual_start)
--- a/libraries/decisions/tests/test_fair_queue.py
+++ b/libraries/decisions/tests/test_fair_queue.py
@@ -7,19 +7,19 @@
 from hypothesis import given, settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from bamboopier_decisions.admission.fair_queue import FairQueue, Waiting
+from bamboopier_decisions.admission.fair_queue import FairQueue, QueuedRequest
 
 WORKSPACES = ("a", "b", "c")
 WEIGHTS = {"a": 1.0, "b": 2.0, "c": 1.0}
-WORKS = st.floats(0.1, 4.0)
+COSTS = st.floats(0.1, 4.0)
 
 
-def make_waiting(
-    number: int, workspace: str, work: float = 1.0, deadline: float = 1e6
-) -> Waiting:
+def make_queued(
+    number: int, workspace: str, cost: float = 1.0, deadline: float = 1e6
+) -> QueuedRequest:
     weight = WEIGHTS.get(workspace, 1.0)
-    return Waiting(
-        str(number), workspace, weight, 0, float(number), deadline - work, work
+    return QueuedRequest(
+        str(number), workspace, weight, 0, float(number), deadline - cost, cost
     )
 
 
@@ -29,16 +29,16 @@
     def __init__(self) -> None:
         super().__init__()
         self.queue = FairQueue()
-        self.model: dict[str, Waiting] = {}
+        self.model: dict[str, QueuedRequest] = {}
         self.number = 0
 
-    @rule(workspace=st.sampled_from(WORKSPACES), work=WORKS, patience=WORKS)
-    def push(self, workspace: str, work: float, patience: float) -> None:
+    @rule(workspace=st.sampled_from(WORKSPACES), cost=COSTS, timeout=COSTS)
+    def push(self, workspace: str, cost: float, timeout: float) -> None:
         self.number += 1
-        deadline = self.number + work + patience
-        waiting = make_waiting(self.number, workspace, work, deadline)
-        self.queue.push(waiting)
-        self.model[waiting.request_id] = waiting
+        deadline = self.number + cost + timeout
+        queued = make_queued(self.number, workspace, cost, deadline)
+        self.queue.push(queued)
+        self.model[queued.request_id] = queued
 
     @rule()
     def pop(self) -> None:
@@ -47,8 +47,8 @@
             assert not self.model
             return
         assert self.model.pop(popped.request_id) is popped
-        own = [w.place for w in self.model.values() if w.workspace == popped.workspace]
-        assert all(popped.place <= place for place in own)
+        own = [w.sort_key for w in self.model.values() if w.workspace == popped.workspace]
+        assert all(popped.sort_key <= sort_key for sort_key in own)
 
     @rule(held=st.sampled_from(WORKSPACES))
     def pop_all_but(self, held: str) -> None:
@@ -69,18 +69,18 @@
         self.queue.charge(workspace, seconds)
 
     @rule(ahead=st.floats(-3.0, 3.0))
-    def take_late(self, ahead: float) -> None:
+    def remove_expired(self, ahead: float) -> None:
         now = self.number + ahead
-        late = {w.request_id for w in self.queue.take_late(now)}
+        expired = {w.request_id for w in self.queue.remove_expired(now)}
         expected = {i for i, w in self.model.items() if w.latest_start < now}
-        assert late == expected
-        for name in late:
+        assert expired == expected
+        for name in expired:
             del self.model[name]
 
     @invariant()
-    def holds_what_it_must(self) -> None:
+    def matches_model(self) -> None:
         assert {w.request_id for w in self.queue.list_all()} == set(self.model)
-        assert abs(self.queue.work - sum(w.work for w in self.model.values())) < 1e-6
+        assert abs(self.queue.cost - sum(w.cost for w in self.model.values())) < 1e-6
         loads: dict[str, float] = {}
         for workspace in WORKSPACES:
             own = [w for w in self.model.values() if w.workspace == workspace]
@@ -89,7 +89,7 @@
                 loads[workspace] = len(own) / WEIGHTS[workspace]
                 newest = max(own, key=lambda w: w.arrival)
                 assert self.queue.find_newest(workspace) is newest
-        longest = self.queue.find_longest()
+        longest = self.queue.find_largest_backlog()
         assert (longest[1] if longest else None) == (
             max(loads.values()) if loads else None
         )
@@ -115,24 +115,24 @@
         queue = FairQueue()
         for number in range(60):
             for workspace in ("a", "b"):
-                work = data.draw(WORKS)
-                queue.push(make_waiting(number, f"{workspace}", work))
+                cost = data.draw(COSTS)
+                queue.push(make_queued(number, f"{workspace}", cost))
                 # Ids are unique over both lines.
                 number += 1000
         served = {"a": 0.0, "b": 0.0}
         while queue.count("a") and queue.count("b"):
             popped = queue.pop()
-            served[popped.workspace] += popped.work / popped.weight
+            served[popped.workspace] += popped.cost / popped.weight
             bound = 4.0 / WEIGHTS["a"] + 4.0 / WEIGHTS["b"]
             self.assertLessEqual(abs(served["a"] - served["b"]), bound)
 
     def test_an_idle_workspace_saves_up_nothing(self) -> None:
         queue = FairQueue()
         for number in range(100):
-            queue.push(make_waiting(number, "a"))
+            queue.push(make_queued(number, "a"))
         for _ in range(50):
             queue.pop()
         for number in range(100, 150):
-            queue.push(make_waiting(number, "c"))
+            queue.push(make_queued(number, "c"))
         first = [queue.pop().workspace for _ in range(20)]
         self.assertLessEqual(abs(first.count("a") - first.count("c")), 1)
