--- a/libraries/decisions/src/bamboopier_decisions/admission/controller.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/controller.py
@@ -18,7 +18,7 @@
 from .throughput_ratio import ThroughputRatio
 from .cost_estimator import MIN_DECODE_SAMPLE_TOKENS, CostEstimator
 from .fair_queue import FairQueue, QueuedRequest
-from .lending import Lending
+from .heavy_hitters import HeavyHitters
 from .messages import (
     AdmissionDecision,
     AdmissionEvent,
@@ -76,7 +76,7 @@
         self._stopping = False
         self._cost_estimator = CostEstimator()
         self._hints = RetryHints(random)
-        self._lending = Lending()
+        self._heavy_hitters = HeavyHitters()
         self._throughput = ThroughputRatio()
         # Since when the queue has not been empty; None while it is.
         self._standing_since: float | None = None
@@ -153,7 +153,7 @@
         if self._stopping:
             return [Reject(event.request_id, RejectReason.STOPPING, 0.0)]
         work = self._cost_estimator.estimate(event.prompt_tokens, event.max_tokens)
-        self._lending.note_arrival(event.now, event.workspace, event.weight, work)
+        self._heavy_hitters.record_arrival(event.now, event.workspace, event.weight, work)
         waiting = QueuedRequest(
             event.request_id,
             event.workspace,
@@ -238,9 +238,9 @@
 
     def _may_start(self, waiting: QueuedRequest, now: float) -> bool:
         limit = self._limit.value
-        if len(self._running) < self._lending.find_lent(limit):
+        if len(self._running) < self._heavy_hitters.compute_heavy_hitter_slots(limit):
             return True
-        return not self._lending.is_far_above(now, waiting.workspace, limit)
+        return not self._heavy_hitters.is_heavy_hitter(now, waiting.workspace, limit)
 
     def _note_first(self, event: FirstTokenReceived) -> None:
         running = self._running.get(event.request_id)
