--- a/libraries/decisions/src/bamboopier_decisions/admission/controller.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/controller.py
@@ -34,7 +34,7 @@
     RequestFinished,
     RequestCancelled,
 )
-from .retry_hints import RetryHints
+from .retry_schedule import RetrySchedule
 
 if TYPE_CHECKING:
     import random
@@ -75,7 +75,7 @@
         self._running: dict[str, _Running] = {}
         self._stopping = False
         self._cost_estimator = CostEstimator()
-        self._hints = RetryHints(random)
+        self._retry_schedule = RetrySchedule(random)
         self._heavy_hitters = HeavyHitters()
         self._throughput = ThroughputRatio()
         # Since when the queue has not been empty; None while it is.
@@ -358,5 +358,5 @@
         delay = self._estimate_start(self._queue.estimate_cost_ahead(workspace, weight))
         share = self._queue.compute_share(workspace, weight)
         step = waiting.work / share / max(1, self._limit.value)
-        wait = self._hints.book(now, workspace, delay, step)
+        wait = self._retry_schedule.reserve(now, workspace, delay, step)
         return Reject(waiting.request_id, reason, wait)
--- a/libraries/decisions/src/bamboopier_decisions/admission/retry_hints.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/retry_schedule.py
@@ -18,25 +18,25 @@
 MAX_RETRY_AFTER = 30.0
 # Hints differ by up to this share, or agents that went full together would answer
 # the same second.
-SPREAD = 0.2
-MIN_BOOKED = 64
+JITTER = 0.2
+MIN_RESERVATIONS = 64
 
 
-class RetryHints:
+class RetrySchedule:
     """Books a time per refusal and workspace."""
 
     def __init__(self, random: random.Random) -> None:
         self._random = random
-        self._booked: dict[str, float] = {}
-        self._bound = MIN_BOOKED
+        self._reserved: dict[str, float] = {}
+        self._bound = MIN_RESERVATIONS
 
-    def book(self, now: float, workspace: str, delay: float, step: float) -> float:
-        """Return the seconds to wait: at least ``delay``, ``step`` after the last."""
+    def reserve(self, now: float, workspace: str, delay: float, interval: float) -> float:
+        """Return the seconds to wait: at least ``delay``, ``interval`` after the last."""
         earliest = now + max(MIN_RETRY_AFTER, delay)
         latest = now + MAX_RETRY_AFTER
-        booked = min(latest, max(earliest, self._booked.get(workspace, 0.0) + step))
-        self._booked[workspace] = booked
-        if len(self._booked) > self._bound:
-            self._booked = {w: at for w, at in self._booked.items() if at > now}
-            self._bound = 2 * len(self._booked) + MIN_BOOKED
-        return (booked - now) * self._random.uniform(1 - SPREAD, 1 + SPREAD)
+        reserved = min(latest, max(earliest, self._reserved.get(workspace, 0.0) + interval))
+        self._reserved[workspace] = reserved
+        if len(self._reserved) > self._bound:
+            self._reserved = {w: at for w, at in self._reserved.items() if at > now}
+            self._bound = 2 * len(self._reserved) + MIN_RESERVATIONS
+        return (reserved - now) * self._random.uniform(1 - JITTER, 1 + JITTER)
