--- a/libraries/decisions/src/bamboopier_decisions/admission/controller.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/controller.py
@@ -5,9 +5,9 @@
 time. Work that cannot meet its deadline is turned away when that is known, with the
 time after which there will be room.
 
-A burst may fill the queue. A queue that has not been empty for ``STANDING_SECONDS`` is
+A burst may fill the queue. A queue that has not been empty for ``STANDING_QUEUE_AFTER_SECONDS`` is
 no burst: it serves nobody more and makes everybody wait, so it is then kept as short as
-``STANDING_WAIT`` and the rest learns at once when to return.
+``MAX_STANDING_QUEUE_SECONDS`` and the rest learns at once when to return.
 """
 
 from __future__ import annotations
@@ -41,25 +41,25 @@
 
 # Shorter would refuse those whose turn still comes while a burst drains, longer would
 # keep everybody waiting under overload (rows "burst" and "overload" of docs/LOAD.md).
-STANDING_SECONDS = 5.0
+STANDING_QUEUE_AFTER_SECONDS = 5.0
 # Waits are known to about a third. Without the margin those who were let in just before
 # their deadline's wait learn late that it was too long.
-WAIT_MARGIN = 1.3
+WAIT_ESTIMATE_MARGIN = 1.3
 # Seconds of work that a standing queue holds: enough that no slot stands empty.
-STANDING_WAIT = 1.0
-MIN_QUEUE = 4
+MAX_STANDING_QUEUE_SECONDS = 1.0
+MIN_STANDING_QUEUE_LENGTH = 4
 
 
-class _Running:
+class _RunningRequest:
     """A request the target has."""
 
-    __slots__ = ("first", "started", "work", "work_arrived")
+    __slots__ = ("arrival", "first_token_at", "request", "started_at")
 
-    def __init__(self, work: QueuedRequest, arrived: AdmissionRequested, started: float) -> None:
-        self.work = work
-        self.work_arrived = arrived
-        self.started = started
-        self.first: float | None = None
+    def __init__(self, request: QueuedRequest, arrival: AdmissionRequested, started_at: float) -> None:
+        self.request = request
+        self.arrival = arrival
+        self.started_at = started_at
+        self.first_token_at: float | None = None
 
 
 class AdmissionController:
@@ -71,15 +71,15 @@
         self._max_waiting = max_waiting
         self._limit = ConcurrencyLimit(max_running)
         self._queue = FairQueue()
-        self._arrived: dict[str, AdmissionRequested] = {}
-        self._running: dict[str, _Running] = {}
+        self._arrivals: dict[str, AdmissionRequested] = {}
+        self._running: dict[str, _RunningRequest] = {}
         self._stopping = False
         self._cost_estimator = CostEstimator()
         self._retry_schedule = RetrySchedule(random)
         self._heavy_hitters = HeavyHitters()
         self._throughput = ThroughputRatio()
         # Since when the queue has not been empty; None while it is.
-        self._standing_since: float | None = None
+        self._queue_nonempty_since: float | None = None
 
     @property
     def running(self) -> int:
@@ -120,23 +120,23 @@
         """Take one event; return the decisions it calls for, in order."""
         decisions = self._decide(event)
         if len(self._queue) == 0:
-            self._standing_since = None
-        elif self._standing_since is None:
-            self._standing_since = event.now
+            self._queue_nonempty_since = None
+        elif self._queue_nonempty_since is None:
+            self._queue_nonempty_since = event.now
         return decisions
 
     def _decide(self, event: AdmissionEvent) -> list[AdmissionDecision]:
         match event:
             case AdmissionRequested():
-                return self._arrive(event)
+                return self._handle_arrival(event)
             case FirstTokenReceived():
-                self._note_first(event)
+                self._record_first_token(event)
                 return []
             case RequestFinished():
-                return self._end(event)
+                return self._handle_end(event)
             case RequestCancelled():
                 self._queue.remove(event.request_id)
-                self._arrived.pop(event.request_id, None)
+                self._arrivals.pop(event.request_id, None)
                 return []
             case TargetRestarted():
                 self._limit.reset()
@@ -149,40 +149,40 @@
             case Tick():
                 return self._tick(event.now)
 
-    def _arrive(self, event: AdmissionRequested) -> list[AdmissionDecision]:
+    def _handle_arrival(self, event: AdmissionRequested) -> list[AdmissionDecision]:
         if self._stopping:
             return [Reject(event.request_id, RejectReason.STOPPING, 0.0)]
-        work = self._cost_estimator.estimate(event.prompt_tokens, event.max_tokens)
-        self._heavy_hitters.record_arrival(event.now, event.workspace, event.weight, work)
+        cost = self._cost_estimator.estimate(event.prompt_tokens, event.max_tokens)
+        self._heavy_hitters.record_arrival(event.now, event.workspace, event.weight, cost)
         waiting = QueuedRequest(
             event.request_id,
             event.workspace,
             event.weight,
             event.priority,
             event.now,
-            event.deadline - work,
-            work,
+            event.deadline - cost,
+            cost,
         )
         wait = self._estimate_wait(waiting)
         # A queue that stands is no chance bunch that others could take: passed on, its
         # requests would only be turned away there as well.
-        if wait > event.max_wait and not self._is_standing(event.now):
+        if wait > event.max_wait and not self._has_standing_queue(event.now):
             return [Reject(event.request_id, RejectReason.BUSY, 0.0)]
-        if self._is_hopeless(waiting, event, wait):
+        if self._will_miss_deadline(waiting, event, wait):
             return [self._reject(waiting, event.now, RejectReason.DEADLINE)]
         decisions: list[AdmissionDecision] = []
         if len(self._running) >= self.limit and self._is_full(event.now):
-            pushed_out = self._push_out(waiting)
-            if pushed_out is None:
+            evicted = self._evict_for(waiting)
+            if evicted is None:
                 return [self._reject(waiting, event.now, RejectReason.QUEUE_FULL)]
-            self._arrived.pop(pushed_out.request_id)
+            self._arrivals.pop(evicted.request_id)
             reason = RejectReason.FAIR_SHARE
-            decisions.append(self._reject(pushed_out, event.now, reason))
+            decisions.append(self._reject(evicted, event.now, reason))
         self._queue.push(waiting)
-        self._arrived[event.request_id] = event
+        self._arrivals[event.request_id] = event
         return decisions + self._start_next(event.now)
 
-    def _is_hopeless(self, waiting: QueuedRequest, event: AdmissionRequested, wait: float) -> bool:
+    def _will_miss_deadline(self, waiting: QueuedRequest, event: AdmissionRequested, wait: float) -> bool:
         """Say whether a request cannot be answered in time.
 
         With a slot free it is tried: it takes nobody's place, and the estimate of its
@@ -190,36 +190,36 @@
         """
         if wait <= 0:
             return event.deadline <= event.now
-        return event.now + WAIT_MARGIN * wait > waiting.latest_start
+        return event.now + WAIT_ESTIMATE_MARGIN * wait > waiting.latest_start
 
-    def _is_standing(self, now: float) -> bool:
-        since = self._standing_since
-        return since is not None and now - since > STANDING_SECONDS
+    def _has_standing_queue(self, now: float) -> bool:
+        since = self._queue_nonempty_since
+        return since is not None and now - since > STANDING_QUEUE_AFTER_SECONDS
 
     def _is_full(self, now: float) -> bool:
         bound = self._max_waiting
-        if self._is_standing(now):
+        if self._has_standing_queue(now):
             rate = self._limit.value / max(0.01, self._cost_estimator.service_seconds)
-            bound = min(bound, max(MIN_QUEUE, int(rate * STANDING_WAIT)))
+            bound = min(bound, max(MIN_STANDING_QUEUE_LENGTH, int(rate * MAX_STANDING_QUEUE_SECONDS)))
         return len(self._queue) >= bound
 
-    def _push_out(self, newcomer: QueuedRequest) -> QueuedRequest | None:
+    def _evict_for(self, arriving: QueuedRequest) -> QueuedRequest | None:
         """Make room for a workspace below the one with most waiting, if it is.
 
         Without it one workspace fills the bounded queue and the others are refused,
         however little they ask for.
         """
-        longest = self._queue.find_largest_backlog()
-        if longest is None:
+        largest = self._queue.find_largest_backlog()
+        if largest is None:
             return None
-        workspace, load = longest
-        own = (self._queue.count(newcomer.workspace) + 1) / newcomer.weight
-        if own < load and workspace != newcomer.workspace:
+        workspace, load = largest
+        own = (self._queue.count(arriving.workspace) + 1) / arriving.weight
+        if own < load and workspace != arriving.workspace:
             newest = self._queue.find_newest(workspace)
         else:
             # Among its own, an urgent request goes before the newest less urgent one.
-            newest = self._queue.find_newest(newcomer.workspace)
-            if newest is None or newest.priority <= newcomer.priority:
+            newest = self._queue.find_newest(arriving.workspace)
+            if newest is None or newest.priority <= arriving.priority:
                 return None
         return self._queue.remove(newest.request_id) if newest is not None else None
 
@@ -230,9 +230,9 @@
             if waiting is None:
                 break
             request_id = waiting.request_id
-            self._throughput.add_started_cost(waiting.work)
-            arrived = self._arrived.pop(request_id)
-            self._running[request_id] = _Running(waiting, arrived, now)
+            self._throughput.add_started_cost(waiting.cost)
+            arrival = self._arrivals.pop(request_id)
+            self._running[request_id] = _RunningRequest(waiting, arrival, now)
             decisions.append(Start(request_id))
         return decisions
 
@@ -242,63 +242,63 @@
             return True
         return not self._heavy_hitters.is_heavy_hitter(now, waiting.workspace, limit)
 
-    def _note_first(self, event: FirstTokenReceived) -> None:
+    def _record_first_token(self, event: FirstTokenReceived) -> None:
         running = self._running.get(event.request_id)
-        if running is None or running.first is not None:
+        if running is None or running.first_token_at is not None:
             return
-        running.first = event.now
+        running.first_token_at = event.now
         if event.prefill_tokens > 0:
             self._measure_prefill(running, event.prefill_tokens)
 
-    def _measure_prefill(self, running: _Running, prefill_tokens: int) -> None:
-        if running.first is None:
+    def _measure_prefill(self, running: _RunningRequest, prefill_tokens: int) -> None:
+        if running.first_token_at is None:
             return
-        seconds = running.first - running.started
+        seconds = running.first_token_at - running.started_at
         # Prompts that are prefilled together share the engine's speed.
         ratio = self._cost_estimator.compare_first_token(prefill_tokens, seconds) / len(self._running)
         self._limit.record_first_token(ratio)
-        prompt_tokens = running.work_arrived.prompt_tokens
+        prompt_tokens = running.arrival.prompt_tokens
         self._cost_estimator.record_first_token(prompt_tokens, prefill_tokens, seconds)
 
-    def _end(self, event: RequestFinished) -> list[AdmissionDecision]:
+    def _handle_end(self, event: RequestFinished) -> list[AdmissionDecision]:
         running = self._running.get(event.request_id)
         if running is None:
             return []
         if event.prefill_tokens > 0:
             self._measure_prefill(running, event.prefill_tokens)
         del self._running[event.request_id]
-        seconds = event.now - running.started
+        seconds = event.now - running.started_at
         self._queue.charge(
-            running.work.workspace, (seconds - running.work.work) / running.work.weight
+            running.request.workspace, (seconds - running.request.cost) / running.request.weight
         )
         if event.succeeded:
-            self._learn(event, running, seconds)
+            self._record_success(event, running, seconds)
         elif not event.cancelled:
             self._limit.record_failure()
         return self._start_next(event.now)
 
-    def _learn(self, event: RequestFinished, running: _Running, seconds: float) -> None:
-        decode = event.now - (running.first or running.started)
-        arrived = running.work_arrived
+    def _record_success(self, event: RequestFinished, running: _RunningRequest, seconds: float) -> None:
+        decode = event.now - (running.first_token_at or running.started_at)
+        arrival = running.arrival
         tokens = event.output_tokens
-        self._cost_estimator.record_success(seconds, decode, tokens, arrived.max_tokens)
-        pace = 0.0
+        self._cost_estimator.record_success(seconds, decode, tokens, arrival.max_tokens)
+        latency = 0.0
         if tokens >= MIN_DECODE_SAMPLE_TOKENS:
-            pace = decode / tokens
-        elif arrived.max_tokens == 0:
-            pace = seconds
+            latency = decode / tokens
+        elif arrival.max_tokens == 0:
+            latency = seconds
         in_use = len(self._running) + 1
         if len(self._queue) > 0:
             # Those far above their share wait although slots are free.
             in_use = max(in_use, self._limit.value)
-        self._limit.record_success(in_use, pace)
+        self._limit.record_success(in_use, latency)
 
     def _stop(self, now: float) -> list[AdmissionDecision]:
         self._stopping = True
         waiting = self._queue.list_all()
         for entry in waiting:
             self._queue.remove(entry.request_id)
-        self._arrived.clear()
+        self._arrivals.clear()
         return [self._reject(entry, now, RejectReason.STOPPING) for entry in waiting]
 
     def _tick(self, now: float) -> list[AdmissionDecision]:
@@ -306,50 +306,50 @@
         full = len(self._running) >= self._limit.value
         standing = full and len(self._queue) > 0
         self._throughput.tick(now, standing, self._limit.value)
-        late = self._queue.remove_expired(now)
-        late += self._take_hopeless(now)
-        for entry in late:
-            self._arrived.pop(entry.request_id)
-        return [self._reject(entry, now, RejectReason.DEADLINE) for entry in late]
+        expired = self._queue.remove_expired(now)
+        expired += self._remove_unreachable(now)
+        for entry in expired:
+            self._arrivals.pop(entry.request_id)
+        return [self._reject(entry, now, RejectReason.DEADLINE) for entry in expired]
 
-    def _take_hopeless(self, now: float) -> list[QueuedRequest]:
+    def _remove_unreachable(self, now: float) -> list[QueuedRequest]:
         """Take out the newest of the longest lines that will not be reached in time.
 
         The queue may drain more slowly than it seemed on their arrival; without this
         they would wait until their deadline is past before they are refused.
         """
-        hopeless: list[QueuedRequest] = []
+        unreachable: list[QueuedRequest] = []
         while len(self._queue) > 0:
-            longest = self._queue.find_largest_backlog()
-            if longest is None:
+            largest = self._queue.find_largest_backlog()
+            if largest is None:
                 break
-            newest = self._queue.find_newest(longest[0])
-            start = now + WAIT_MARGIN * self._estimate_start(self._queue.work)
+            newest = self._queue.find_newest(largest[0])
+            start = now + WAIT_ESTIMATE_MARGIN * self._estimate_start(self._queue.cost)
             if newest is None or start <= newest.latest_start:
                 break
             self._queue.remove(newest.request_id)
-            hopeless.append(newest)
-        return hopeless
+            unreachable.append(newest)
+        return unreachable
 
     def _estimate_wait(self, waiting: QueuedRequest) -> float:
         """Return the expected seconds until a newly arrived request starts."""
-        if self._is_free(waiting):
+        if self._has_free_slot(waiting):
             return 0.0
         workspace, weight = waiting.workspace, waiting.weight
         return self._estimate_start(self._queue.estimate_cost_ahead(workspace, weight))
 
-    def _is_free(self, waiting: QueuedRequest) -> bool:
+    def _has_free_slot(self, waiting: QueuedRequest) -> bool:
         """Say whether a slot is free for the workspace: others that wait are held."""
         if len(self._running) >= self._limit.value:
             return False
         return self._may_start(waiting, waiting.arrival)
 
-    def _estimate_start(self, ahead: float) -> float:
-        """Return the expected seconds until work behind ``ahead`` seconds starts."""
+    def _estimate_start(self, cost_ahead: float) -> float:
+        """Return the expected seconds until work behind ``cost_ahead`` seconds starts."""
         # One slot falls free after a service time over their number on average.
         over = len(self._running) - self._limit.value
         taken = max(0, 1 + over) * self._cost_estimator.service_seconds
-        return (ahead + taken) / max(1, self._limit.value) / self._throughput.value
+        return (cost_ahead + taken) / max(1, self._limit.value) / self._throughput.value
 
     def _reject(self, waiting: QueuedRequest, now: float, reason: RejectReason) -> Reject:
         if reason is RejectReason.STOPPING:
@@ -357,6 +357,6 @@
         workspace, weight = waiting.workspace, waiting.weight
         delay = self._estimate_start(self._queue.estimate_cost_ahead(workspace, weight))
         share = self._queue.compute_share(workspace, weight)
-        step = waiting.work / share / max(1, self._limit.value)
-        wait = self._retry_schedule.reserve(now, workspace, delay, step)
+        interval = waiting.cost / share / max(1, self._limit.value)
+        wait = self._retry_schedule.reserve(now, workspace, delay, interval)
         return Reject(waiting.request_id, reason, wait)
