--- a/libraries/decisions/src/bamboopier_decisions/routing/router.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/router.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from .choice import choose_target, find_affinity, find_exclusion_reason
+from .target_choice import choose_target, compute_affinity_key, find_exclusion_reason
 from .hash_ring import compute_points
 from .messages import (
     AttemptEnded,
@@ -137,7 +137,7 @@
             state.add_sent(now, request.prompt_tokens)
         state.slowness.note_sent(now)
         reason = choice.reason if first else SendReason.RETRY
-        max_wait = bound_wait(len(pending.tried), choice.saved, is_last=choice.is_last)
+        max_wait = bound_wait(len(pending.tried), choice.saved_seconds, is_last=choice.is_last)
         return Send(
             request.request_id,
             state.view.target,
@@ -162,7 +162,7 @@
         if pending is None or state is None:
             return
         request = pending.request
-        key = find_affinity(request.block_keys)
+        key = compute_affinity_key(request.block_keys)
         if key:
             self._warm.add(key, event.target)
         targets = self._services.get(request.service)
--- a/libraries/decisions/src/bamboopier_decisions/routing/choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/target_choice.py
@@ -21,38 +21,38 @@
     from .warm_prefixes import WarmPrefixes
 
 # Owners weighed for a prefix; the second and third take a hot prefix's overflow.
-OWNERS = 3
+OWNER_COUNT = 3
 # Others weighed beside the owners: two random choices avoid the herd that always
 # picking the least loaded of stale reports would form.
-RANDOM_OTHERS = 2
+RANDOM_CANDIDATES = 2
 # Leading blocks that name a prompt's owner. A conversation keeps its first blocks as
 # it grows, so the key stays the same on every return.
 AFFINITY_BLOCKS = 2
 
 
-class Choice:
+class TargetChoice:
     """The chosen target with the reason and all that were weighed."""
 
-    __slots__ = ("candidates", "is_last", "reason", "saved", "state")
+    __slots__ = ("candidates", "is_last", "reason", "saved_seconds", "state")
 
     def __init__(
         self,
         state: TargetState,
         reason: SendReason,
         candidates: tuple[Candidate, ...],
-        saved: float,
+        saved_seconds: float,
         is_last: bool,
     ) -> None:
         self.state = state
         # No other target is left for the request, not even a full one.
         self.is_last = is_last
         # Seconds of prefill that a warm prefix is expected to spare there.
-        self.saved = saved
+        self.saved_seconds = saved_seconds
         self.reason = reason
         self.candidates = candidates
 
 
-def find_affinity(block_keys: tuple[bytes, ...]) -> bytes:
+def compute_affinity_key(block_keys: tuple[bytes, ...]) -> bytes:
     """Return the key that names a prompt's owners; empty when it has none."""
     if not block_keys:
         return b""
@@ -75,7 +75,7 @@
     tried: Set[str],
     warm: WarmPrefixes,
     random: random.Random,
-) -> Choice | None:
+) -> TargetChoice | None:
     """Pick the target with the least expected time to the first byte."""
     if len(targets) == 0:
         return None
@@ -87,37 +87,37 @@
         chance = state.find_chance(now)
         return is_untried(state) and (chance >= 1.0 or random.random() < chance)
 
-    key = find_affinity(request.block_keys)
-    owners = targets.find_owners(key, OWNERS, is_usable) if key else []
-    weighed = list(owners)
-    for state in targets.draw(RANDOM_OTHERS, is_usable, random):
-        if state not in weighed:
-            weighed.append(state)
-    weighed = weighed or targets.scan(is_untried, random)
-    if not weighed:
+    key = compute_affinity_key(request.block_keys)
+    owners = targets.find_owners(key, OWNER_COUNT, is_usable) if key else []
+    considered = list(owners)
+    for state in targets.draw(RANDOM_CANDIDATES, is_usable, random):
+        if state not in considered:
+            considered.append(state)
+    considered = considered or targets.scan(is_untried, random)
+    if not considered:
         return None
-    names = warm.find(key)
+    warm_targets = warm.find(key)
     expected: list[float] = []
-    saved: list[float] = []
-    for position, state in enumerate(weighed):
+    saved_seconds: list[float] = []
+    for position, state in enumerate(considered):
         # Nobody knows better at first than that the first owner is warm.
-        is_warm = state.view.target in names or (position == 0 and bool(owners))
-        prefill_tokens = _count_new(request, is_warm)
+        is_probably_warm = state.view.target in warm_targets or (position == 0 and bool(owners))
+        prefill_tokens = _count_prefill_tokens(request, is_probably_warm)
         expected.append(state.expect_first_byte(now, prefill_tokens))
-        saved.append((request.prompt_tokens - prefill_tokens) / state.prefill_rate)
-    best = min(range(len(weighed)), key=expected.__getitem__)
-    reason = _explain(best, len(owners), len(weighed))
+        saved_seconds.append((request.prompt_tokens - prefill_tokens) / state.prefill_rate)
+    best = min(range(len(considered)), key=expected.__getitem__)
+    reason = _get_reason(best, len(owners), len(considered))
     candidates = tuple(
         Candidate(state.view.target, seconds)
-        for state, seconds in zip(weighed, expected, strict=True)
+        for state, seconds in zip(considered, expected, strict=True)
     )
-    chosen = weighed[best]
+    chosen = considered[best]
     others = (state for state in targets.list_first() if state is not chosen)
-    is_last = all(_is_out(now, state, request, tried) for state in others)
-    return Choice(chosen, reason, candidates, saved[best], is_last)
+    is_last = all(_is_ineligible(now, state, request, tried) for state in others)
+    return TargetChoice(chosen, reason, candidates, saved_seconds[best], is_last)
 
 
-def _is_out(
+def _is_ineligible(
     now: float, state: TargetState, request: RequestArrived, tried: Set[str]
 ) -> bool:
     """Say whether a target is no choice for a request, also once it has room."""
@@ -125,15 +125,15 @@
     return reason not in (None, ExclusionReason.REFUSED)
 
 
-def _count_new(request: RequestArrived, is_warm: bool) -> int:
-    if not is_warm:
+def _count_prefill_tokens(request: RequestArrived, is_probably_warm: bool) -> int:
+    if not is_probably_warm:
         return request.prompt_tokens
     cached = len(request.block_keys) * request.block_tokens
     return max(0, request.prompt_tokens - cached)
 
 
-def _explain(position: int, owners: int, weighed: int) -> SendReason:
-    if weighed == 1:
+def _get_reason(position: int, owners: int, considered: int) -> SendReason:
+    if considered == 1:
         return SendReason.ONLY_CANDIDATE
     if owners and position == 0:
         return SendReason.PREFIX
--- a/libraries/decisions/src/bamboopier_decisions/routing/wait_bound.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/wait_bound.py
@@ -24,13 +24,13 @@
 UNBOUNDED = float("inf")
 
 
-def bound_wait(attempt: int, saved: float, *, is_last: bool) -> float:
+def bound_wait(attempt: int, saved_seconds: float, *, is_last: bool) -> float:
     """Return the seconds that attempt number ``attempt``, from 1, may wait.
 
-    ``saved`` is the prefill that a warm target spares: waiting less than that there is
+    ``saved_seconds`` is the prefill that a warm target spares: waiting less than that there is
     still better than starting cold elsewhere. ``is_last`` says that no other target is
     left to try.
     """
     if is_last or attempt > BOUNDED_ATTEMPTS:
         return UNBOUNDED
-    return SHORT_WAIT + saved
+    return SHORT_WAIT + saved_seconds
