--- a/libraries/decisions/src/bamboopier_decisions/routing/hash_ring.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/hash_ring.py
@@ -18,7 +18,7 @@
 
 # Points a target has on the ring. Its share then strays by about a fifth (one over the
 # root of the number), which the load bound of the choice evens out.
-POINTS = 32
+POINTS_PER_TARGET = 32
 _POINT_BYTES = 8
 _POINTS_PER_DIGEST = 8
 _INDEX_BITS = 20
@@ -27,7 +27,7 @@
 def compute_points(name: str) -> tuple[int, ...]:
     """Return the points of ``name``."""
     points: list[int] = []
-    for number in range(POINTS // _POINTS_PER_DIGEST):
+    for number in range(POINTS_PER_TARGET // _POINTS_PER_DIGEST):
         digest = hashlib.blake2b(f"{number}:{name}".encode()).digest()
         for start in range(0, len(digest), _POINT_BYTES):
             points.append(int.from_bytes(digest[start : start + _POINT_BYTES], "big"))
--- a/libraries/decisions/src/bamboopier_decisions/routing/rendezvous.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/rendezvous.py
@@ -15,7 +15,7 @@
     from collections.abc import Iterable
 
 
-def weigh(key: bytes, name: str) -> int:
+def compute_weight(key: bytes, name: str) -> int:
     """Return the 64-bit weight of ``name`` for ``key``; the largest owns the key."""
     digest = hashlib.blake2b(name.encode(), key=key[:64], digest_size=8).digest()
     return int.from_bytes(digest, "big")
@@ -23,5 +23,5 @@
 
 def rank(key: bytes, names: Iterable[str], count: int) -> list[str]:
     """Return the ``count`` owners of ``key``, first owner first."""
-    ordered = sorted(names, key=lambda name: (-weigh(key, name), name))
+    ordered = sorted(names, key=lambda name: (-compute_weight(key, name), name))
     return ordered[:count]
--- a/libraries/decisions/src/bamboopier_decisions/routing/retry_budget.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/retry_budget.py
@@ -9,25 +9,25 @@
 from __future__ import annotations
 
 RETRY_SHARE = 0.1
-RESERVE = 10.0
+MAX_SAVED_RETRIES = 10.0
 
 
 class RetryBudget:
     """A token bucket that successes fill and retries empty."""
 
-    __slots__ = ("_share", "_tokens")
+    __slots__ = ("_share", "_saved_retries")
 
     def __init__(self, share: float = RETRY_SHARE) -> None:
         self._share = share
-        self._tokens = RESERVE
+        self._saved_retries = MAX_SAVED_RETRIES
 
-    def add_success(self) -> None:
+    def record_success(self) -> None:
         """Earn a fraction of a retry."""
-        self._tokens = min(RESERVE, self._tokens + self._share)
+        self._saved_retries = min(MAX_SAVED_RETRIES, self._saved_retries + self._share)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Spend one retry; False when none is left."""
-        if self._tokens < 1.0:
+        if self._saved_retries < 1.0:
             return False
-        self._tokens -= 1.0
+        self._saved_retries -= 1.0
         return True
--- a/libraries/decisions/src/bamboopier_decisions/routing/router.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/router.py
@@ -188,7 +188,7 @@
         elif state is not None and event.ran is ExecutionStatus.EXECUTED:
             state.refusals.forget(key)
         if event.ran is ExecutionStatus.EXECUTED or event.delivered:
-            self._budget.add_success()
+            self._budget.record_success()
             del self._pending[event.request_id]
             return Deliver(event.request_id)
         if event.ran is ExecutionStatus.UNKNOWN and not pending.request.idempotent:
@@ -214,7 +214,7 @@
             pending.attempts -= 1
         elif pending.attempts >= MAX_ATTEMPTS:
             return self._refuse(pending, RefuseReason.ATTEMPTS)
-        elif not self._budget.take():
+        elif not self._budget.try_spend():
             return self._refuse(pending, RefuseReason.RETRY_BUDGET)
         if len(pending.tried) >= MAX_SENT:
             return self._refuse(pending, RefuseReason.ATTEMPTS)
--- a/libraries/decisions/src/bamboopier_decisions/routing/wait_bound.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/wait_bound.py
@@ -18,7 +18,7 @@
 from __future__ import annotations
 
 # Seconds; a few hops, and a small part of the 0.68 s a first token may take.
-SHORT_WAIT = 0.1
+BOUNDED_WAIT_SECONDS = 0.1
 # Attempts that may be turned away for it.
 BOUNDED_ATTEMPTS = 2
 UNBOUNDED = float("inf")
@@ -33,4 +33,4 @@
     """
     if is_last or attempt > BOUNDED_ATTEMPTS:
         return UNBOUNDED
-    return SHORT_WAIT + saved_seconds
+    return BOUNDED_WAIT_SECONDS + saved_seconds
--- a/libraries/decisions/tests/test_wait_bound.py
+++ b/libraries/decisions/tests/test_wait_bound.py
@@ -23,7 +23,7 @@
     TargetView,
 )
 from bamboopier_decisions.routing.router import Router
-from bamboopier_decisions.routing.wait_bound import SHORT_WAIT, UNBOUNDED
+from bamboopier_decisions.routing.wait_bound import BOUNDED_WAIT_SECONDS, UNBOUNDED
 
 TARGETS = 6
 # More requests than any retry budget holds.
@@ -44,9 +44,9 @@
         admission.handle(build_work(0, UNBOUNDED))
         admission.handle(RequestFinished(3.0, "r0", succeeded=True, output_tokens=100))
         for number in (1, 2):
-            started = admission.handle(build_work(number, SHORT_WAIT))
+            started = admission.handle(build_work(number, BOUNDED_WAIT_SECONDS))
             self.assertEqual(started, [Start(f"r{number}")])
-        busy = admission.handle(build_work(3, SHORT_WAIT))
+        busy = admission.handle(build_work(3, BOUNDED_WAIT_SECONDS))
         self.assertEqual(busy, [Reject("r3", RejectReason.BUSY, 0.0)])
         self.assertEqual(admission.handle(build_work(4, UNBOUNDED)), [])
         self.assertEqual(admission.waiting, 1)
@@ -69,5 +69,5 @@
                 decision = router.handle(ended)
             self.assertEqual(len({target for target, _ in tried}), 3)
             bounds = [bound for _, bound in tried]
-            self.assertEqual(bounds, [SHORT_WAIT, SHORT_WAIT, UNBOUNDED])
+            self.assertEqual(bounds, [BOUNDED_WAIT_SECONDS, BOUNDED_WAIT_SECONDS, UNBOUNDED])
             router.abandon(name)
