--- a/libraries/decisions/src/bamboopier_decisions/routing/messages.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/messages.py
@@ -117,7 +117,7 @@
     priority: int = 0
 
     @property
-    def refusal_key(self) -> str:
+    def backoff_key(self) -> str:
         """Return whose refusals say something of this request.
 
         A target that is full for a workspace's drafts still takes its urgent ones.
--- a/libraries/decisions/src/bamboopier_decisions/routing/router.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/router.py
@@ -133,7 +133,7 @@
         state = choice.state
         pending.tried.add(state.view.target)
         # A probe is refused or waits behind its own workspace: it delays no other.
-        if not state.refusals.note_sent(now, request.refusal_key):
+        if not state.backoff.record_probe(now, request.backoff_key):
             state.add_sent(now, request.prompt_tokens)
         state.slowness.note_sent(now)
         reason = choice.reason if first else SendReason.RETRY
@@ -149,7 +149,7 @@
     def _give_up(
         self, pending: _Pending, now: float, targets: ServiceTargets
     ) -> Refuse:
-        wait = targets.find_wait(now, pending.request.refusal_key)
+        wait = targets.find_wait(now, pending.request.backoff_key)
         if wait > 0 and not pending.shortest_wait:
             pending.shortest_wait = wait * self._random.uniform(1, HINT_SPREAD)
         refused = pending.tried or wait > 0
@@ -167,7 +167,7 @@
             self._warm.add(key, event.target)
         targets = self._services.get(request.service)
         # One that was refused waits for its own share, however quick the target is.
-        if targets is not None and not state.refusals.knows(request.refusal_key):
+        if targets is not None and not state.backoff.is_backing_off(request.backoff_key):
             targets.add_first_byte(
                 event.now, state, event.seconds, request.prompt_tokens
             )
@@ -182,11 +182,11 @@
                 state.add_answer()
         if pending is None:
             return None
-        key = pending.request.refusal_key
+        key = pending.request.backoff_key
         if state is not None and event.retry_after > 0:
-            state.refusals.add(event.now, key, event.retry_after)
+            state.backoff.record_rejection(event.now, key, event.retry_after)
         elif state is not None and event.ran is ExecutionStatus.EXECUTED:
-            state.refusals.forget(key)
+            state.backoff.remove(key)
         if event.ran is ExecutionStatus.EXECUTED or event.delivered:
             self._budget.record_success()
             del self._pending[event.request_id]
--- a/libraries/decisions/src/bamboopier_decisions/routing/service_targets.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/service_targets.py
@@ -99,7 +99,7 @@
     def find_wait(self, now: float, workspace: str) -> float:
         """Return the least wait that the first targets told ``workspace``."""
         states = self.list_first()
-        waits = [state.refusals.find_wait(now, workspace) for state in states]
+        waits = [state.backoff.get_wait(now, workspace) for state in states]
         return min((wait for wait in waits if wait > 0), default=0.0)
 
     def add_first_byte(
--- a/libraries/decisions/src/bamboopier_decisions/routing/target_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/target_choice.py
@@ -65,7 +65,7 @@
     """Say why a target is not sent the request; None if it may be."""
     if state.view.target in tried:
         return ExclusionReason.TRIED
-    return state.find_exclusion_reason(now, request.refusal_key, request.weight_version)
+    return state.find_exclusion_reason(now, request.backoff_key, request.weight_version)
 
 
 def choose_target(
--- a/libraries/decisions/src/bamboopier_decisions/routing/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/target_state.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .messages import Distance, ExclusionReason, TargetLoad, TargetView
-from .refusals import Refusals
+from .workspace_backoff import WorkspaceBackoff
 from .slowness import Slowness
 
 # Seconds a hop costs: the brief gives about 1 ms between data centres of a region;
@@ -49,7 +49,7 @@
         "_slot_seconds",
         "fresh_since",
         "load",
-        "refusals",
+        "backoff",
         "sent",
         "sent_tokens",
         "slowness",
@@ -64,7 +64,7 @@
         # Requests and prompt tokens sent since the last report: the report lags.
         self.sent = 0
         self.sent_tokens = 0
-        self.refusals = Refusals()
+        self.backoff = WorkspaceBackoff()
         self.slowness = Slowness()
         self._sent_at = 0.0
         self._reported = 0.0
@@ -117,7 +117,7 @@
         silent = now - self._reported >= NOT_ACCEPTING_SECONDS
         if not self.load.accepting and not silent:
             return ExclusionReason.NOT_ACCEPTING
-        if not self.refusals.may_try(now, workspace):
+        if not self.backoff.allows(now, workspace):
             return ExclusionReason.REFUSED
         return None
 
--- a/libraries/decisions/src/bamboopier_decisions/routing/refusals.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/workspace_backoff.py
@@ -10,49 +10,49 @@
 from __future__ import annotations
 
 # Time between probes: a queue of a second of work has halved by then.
-PROBE_SECONDS = 0.5
+PROBE_INTERVAL_SECONDS = 0.5
 # Workspaces remembered; a forgotten one costs a refusal more.
-MAX_REMEMBERED = 64
+MAX_WORKSPACES = 64
 
 
-class Refusals:
+class WorkspaceBackoff:
     """The hints of one target by workspace."""
 
-    __slots__ = ("_hints",)
+    __slots__ = ("_entries",)
 
     def __init__(self) -> None:
         # Time at which the hint has passed and time of the next probe.
-        self._hints: dict[str, tuple[float, float]] = {}
+        self._entries: dict[str, tuple[float, float]] = {}
 
-    def add(self, now: float, workspace: str, retry_after: float) -> None:
+    def record_rejection(self, now: float, workspace: str, retry_after: float) -> None:
         """Remember a refusal."""
-        self._hints.pop(workspace, None)
-        if len(self._hints) >= MAX_REMEMBERED:
-            del self._hints[next(iter(self._hints))]
-        self._hints[workspace] = (now + retry_after, now + PROBE_SECONDS)
+        self._entries.pop(workspace, None)
+        if len(self._entries) >= MAX_WORKSPACES:
+            del self._entries[next(iter(self._entries))]
+        self._entries[workspace] = (now + retry_after, now + PROBE_INTERVAL_SECONDS)
 
-    def knows(self, workspace: str) -> bool:
+    def is_backing_off(self, workspace: str) -> bool:
         """Say whether the workspace was refused and not served since."""
-        return workspace in self._hints
+        return workspace in self._entries
 
-    def forget(self, workspace: str) -> None:
+    def remove(self, workspace: str) -> None:
         """Drop the hint of a workspace that has been served."""
-        self._hints.pop(workspace, None)
+        self._entries.pop(workspace, None)
 
-    def may_try(self, now: float, workspace: str) -> bool:
+    def allows(self, now: float, workspace: str) -> bool:
         """Say whether a request or a probe may go."""
-        hint = self._hints.get(workspace)
-        return hint is None or now >= hint[0] or now >= hint[1]
+        entry = self._entries.get(workspace)
+        return entry is None or now >= entry[0] or now >= entry[1]
 
-    def note_sent(self, now: float, workspace: str) -> bool:
+    def record_probe(self, now: float, workspace: str) -> bool:
         """Count a request as the probe of its time; False when there is no hint."""
-        hint = self._hints.get(workspace)
-        if hint is None:
+        entry = self._entries.get(workspace)
+        if entry is None:
             return False
-        self._hints[workspace] = (hint[0], now + PROBE_SECONDS)
+        self._entries[workspace] = (entry[0], now + PROBE_INTERVAL_SECONDS)
         return True
 
-    def find_wait(self, now: float, workspace: str) -> float:
+    def get_wait(self, now: float, workspace: str) -> float:
         """Return the seconds until the hint has passed; 0 when there is none."""
-        hint = self._hints.get(workspace)
-        return max(0.0, hint[0] - now) if hint is not None else 0.0
+        entry = self._entries.get(workspace)
+        return max(0.0, entry[0] - now) if entry is not None else 0.0
