--- a/libraries/decisions/src/bamboopier_decisions/routing/router.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/router.py
@@ -135,7 +135,7 @@
         # A probe is refused or waits behind its own workspace: it delays no other.
         if not state.backoff.record_probe(now, request.backoff_key):
             state.add_sent(now, request.prompt_tokens)
-        state.slowness.note_sent(now)
+        state.outlier_detector.record_probe(now)
         reason = choice.reason if first else SendReason.RETRY
         max_wait = bound_wait(len(pending.tried), choice.saved_seconds, is_last=choice.is_last)
         return Send(
--- a/libraries/decisions/src/bamboopier_decisions/routing/service_targets.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/service_targets.py
@@ -11,7 +11,7 @@
 
 from .hash_ring import HashRing
 from .messages import Distance
-from .slowness import set_aside_slow
+from .outlier_detection import eject_outliers
 
 if TYPE_CHECKING:
     import random
@@ -106,11 +106,11 @@
         self, now: float, state: TargetState, seconds: float, tokens: int
     ) -> None:
         """Learn how fast ``state`` is and set the slowest aside where due."""
-        state.slowness.add(now, seconds, tokens, self._median)
+        state.outlier_detector.record_first_byte(now, seconds, tokens, self._median)
         self._samples += 1
         few = self._samples * TARGETS_PER_SAMPLE < len(self._states)
         if few or now - self._judged < JUDGE_SECONDS:
             return
         self._judged = now
         self._samples = 0
-        self._median = set_aside_slow(now, [s.slowness for s in self._states])
+        self._median = eject_outliers(now, [s.outlier_detector for s in self._states])
--- a/libraries/decisions/src/bamboopier_decisions/routing/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/target_state.py
@@ -4,7 +4,7 @@
 
 from .messages import Distance, ExclusionReason, TargetLoad, TargetView
 from .workspace_backoff import WorkspaceBackoff
-from .slowness import Slowness
+from .outlier_detection import OutlierDetector
 
 # Seconds a hop costs: the brief gives about 1 ms between data centres of a region;
 # between regions 30 ms is assumed until measured.
@@ -52,7 +52,7 @@
         "backoff",
         "sent",
         "sent_tokens",
-        "slowness",
+        "outlier_detector",
         "view",
     )
 
@@ -65,7 +65,7 @@
         self.sent = 0
         self.sent_tokens = 0
         self.backoff = WorkspaceBackoff()
-        self.slowness = Slowness()
+        self.outlier_detector = OutlierDetector()
         self._sent_at = 0.0
         self._reported = 0.0
         self._slot_seconds = FIRST_SLOT_SECONDS
@@ -112,7 +112,7 @@
             return ExclusionReason.OTHER_WEIGHTS
         if now < self._paused_until:
             return ExclusionReason.BROKEN
-        if not self.slowness.may_try(now):
+        if not self.outlier_detector.allows(now):
             return ExclusionReason.SLOW
         silent = now - self._reported >= NOT_ACCEPTING_SECONDS
         if not self.load.accepting and not silent:
