--- a/libraries/decisions/src/bamboopier_decisions/routing/router.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/router.py
@@ -168,7 +168,7 @@
         targets = self._services.get(request.service)
         # One that was refused waits for its own share, however quick the target is.
         if targets is not None and not state.backoff.is_backing_off(request.backoff_key):
-            targets.add_first_byte(
+            targets.record_first_byte(
                 event.now, state, event.seconds, request.prompt_tokens
             )
 
--- a/libraries/decisions/src/bamboopier_decisions/routing/service_targets.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/service_targets.py
@@ -20,16 +20,16 @@
     from .target_state import TargetState
 
 # Draws for each random candidate that is wanted, before giving up on it.
-DRAWS = 3
+DRAWS_PER_CANDIDATE = 3
 # Targets looked at when neither owner nor draw was usable.
 MAX_SCANNED = 64
 # Distinct targets passed on the ring in search of usable owners.
-MAX_WALKED = 12
+MAX_RING_TARGETS = 12
 # Slowness moves over several answers; judging it once a second is soon enough.
-JUDGE_SECONDS = 1.0
+OUTLIER_CHECK_SECONDS = 1.0
 # At most one judgement in so many first bytes per target: it walks all targets, and a
 # gateway with few requests must not pay for that with each of them.
-TARGETS_PER_SAMPLE = 8
+TARGETS_PER_FIRST_BYTE = 8
 
 
 class ServiceTargets:
@@ -42,8 +42,8 @@
         near = [s for s in states if s.view.distance is not Distance.OTHER_REGION]
         self._near = near or states
         self._ring = HashRing(points)
-        self._judged = 0.0
-        self._samples = 0
+        self._checked_at = 0.0
+        self._first_bytes = 0
         self._median = 0.0
 
     def __len__(self) -> int:
@@ -61,25 +61,25 @@
             seen.add(index)
             if is_usable(self._states[index]):
                 owners.append(self._states[index])
-            if len(owners) == count or len(seen) == MAX_WALKED:
+            if len(owners) == count or len(seen) == MAX_RING_TARGETS:
                 break
         return owners
 
-    def draw(
+    def pick_random(
         self,
         count: int,
         is_usable: Callable[[TargetState], bool],
         random: random.Random,
     ) -> list[TargetState]:
         """Return up to ``count`` distinct usable targets, at random."""
-        drawn: list[TargetState] = []
-        for _ in range(DRAWS * count):
+        picked: list[TargetState] = []
+        for _ in range(DRAWS_PER_CANDIDATE * count):
             state = self._near[int(random.random() * len(self._near))]
-            if state not in drawn and is_usable(state):
-                drawn.append(state)
-            if len(drawn) == count:
+            if state not in picked and is_usable(state):
+                picked.append(state)
+            if len(picked) == count:
                 break
-        return drawn
+        return picked
 
     def scan(
         self, is_usable: Callable[[TargetState], bool], random: random.Random
@@ -102,15 +102,15 @@
         waits = [state.backoff.get_wait(now, workspace) for state in states]
         return min((wait for wait in waits if wait > 0), default=0.0)
 
-    def add_first_byte(
+    def record_first_byte(
         self, now: float, state: TargetState, seconds: float, tokens: int
     ) -> None:
         """Learn how fast ``state`` is and set the slowest aside where due."""
         state.outlier_detector.record_first_byte(now, seconds, tokens, self._median)
-        self._samples += 1
-        few = self._samples * TARGETS_PER_SAMPLE < len(self._states)
-        if few or now - self._judged < JUDGE_SECONDS:
+        self._first_bytes += 1
+        few = self._first_bytes * TARGETS_PER_FIRST_BYTE < len(self._states)
+        if few or now - self._checked_at < OUTLIER_CHECK_SECONDS:
             return
-        self._judged = now
-        self._samples = 0
+        self._checked_at = now
+        self._first_bytes = 0
         self._median = eject_outliers(now, [s.outlier_detector for s in self._states])
--- a/libraries/decisions/src/bamboopier_decisions/routing/target_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/target_choice.py
@@ -90,7 +90,7 @@
     key = compute_affinity_key(request.block_keys)
     owners = targets.find_owners(key, OWNER_COUNT, is_usable) if key else []
     considered = list(owners)
-    for state in targets.draw(RANDOM_CANDIDATES, is_usable, random):
+    for state in targets.pick_random(RANDOM_CANDIDATES, is_usable, random):
         if state not in considered:
             considered.append(state)
     considered = considered or targets.scan(is_untried, random)
