--- a/libraries/decisions/src/bamboopier_decisions/routing/router.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/router.py
@@ -102,7 +102,7 @@
             case TargetReported():
                 state = self._targets.get(event.target)
                 if state is not None:
-                    state.report(event.now, event.load)
+                    state.update_load(event.now, event.load)
             case FirstByteReceived():
                 self._note_first_byte(event)
             case FleetChanged():
@@ -134,7 +134,7 @@
         pending.tried.add(state.view.target)
         # A probe is refused or waits behind its own workspace: it delays no other.
         if not state.backoff.record_probe(now, request.backoff_key):
-            state.add_sent(now, request.prompt_tokens)
+            state.record_sent(now, request.prompt_tokens)
         state.outlier_detector.record_probe(now)
         reason = choice.reason if first else SendReason.RETRY
         max_wait = bound_wait(len(pending.tried), choice.saved_seconds, is_last=choice.is_last)
@@ -177,9 +177,9 @@
         state = self._targets.get(event.target)
         if state is not None:
             if event.broken:
-                state.add_break(event.now)
+                state.record_crash(event.now)
             elif event.ran is ExecutionStatus.EXECUTED:
-                state.add_answer()
+                state.record_success()
         if pending is None:
             return None
         key = pending.request.backoff_key
--- a/libraries/decisions/src/bamboopier_decisions/routing/target_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/target_choice.py
@@ -84,8 +84,8 @@
         return find_exclusion_reason(now, state, request, tried) is None
 
     def is_usable(state: TargetState) -> bool:
-        chance = state.find_chance(now)
-        return is_untried(state) and (chance >= 1.0 or random.random() < chance)
+        probability = state.compute_selection_probability(now)
+        return is_untried(state) and (probability >= 1.0 or random.random() < probability)
 
     key = compute_affinity_key(request.block_keys)
     owners = targets.find_owners(key, OWNER_COUNT, is_usable) if key else []
@@ -103,7 +103,7 @@
         # Nobody knows better at first than that the first owner is warm.
         is_probably_warm = state.view.target in warm_targets or (position == 0 and bool(owners))
         prefill_tokens = _count_prefill_tokens(request, is_probably_warm)
-        expected.append(state.expect_first_byte(now, prefill_tokens))
+        expected.append(state.estimate_first_byte(now, prefill_tokens))
         saved_seconds.append((request.prompt_tokens - prefill_tokens) / state.prefill_rate)
     best = min(range(len(considered)), key=expected.__getitem__)
     reason = _get_reason(best, len(owners), len(considered))
--- a/libraries/decisions/src/bamboopier_decisions/routing/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/target_state.py
@@ -17,37 +17,37 @@
 DEFAULT_PREFILL_RATE = 8000.0
 # Seconds a target that broke an attempt is passed over, doubled with each further
 # break up to the maximum. Without it every request would try the dead target first.
-FIRST_PAUSE = 1.0
-MAX_PAUSE = 30.0
+INITIAL_BACKOFF_SECONDS = 1.0
+MAX_BACKOFF_SECONDS = 30.0
 # A target that said it takes no work is asked again after this. Reports come only with
 # answers, so without it a target that was down for a moment would stay unused forever.
-NOT_ACCEPTING_SECONDS = 2.0
+NOT_ACCEPTING_TTL_SECONDS = 2.0
 # What was sent and not yet reported is forgotten evenly over this time: it has been
 # answered or shows in the next report. Without it a target that got the last requests
 # of a busy minute would look loaded until somebody sent to it again.
-STALE_SECONDS = 2.0
+SENT_DECAY_SECONDS = 2.0
 # Seconds that a full batch adds to a first token: prompts share the prefill.
 BATCH_SECONDS = 0.05
 # Time for a slot to fall free until a queue has shown it.
-FIRST_SLOT_SECONDS = 0.1
+INITIAL_SLOT_SECONDS = 0.1
 # A target that is new or cold is considered with a chance that grows over this time
 # to one. Without it all gateways send a returning data centre its whole share, and
 # long queues form before its agents' limits have grown: they double once per service
 # time, some two to three seconds, from two to a full batch of sixteen.
 RAMP_SECONDS = 10.0
-LEAST_CHANCE = 0.05
+MIN_SELECTION_PROBABILITY = 0.05
 
 
 class TargetState:
     """Reported load plus what this gateway has sent since that report."""
 
     __slots__ = (
-        "_pause",
-        "_paused_until",
-        "_reported",
+        "_backoff_seconds",
+        "_backoff_until",
+        "_reported_at",
         "_sent_at",
         "_slot_seconds",
-        "fresh_since",
+        "ramp_started_at",
         "load",
         "backoff",
         "sent",
@@ -56,94 +56,94 @@
         "view",
     )
 
-    def __init__(self, view: TargetView, fresh_since: float) -> None:
+    def __init__(self, view: TargetView, ramp_started_at: float) -> None:
         self.view = view
         self.load = TargetLoad()
         # When it appeared or turned cold.
-        self.fresh_since = fresh_since
+        self.ramp_started_at = ramp_started_at
         # Requests and prompt tokens sent since the last report: the report lags.
         self.sent = 0
         self.sent_tokens = 0
         self.backoff = WorkspaceBackoff()
         self.outlier_detector = OutlierDetector()
         self._sent_at = 0.0
-        self._reported = 0.0
-        self._slot_seconds = FIRST_SLOT_SECONDS
-        self._pause = 0.0
-        self._paused_until = 0.0
+        self._reported_at = 0.0
+        self._slot_seconds = INITIAL_SLOT_SECONDS
+        self._backoff_seconds = 0.0
+        self._backoff_until = 0.0
 
     @property
     def prefill_rate(self) -> float:
         """Return the prompt tokens a second, assumed until measured."""
         return self.load.prefill_rate or DEFAULT_PREFILL_RATE
 
-    def report(self, now: float, load: TargetLoad) -> None:
+    def update_load(self, now: float, load: TargetLoad) -> None:
         """Take a fresh report."""
         if self.load.start_id and load.start_id != self.load.start_id:
-            self.fresh_since = now
+            self.ramp_started_at = now
         self.load = load
         self.sent = 0
         self.sent_tokens = 0
-        self._reported = now
+        self._reported_at = now
         if load.queue_delay > 0:
             self._slot_seconds = load.queue_delay / (load.waiting + 1)
 
-    def add_sent(self, now: float, tokens: int) -> None:
+    def record_sent(self, now: float, tokens: int) -> None:
         """Count a request on its way that no report shows yet."""
         self.sent += 1
         self.sent_tokens += tokens
         self._sent_at = now
 
-    def add_break(self, now: float) -> None:
+    def record_crash(self, now: float) -> None:
         """Pass the target over for a while after a broken attempt."""
-        self._pause = min(MAX_PAUSE, max(FIRST_PAUSE, self._pause * 2))
-        self._paused_until = now + self._pause
+        self._backoff_seconds = min(MAX_BACKOFF_SECONDS, max(INITIAL_BACKOFF_SECONDS, self._backoff_seconds * 2))
+        self._backoff_until = now + self._backoff_seconds
 
-    def add_answer(self) -> None:
+    def record_success(self) -> None:
         """Forget earlier breaks: the target answers."""
-        self._pause = 0.0
-        self._paused_until = 0.0
+        self._backoff_seconds = 0.0
+        self._backoff_until = 0.0
 
     def find_exclusion_reason(
         self, now: float, workspace: str, version: str
     ) -> ExclusionReason | None:
         """Say why no work of ``workspace`` on weights ``version`` may go here."""
-        if not self.serves(now, version):
+        if not self.serves_version(now, version):
             return ExclusionReason.OTHER_WEIGHTS
-        if now < self._paused_until:
+        if now < self._backoff_until:
             return ExclusionReason.BROKEN
         if not self.outlier_detector.allows(now):
             return ExclusionReason.SLOW
-        silent = now - self._reported >= NOT_ACCEPTING_SECONDS
-        if not self.load.accepting and not silent:
+        outdated = now - self._reported_at >= NOT_ACCEPTING_TTL_SECONDS
+        if not self.load.accepting and not outdated:
             return ExclusionReason.NOT_ACCEPTING
         if not self.backoff.allows(now, workspace):
             return ExclusionReason.REFUSED
         return None
 
-    def find_chance(self, now: float) -> float:
+    def compute_selection_probability(self, now: float) -> float:
         """Return the chance with which this target is considered."""
-        return min(1.0, max(LEAST_CHANCE, (now - self.fresh_since) / RAMP_SECONDS))
+        return min(1.0, max(MIN_SELECTION_PROBABILITY, (now - self.ramp_started_at) / RAMP_SECONDS))
 
-    def serves(self, now: float, version: str) -> bool:
+    def serves_version(self, now: float, version: str) -> bool:
         """Say whether the target may serve a request made for a weight version.
 
         What it said a while ago is not held against it: it may have loaded since.
         """
         if not version or self.load.weight_version in ("", version):
             return True
-        return now - self._reported >= NOT_ACCEPTING_SECONDS
+        return now - self._reported_at >= NOT_ACCEPTING_TTL_SECONDS
 
-    def expect_first_byte(self, now: float, prefill_tokens: int) -> float:
+    def estimate_first_byte(self, now: float, prefill_tokens: int) -> float:
         """Return the expected seconds to the first byte with ``prefill_tokens`` to prefill.
 
         What was sent since the last report counts as if it were still queued, less
         what has been done since.
         """
         load = self.load
-        sent = self.sent * max(0.0, 1 - (now - self._sent_at) / STALE_SECONDS)
-        age = now - self._reported
-        running = load.running * max(0.0, 1 - age / (10 * STALE_SECONDS)) + sent
+        sent = self.sent * max(0.0, 1 - (now - self._sent_at) / SENT_DECAY_SECONDS)
+        age = now - self._reported_at
+        running = load.running * max(0.0, 1 - age / (10 * SENT_DECAY_SECONDS)) + sent
         rate = self.prefill_rate
         queued = max(0.0, self.sent_tokens - rate * (now - self._sent_at))
         wait = max(0.0, load.queue_delay - age)
