--- a/libraries/decisions/src/bamboopier_decisions/routing/router.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/router.py
@@ -34,31 +34,31 @@
 MAX_ATTEMPTS = 3
 # A request that broke a target may be what broke it: one more target is risked, no
 # third. Without it such a request takes out MAX_ATTEMPTS targets each time it is sent.
-MAX_BROKEN = 2
+MAX_CRASHED_TARGETS = 2
 # Attempts in all, with those that a leaving target turned away.
-MAX_SENT = 8
+MAX_TARGETS_TRIED = 8
 # Retry-After when no target can say how long its queue is.
 DEFAULT_RETRY_AFTER = 2.0
 # A hint given to one is passed on to others of its workspace up to this many times
 # later, so that they do not return together.
-HINT_SPREAD = 2.0
+MAX_RETRY_AFTER_FACTOR = 2.0
 # Before every fleet change: targets of the first one are not new, the gateway is.
 LONG_AGO = float("-inf")
 # Targets of which a refusal says why they were not sent the request.
-MAX_EXPLAINED = 8
+MAX_EXCLUDED_LISTED = 8
 
 _NO_TARGETS = ServiceTargets((), ())
 
 
-class _Pending:
+class _PendingRequest:
     """A request between its arrival and its final answer."""
 
     __slots__ = (
         "attempts",
-        "broken",
+        "crashed_targets",
         "may_have_run",
         "request",
-        "shortest_wait",
+        "min_retry_after",
         "tried",
     )
 
@@ -66,12 +66,12 @@
         self.request = request
         self.attempts = 0
         # Targets that broke with the request under way.
-        self.broken = 0
+        self.crashed_targets = 0
         self.tried: set[str] = set()
         # An earlier attempt's outcome is unknown, so "not run" would not be true.
         self.may_have_run = False
         # Least retry_after among the targets that refused.
-        self.shortest_wait = 0.0
+        self.min_retry_after = 0.0
 
 
 class Router:
@@ -83,8 +83,8 @@
         self._services: dict[str, ServiceTargets] = {}
         # Each target's places on the hash rings.
         self._points: dict[str, tuple[int, ...]] = {}
-        self._warm = WarmPrefixes()
-        self._pending: dict[str, _Pending] = {}
+        self._warm_prefixes = WarmPrefixes()
+        self._pending: dict[str, _PendingRequest] = {}
         self._budget = RetryBudget()
 
     @property
@@ -98,15 +98,15 @@
             case RequestArrived():
                 return self._start(event)
             case AttemptEnded():
-                return self._end(event)
+                return self._handle_attempt_end(event)
             case TargetReported():
                 state = self._targets.get(event.target)
                 if state is not None:
                     state.update_load(event.now, event.load)
             case FirstByteReceived():
-                self._note_first_byte(event)
+                self._record_first_byte(event)
             case FleetChanged():
-                self._change_fleet(event)
+                self._update_fleet(event)
         return None
 
     def abandon(self, request_id: str) -> None:
@@ -114,20 +114,20 @@
         self._pending.pop(request_id, None)
 
     def _start(self, request: RequestArrived) -> RoutingDecision:
-        pending = _Pending(request)
+        pending = _PendingRequest(request)
         self._pending[request.request_id] = pending
         return self._send(pending, request.now)
 
-    def _send(self, pending: _Pending, now: float) -> RoutingDecision:
+    def _send(self, pending: _PendingRequest, now: float) -> RoutingDecision:
         request = pending.request
         if now >= request.deadline:
             return self._refuse(pending, RefuseReason.DEADLINE)
         targets = self._services.get(request.service, _NO_TARGETS)
         choice = choose_target(
-            now, targets, request, pending.tried, self._warm, self._random
+            now, targets, request, pending.tried, self._warm_prefixes, self._random
         )
         if choice is None:
-            return self._give_up(pending, now, targets)
+            return self._refuse_unroutable(pending, now, targets)
         pending.attempts += 1
         first = not pending.tried
         state = choice.state
@@ -146,17 +146,17 @@
             max_wait,
         )
 
-    def _give_up(
-        self, pending: _Pending, now: float, targets: ServiceTargets
+    def _refuse_unroutable(
+        self, pending: _PendingRequest, now: float, targets: ServiceTargets
     ) -> Refuse:
         wait = targets.find_wait(now, pending.request.backoff_key)
-        if wait > 0 and not pending.shortest_wait:
-            pending.shortest_wait = wait * self._random.uniform(1, HINT_SPREAD)
-        refused = pending.tried or wait > 0
-        reason = RefuseReason.OVERLOADED if refused else RefuseReason.NO_TARGET
-        return self._refuse(pending, reason, _explain(now, pending, targets))
+        if wait > 0 and not pending.min_retry_after:
+            pending.min_retry_after = wait * self._random.uniform(1, MAX_RETRY_AFTER_FACTOR)
+        overloaded = pending.tried or wait > 0
+        reason = RefuseReason.OVERLOADED if overloaded else RefuseReason.NO_TARGET
+        return self._refuse(pending, reason, _list_excluded(now, pending, targets))
 
-    def _note_first_byte(self, event: FirstByteReceived) -> None:
+    def _record_first_byte(self, event: FirstByteReceived) -> None:
         pending = self._pending.get(event.request_id)
         state = self._targets.get(event.target)
         if pending is None or state is None:
@@ -164,7 +164,7 @@
         request = pending.request
         key = compute_affinity_key(request.block_keys)
         if key:
-            self._warm.add(key, event.target)
+            self._warm_prefixes.add(key, event.target)
         targets = self._services.get(request.service)
         # One that was refused waits for its own share, however quick the target is.
         if targets is not None and not state.backoff.is_backing_off(request.backoff_key):
@@ -172,7 +172,7 @@
                 event.now, state, event.seconds, request.prompt_tokens
             )
 
-    def _end(self, event: AttemptEnded) -> RoutingDecision | None:
+    def _handle_attempt_end(self, event: AttemptEnded) -> RoutingDecision | None:
         pending = self._pending.get(event.request_id)
         state = self._targets.get(event.target)
         if state is not None:
@@ -197,14 +197,14 @@
             return self._refuse(pending, RefuseReason.TARGET_FAILED)
         return self._retry(pending, event)
 
-    def _retry(self, pending: _Pending, event: AttemptEnded) -> RoutingDecision:
+    def _retry(self, pending: _PendingRequest, event: AttemptEnded) -> RoutingDecision:
         if event.ran is ExecutionStatus.UNKNOWN:
             pending.may_have_run = True
-            pending.broken += event.broken
+            pending.crashed_targets += event.broken
         if event.retry_after > 0:
-            waits = (pending.shortest_wait or event.retry_after, event.retry_after)
-            pending.shortest_wait = min(waits)
-        if pending.broken >= MAX_BROKEN:
+            waits = (pending.min_retry_after or event.retry_after, event.retry_after)
+            pending.min_retry_after = min(waits)
+        if pending.crashed_targets >= MAX_CRASHED_TARGETS:
             return self._refuse(pending, RefuseReason.TARGET_FAILED)
         if event.ran is ExecutionStatus.NOT_EXECUTED and not event.broken and event.retry_after <= 0:
             # A leaving or drained target, or a busy one that leaves it to another,
@@ -216,36 +216,36 @@
             return self._refuse(pending, RefuseReason.ATTEMPTS)
         elif not self._budget.try_spend():
             return self._refuse(pending, RefuseReason.RETRY_BUDGET)
-        if len(pending.tried) >= MAX_SENT:
+        if len(pending.tried) >= MAX_TARGETS_TRIED:
             return self._refuse(pending, RefuseReason.ATTEMPTS)
         return self._send(pending, event.now)
 
     def _refuse(
         self,
-        pending: _Pending,
+        pending: _PendingRequest,
         reason: RefuseReason,
         excluded: tuple[ExcludedTarget, ...] = (),
     ) -> Refuse:
         request_id = pending.request.request_id
         del self._pending[request_id]
-        wait = pending.shortest_wait or DEFAULT_RETRY_AFTER
+        wait = pending.min_retry_after or DEFAULT_RETRY_AFTER
         ran = ExecutionStatus.UNKNOWN if pending.may_have_run else ExecutionStatus.NOT_EXECUTED
         return Refuse(request_id, reason, ran, wait, excluded)
 
-    def _change_fleet(self, event: FleetChanged) -> None:
+    def _update_fleet(self, event: FleetChanged) -> None:
         since = event.now if self._targets else LONG_AGO
-        kept: dict[str, TargetState] = {}
+        states_by_target: dict[str, TargetState] = {}
         by_service: dict[str, list[TargetState]] = {}
         for view in event.targets:
             state = self._targets.get(view.target)
             if state is None:
                 state = TargetState(view, since)
             state.view = view
-            kept[view.target] = state
+            states_by_target[view.target] = state
             by_service.setdefault(view.service, []).append(state)
-        names = kept.keys()
+        names = states_by_target.keys()
         self._points = {n: self._points.get(n) or compute_points(n) for n in names}
-        self._targets = kept
+        self._targets = states_by_target
         self._services = {
             service: ServiceTargets(
                 states, [self._points[state.view.target] for state in states]
@@ -254,13 +254,13 @@
         }
 
 
-def _explain(
-    now: float, pending: _Pending, targets: ServiceTargets
+def _list_excluded(
+    now: float, pending: _PendingRequest, targets: ServiceTargets
 ) -> tuple[ExcludedTarget, ...]:
     """Return why the first targets are not sent a request that is given up."""
-    found = []
-    for state in targets.list_first()[:MAX_EXPLAINED]:
+    listed = []
+    for state in targets.list_first()[:MAX_EXCLUDED_LISTED]:
         reason = find_exclusion_reason(now, state, pending.request, pending.tried)
         if reason is not None:
-            found.append(ExcludedTarget(state.view.target, reason))
-    return tuple(found)
+            listed.append(ExcludedTarget(state.view.target, reason))
+    return tuple(listed)
--- a/tools/safeguards/at_most_once.py
+++ b/tools/safeguards/at_most_once.py
@@ -237,7 +237,7 @@
     Mutation(
         "a request that broke two targets is not sent to a third",
         "libraries/decisions/src/bamboopier_decisions/routing/router.py",
-        "        if pending.broken >= MAX_BROKEN:\n",
+        "        if pending.crashed_targets >= MAX_CRASHED_TARGETS:\n",
         "        if False:\n",
         ".",
         "tests.test_quarantine",
