--- a/libraries/decisions/tests/test_admission.py
+++ b/libraries/decisions/tests/test_admission.py
@@ -27,10 +27,10 @@
 
 
 def make_work(
-    number: int, now: float, workspace: str = "a", patience: float = 60.0
+    number: int, now: float, workspace: str = "a", timeout: float = 60.0
 ) -> AdmissionRequested:
     return AdmissionRequested(
-        now, f"r{number}", workspace, 1.0, 0, now + patience, 800, max_tokens=64
+        now, f"r{number}", workspace, 1.0, 0, now + timeout, 800, max_tokens=64
     )
 
 
@@ -46,7 +46,7 @@
         self.running: list[str] = []
         self.stopped = False
 
-    def tell(self, event: object) -> None:
+    def handle(self, event: object) -> None:
         for decision in self.admission.handle(event):
             # A decision about anything not waiting would be a second one.
             assert decision.request_id in self.waiting
@@ -59,50 +59,50 @@
             else:
                 assert decision.retry_after > 0
 
-    @rule(workspace=st.sampled_from("abc"), patience=st.floats(0.1, 30))
-    def arrive(self, workspace: str, patience: float) -> None:
+    @rule(workspace=st.sampled_from("abc"), timeout=st.floats(0.1, 30))
+    def arrive(self, workspace: str, timeout: float) -> None:
         self.number += 1
         self.waiting.add(f"r{self.number}")
-        self.tell(make_work(self.number, self.now, workspace, patience))
+        self.handle(make_work(self.number, self.now, workspace, timeout))
 
     @rule(pick=st.integers(0, 7), prefill_tokens=st.integers(0, 800))
     def begin_answer(self, pick: int, prefill_tokens: int) -> None:
         if self.running:
             name = self.running[pick % len(self.running)]
-            self.tell(FirstTokenReceived(self.now, name, prefill_tokens))
+            self.handle(FirstTokenReceived(self.now, name, prefill_tokens))
 
     @rule(pick=st.integers(0, 7), how=st.sampled_from("afc"))
     def end(self, pick: int, how: str) -> None:
         if self.running:
             name = self.running.pop(pick % len(self.running))
             ended = RequestFinished(self.now, name, how == "a", 30, cancelled=how == "c")
-            self.tell(ended)
+            self.handle(ended)
 
     @rule(pick=st.integers(0, 7))
     def withdraw(self, pick: int) -> None:
         if self.waiting:
             name = sorted(self.waiting)[pick % len(self.waiting)]
             self.waiting.discard(name)
-            self.tell(RequestCancelled(self.now, name))
+            self.handle(RequestCancelled(self.now, name))
 
     @rule(seconds=st.floats(0.01, 5.0))
     def wait(self, seconds: float) -> None:
         self.now += seconds
-        self.tell(Tick(self.now))
+        self.handle(Tick(self.now))
 
     @rule()
     def restart_target(self) -> None:
-        self.tell(TargetRestarted(self.now))
+        self.handle(TargetRestarted(self.now))
 
     @rule()
     def stop(self) -> None:
         if self.number > 25:
             self.stopped = True
-            self.tell(StopRequested(self.now))
+            self.handle(StopRequested(self.now))
             assert not self.waiting
 
     @invariant()
-    def books_agree(self) -> None:
+    def counts_match_model(self) -> None:
         assert self.admission.running == len(self.running)
         assert self.admission.waiting == len(self.waiting) <= MAX_WAITING
         assert not (self.stopped and self.waiting)
@@ -115,7 +115,7 @@
 
 
 class QueueBoundTests(unittest.TestCase):
-    def test_a_workspace_below_its_share_pushes_out_the_newest_of_the_longest(
+    def test_workspace_below_its_share_evicts_newest_of_largest_backlog(
         self,
     ) -> None:
         """A workspace that asks for little is refused: another filled the queue."""
@@ -130,7 +130,7 @@
         self.assertGreater(rejected.retry_after, 0)
         self.assertEqual(admission.waiting, 4)
 
-    def test_those_refused_together_do_not_return_together(self) -> None:
+    def test_retry_after_values_are_spread_out(self) -> None:
         """All who were refused in a second come back in one and are refused again."""
         admission = AdmissionController(2, 4, Random(1))
         hints = [
@@ -150,13 +150,13 @@
         for _ in range(count):
             limit.record_success(limit.value, latency)
 
-    def test_a_fresh_limit_starts_small_and_answers_open_it(self) -> None:
+    def test_limit_starts_small_and_grows_with_successes(self) -> None:
         limit = ConcurrencyLimit(32)
         self.assertEqual(limit.value, 2)
         self.answer(limit, 60, 0.025)
         self.assertEqual(limit.value, 32)
 
-    def test_a_batch_that_slows_its_answers_shrinks(self) -> None:
+    def test_limit_shrinks_when_the_batch_slows_responses(self) -> None:
         """The engine swaps: each added request makes all of them slower.
 
         Tokens come at more than twice the best pace, so the limit falls until they
@@ -169,7 +169,7 @@
         self.assertLessEqual(limit.value, 28)
         self.assertGreaterEqual(limit.value, 16)
 
-    def test_an_engine_gone_cold_is_noticed_by_its_first_tokens(self) -> None:
+    def test_slow_first_tokens_reset_the_limit(self) -> None:
         limit = ConcurrencyLimit(32)
         self.answer(limit, 60, 0.025)
         limit.record_first_token(6.0)
@@ -178,7 +178,7 @@
         limit.record_first_token(6.0)
         self.assertEqual(limit.value, 2)
 
-    def test_callers_that_leave_neither_open_nor_close_it(self) -> None:
+    def test_cancelled_requests_do_not_change_the_limit(self) -> None:
         """A fresh engine answers nobody in time and its limit opens nevertheless.
 
         Its callers leave at their deadlines; counted as answers, they would let the
@@ -187,12 +187,12 @@
         admission = AdmissionController(32, 64, Random(1))
         for number in range(100):
             admission.handle(make_work(number, float(number)))
-            left = RequestFinished(number + 0.5, f"r{number}", False, cancelled=True)
-            admission.handle(left)
+            cancelled = RequestFinished(number + 0.5, f"r{number}", False, cancelled=True)
+            admission.handle(cancelled)
         self.assertEqual(admission.limit, 2)
 
 
-class EstimateTests(unittest.TestCase):
+class CostEstimatorTests(unittest.TestCase):
     def serve(
         self, admission: AdmissionController, count: int, tokens: int, seconds: float
     ) -> None:
@@ -209,11 +209,11 @@
     def ask_long(self, admission: AdmissionController, running: int) -> object:
         """Ask for 1,600 tokens within a minute while others run; return the answer."""
         for number in range(running):
-            admission.handle(make_work(1000 + number, 1e4, patience=600.0))
+            admission.handle(make_work(1000 + number, 1e4, timeout=600.0))
         arrived = AdmissionRequested(1e4, "long", "a", 1.0, 0, 1e4 + 60, 800, max_tokens=1600)
         return admission.handle(arrived)
 
-    def test_two_token_answers_do_not_make_a_long_one_look_hopeless(self) -> None:
+    def test_two_token_responses_do_not_inflate_long_estimates(self) -> None:
         """A target refuses 1,600 tokens by a deadline that it could meet.
 
         It has given many answers of two tokens that took 0.1 s for their overhead
@@ -226,7 +226,7 @@
         self.assertEqual(admission.handle(Tick(1e4 + 1)), [])
         self.assertEqual(admission.waiting, 2)
 
-    def test_long_requests_together_on_a_fresh_target_wait_for_their_turn(self) -> None:
+    def test_simultaneous_long_requests_on_a_fresh_target_are_queued(self) -> None:
         """Of six long streams that start together on a fresh target one is refused.
 
         Its limit is two, and nothing long was measured yet. Each takes 8 s, so the
@@ -246,12 +246,12 @@
         self.assertTrue(all(isinstance(d, Start) for d in decisions), decisions)
         self.assertEqual(admission.handle(Tick(1e4 + 5)), [])
 
-    def test_a_target_with_a_free_slot_refuses_nothing_by_an_estimate(self) -> None:
+    def test_free_slot_admits_regardless_of_the_estimate(self) -> None:
         admission = AdmissionController(8, 64, Random(1))
         self.serve(admission, 60, 64, 6.4)
         self.assertEqual(self.ask_long(admission, 0), [Start("long")])
 
-    def test_a_pace_measured_over_long_answers_counts_in_a_queue(self) -> None:
+    def test_latency_of_long_responses_applies_to_queued_requests(self) -> None:
         """Work that cannot be done by its deadline waits for a place and is cut off."""
         admission = AdmissionController(8, 64, Random(1))
         self.serve(admission, 60, 640, 64.0)
--- a/libraries/decisions/tests/test_fair_queue.py
+++ b/libraries/decisions/tests/test_fair_queue.py
@@ -126,7 +126,7 @@
             bound = 4.0 / WEIGHTS["a"] + 4.0 / WEIGHTS["b"]
             self.assertLessEqual(abs(served["a"] - served["b"]), bound)
 
-    def test_an_idle_workspace_saves_up_nothing(self) -> None:
+    def test_idle_workspace_accumulates_no_credit(self) -> None:
         queue = FairQueue()
         for number in range(100):
             queue.push(make_queued(number, "a"))
--- a/libraries/decisions/tests/test_load.py
+++ b/libraries/decisions/tests/test_load.py
@@ -56,7 +56,7 @@
         self.assertEqual(outcome.falls, 0)
         return outcome
 
-    def test_five_times_capacity_answers_as_many_as_once(self) -> None:
+    def test_throughput_holds_at_five_times_capacity(self) -> None:
         """Nobody is answered in time although every engine works all the time.
 
         Five times what the fleet carries is asked for. If all of it waits, each
@@ -67,12 +67,12 @@
         self.assertLess(outcome.refusal_p99, 2.0)
         self.assertLess(outcome.asks, 1.1 * outcome.orders)
 
-    def test_one_and_a_half_times_and_twice(self) -> None:
+    def test_throughput_holds_at_one_and_a_half_and_two_times_capacity(self) -> None:
         for factor in (1.5, 2.0):
             with self.subTest(factor=factor):
                 self.check_overload(factor, OBEDIENT)
 
-    def test_callers_that_ask_again_at_once_gain_and_spoil_nothing(self) -> None:
+    def test_immediate_retries_do_not_reduce_throughput(self) -> None:
         """A retry storm: each refused caller is back within a tenth of a second.
 
         The asks are some twenty times the orders; answers in time must not suffer.
@@ -81,7 +81,7 @@
         self.assertGreater(outcome.asks, 10 * outcome.orders)
         self.assertLess(outcome.refusal_p99, 0.1)
 
-    def test_baselines_collapse_where_this_does_not(self) -> None:
+    def test_throughput_exceeds_baselines_under_overload(self) -> None:
         scenario = make_overload(2.0, TARGETS, OBEDIENT, 35.0)
         ours = run(scenario).per_second
         for policy in (ROUND_ROBIN, LEAST_LOADED):
@@ -89,15 +89,15 @@
             theirs = judge(simulate(policy, scenario), scenario).per_second
             self.assertGreater(ours, 1.2 * theirs, policy.name)
 
-    def test_a_burst_is_served_as_far_as_patience_allows(self) -> None:
+    def test_burst_is_served_within_caller_timeouts(self) -> None:
         """A burst is refused although its turn would come before callers leave."""
         outcome = run(make_burst(TARGETS))
         self.assertGreater(outcome.in_time, 0.73 * outcome.orders)
         self.assertEqual(outcome.unhinted, 0)
 
 
-class HotCallerTests(unittest.TestCase):
-    def test_a_hot_caller_hardly_delays_the_others(self) -> None:
+class HeavyHitterTests(unittest.TestCase):
+    def test_heavy_hitter_hardly_delays_others(self) -> None:
         """Everybody's first token is late since one workspace asks too much.
 
         It asks for 100 times its share; the nine others for 70% of theirs. Sums over
@@ -118,7 +118,7 @@
                 for outcome in beside:
                     self.assertGreater(outcome.in_time, 0.99 * outcome.orders)
 
-    def test_a_hot_caller_alone_gets_the_whole_fleet(self) -> None:
+    def test_lone_heavy_hitter_gets_the_whole_fleet(self) -> None:
         maker = OrderMaker(21)
         maker.add(2 * CAPACITY * TARGETS, 0.0, 35.0, workspace="hot")
         scenario = Scenario("alone", maker.orders, TARGETS, 15.0, 35.0)
@@ -141,8 +141,8 @@
         self.assertGreater(len(used), 1)
 
 
-class SlowAndLongTests(unittest.TestCase):
-    def test_a_slow_target_is_given_little(self) -> None:
+class SlowTargetAndLongRequestTests(unittest.TestCase):
+    def test_slow_target_receives_few_requests(self) -> None:
         """One target in nine falls to a tenth of its speed and a ninth of callers wait.
 
         It answers, so nothing fails. Once its slowness shows it may get no more than
@@ -167,8 +167,8 @@
         self.assertLess(outcome.first_p95, 7.0)
 
 
-class ColdTests(unittest.TestCase):
-    def test_a_cold_fleet_warms_up_and_none_falls_over(self) -> None:
+class ColdTargetTests(unittest.TestCase):
+    def test_cold_fleet_warms_up_without_crashes(self) -> None:
         """The whole fleet starts, meets its full load and falls over time and again."""
         scenario = make_cold_fleet(TARGETS)
         simulation = simulate(OURS, scenario)
@@ -177,7 +177,7 @@
         in_time = sum(order.in_time for order in late)
         self.assertGreater(in_time, 0.95 * len(late))
 
-    def test_an_agent_that_restarts_during_the_ramp_starts_small_again(self) -> None:
+    def test_agent_restart_during_the_ramp_resets_the_limit(self) -> None:
         """An engine half warm is flooded since its new agent has forgotten that.
 
         All agents restart at 6 s, when their engines have answered a few requests.
@@ -197,7 +197,7 @@
         self.assertEqual(agents, [2] * TARGETS)
         self.assertEqual(judge(simulation, scenario).falls, 0)
 
-    def test_a_data_centre_leaves_and_returns_unnoticed(self) -> None:
+    def test_data_centre_outage_and_return_do_not_affect_callers(self) -> None:
         """Callers notice that a third of the fleet leaves, or that it returns cold.
 
         The rest carries 80% load meanwhile. What waits at the leaving targets moves
--- a/libraries/decisions/tests/test_router.py
+++ b/libraries/decisions/tests/test_router.py
@@ -23,8 +23,8 @@
     from bamboopier_decisions.routing.router import Router
 
 
-class TruthTests(unittest.TestCase):
-    def test_unknown_stays_unknown_when_the_next_target_refuses(self) -> None:
+class ExecutionStatusTests(unittest.TestCase):
+    def test_unknown_stays_unknown_when_the_next_target_rejects(self) -> None:
         """The caller of an idempotent request is told "not run" though it may have run.
 
         The first target breaks off with the request in hand, the second refuses it
@@ -49,8 +49,8 @@
         self.assertIs(refusal.ran, ExecutionStatus.UNKNOWN)
 
 
-class LeavingTests(unittest.TestCase):
-    def test_what_leaving_targets_turn_away_is_not_paid_from_the_budget(self) -> None:
+class LeavingTargetTests(unittest.TestCase):
+    def test_rejections_by_leaving_targets_do_not_use_the_retry_budget(self) -> None:
         """A data centre leaves and its waiting requests are refused to their callers.
 
         Its targets turn away all that waits, before running any of it. Fifty requests
@@ -63,7 +63,7 @@
             self.assertIsInstance(again, Send, number)
             self.assertNotEqual(again.target, first.target)
 
-    def test_the_last_target_left_is_not_told_to_pass_a_request_on(self) -> None:
+    def test_last_remaining_target_gets_an_unbounded_wait(self) -> None:
         """One of two targets is stopped, and the other is busy for a moment.
 
         Told that a request may wait 0.1 s there, it turned it away, though nobody else
@@ -79,7 +79,7 @@
         self.assertEqual(alone.target, again.target)
         self.assertEqual(alone.max_wait, UNBOUNDED)
 
-    def test_a_refusal_says_why_each_target_was_passed_over(self) -> None:
+    def test_refusal_lists_exclusion_reasons(self) -> None:
         """One target drains, and an attempt broke at the other a moment ago.
 
         Callers are told "overloaded" for a second, though nothing is: only the reasons
@@ -99,7 +99,7 @@
             {first.target: ExclusionReason.BROKEN, sent.target: ExclusionReason.TRIED},
         )
 
-    def test_refusals_for_load_are_paid_from_the_budget(self) -> None:
+    def test_rejections_for_load_use_the_retry_budget(self) -> None:
         """With every target full, retries stay a small part of what is sent."""
         router = make_router(40)
         extra = 0
@@ -111,7 +111,7 @@
                 extra += isinstance(decision, Send)
         self.assertLessEqual(extra, 10)
 
-    def test_a_leaving_fleet_is_given_up_after_bounded_attempts(self) -> None:
+    def test_attempts_are_bounded_when_the_whole_fleet_leaves(self) -> None:
         router = make_router(100)
         decision = router.handle(make_request("r"))
         sends = 0
@@ -122,8 +122,8 @@
         self.assertIs(decision.reason, RefuseReason.ATTEMPTS)
 
 
-class SilenceTests(unittest.TestCase):
-    def test_a_target_that_took_no_work_is_asked_again(self) -> None:
+class StaleReportTests(unittest.TestCase):
+    def test_non_accepting_target_is_tried_again(self) -> None:
         """Callers get no-target forever though the target has long been back.
 
         An engine restarts; its agent's report with the last answer says that it takes
@@ -137,7 +137,7 @@
         later = router.handle(make_request("r2", now=4.0))
         self.assertIsInstance(later, Send)
 
-    def test_an_idle_gateway_forgets_what_it_sent(self) -> None:
+    def test_sent_counts_decay_while_the_gateway_is_idle(self) -> None:
         """After a busy minute a prompt's own target is passed over for no reason.
 
         The gateway sent it many prompts and heard nothing since; all were served by
@@ -152,8 +152,8 @@
         self.assertEqual(later.target, owner)
 
 
-class FullTargetTests(unittest.TestCase):
-    def test_a_full_target_gets_only_probes_from_the_workspace_it_refused(self) -> None:
+class WorkspaceBackoffTests(unittest.TestCase):
+    def test_full_target_receives_only_probes_from_a_rejected_workspace(self) -> None:
         """A caller that asks again at once has each ask carried to a full target.
 
         Only a probe in half a second may go until the hint has passed; the rest is
@@ -173,7 +173,7 @@
         self.assertLessEqual(sends, 11)
         self.assertGreaterEqual(sends, 9)
 
-    def test_the_refusal_of_one_workspace_does_not_hold_for_another(self) -> None:
+    def test_rejection_applies_to_one_workspace_only(self) -> None:
         router = make_router(1)
         router.handle(make_request("r1", workspace="hot"))
         router.handle(make_end("r1", "t0", ExecutionStatus.NOT_EXECUTED, retry_after=10.0))
@@ -181,7 +181,7 @@
         self.assertIsInstance(decision, Send)
 
 
-class SlowTargetTests(unittest.TestCase):
+class OutlierDetectionTests(unittest.TestCase):
     """One of six targets takes a second longer to its first byte than the others."""
 
     def serve(self, router: Router, start: float, slow: set[str]) -> list[str]:
@@ -197,7 +197,7 @@
             router.handle(make_end(name, sent.target, ExecutionStatus.EXECUTED, now + 0.05))
         return targets
 
-    def test_it_is_set_aside_and_returns_when_it_is_quick_again(self) -> None:
+    def test_slow_target_is_ejected_and_readmitted_when_fast(self) -> None:
         router = make_router(6)
         self.serve(router, 0.0, {"t0"})
         slow = self.serve(router, 40.0, {"t0"})
@@ -206,7 +206,7 @@
         healed = self.serve(router, 120.0, set())
         self.assertGreater(healed.count("t0"), 40)
 
-    def test_no_more_than_a_third_is_set_aside(self) -> None:
+    def test_at_most_a_third_of_targets_is_ejected(self) -> None:
         """A rollout makes half of the targets slow; the rest would be overrun."""
         router = make_router(6)
         slow = {"t0", "t1"}
@@ -215,8 +215,8 @@
         self.assertGreater(both.count("t2"), 40)
 
 
-class ReturningTests(unittest.TestCase):
-    def test_new_targets_get_their_share_little_by_little(self) -> None:
+class RampTests(unittest.TestCase):
+    def test_new_targets_receive_their_share_gradually(self) -> None:
         """A data centre that returns cold is sent its whole share in the first second.
 
         Four targets serve; four more appear. Half of the requests would go there at
--- a/libraries/decisions/tests/test_wait_bound.py
+++ b/libraries/decisions/tests/test_wait_bound.py
@@ -37,7 +37,7 @@
 
 
 class WaitBoundTests(unittest.TestCase):
-    def test_a_busy_target_turns_away_at_once_what_may_not_wait(self) -> None:
+    def test_busy_target_rejects_requests_beyond_their_wait_bound(self) -> None:
         # The target is full. A request that may wait 0.1 s is answered "not run"
         # without a hint, since another target may have room; one without a bound waits.
         admission = AdmissionController(2, 10, random.Random(1))
@@ -51,7 +51,7 @@
         self.assertEqual(admission.handle(build_work(4, UNBOUNDED)), [])
         self.assertEqual(admission.waiting, 1)
 
-    def test_being_turned_away_leads_on_and_in_the_end_waits(self) -> None:
+    def test_third_attempt_waits_without_a_bound(self) -> None:
         # Every target the gateway tries is busier than it knew. The third waits as
         # long as it must; nobody is refused for want of a retry budget.
         router = Router(random.Random(2))
--- a/tools/safeguards/bounds.py
+++ b/tools/safeguards/bounds.py
@@ -114,6 +114,6 @@
         "if is_last or attempt",
         "if attempt",
         "libraries/decisions",
-        "tests.test_router.LeavingTests",
+        "tests.test_router.LeavingTargetTests",
     ),
 )
