--- a/libraries/decisions/src/bamboopier_decisions/forwarding/kept_parts.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/kept_parts.py
@@ -16,7 +16,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from ..routing.rendezvous import weigh
+from ..routing.rendezvous import compute_weight
 
 # Seconds after a store's last answer for which beliefs hold: two questions and the
 # pause between them, so that one answer that is late changes nothing.
@@ -272,7 +272,7 @@
         for store in self._stores.values():
             # The largest of (weight in 0..1) ** (1 / room) falls on each store with a
             # chance proportional to its room.
-            drawn = (weigh(part.encode(), store.address) + 1) / 2.0**64
+            drawn = (compute_weight(part.encode(), store.address) + 1) / 2.0**64
             found = drawn ** (1e6 / max(1, store.capacity))
             if found > score:
                 best, score = store, found
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/roll_order.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/roll_order.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from ..membership.load_slots import count_slots
-from ..routing.rendezvous import weigh
+from ..routing.rendezvous import compute_weight
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -40,7 +40,7 @@
     """
     behind = [name for name, version in versions.items() if version < newest]
     key = str(newest).encode()
-    return sorted(behind, key=lambda name: (versions[name], weigh(key, name)))
+    return sorted(behind, key=lambda name: (versions[name], compute_weight(key, name)))
 
 
 def find_delay(versions: Mapping[str, int], newest: int, target: str) -> float:
