--- a/libraries/agent/src/bamboopier_agent/gate.py
+++ b/libraries/agent/src/bamboopier_agent/gate.py
@@ -8,19 +8,19 @@
 from typing import TYPE_CHECKING
 
 from bamboopier_decisions.admission.messages import (
-    FirstToken,
+    FirstTokenReceived,
     Reject,
     Start,
     Tick,
-    WorkEnded,
-    WorkWithdrawn,
+    RequestFinished,
+    RequestCancelled,
 )
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-    from bamboopier_decisions.admission.admission import Admission
-    from bamboopier_decisions.admission.messages import AdmissionEvent, WorkArrived
+    from bamboopier_decisions.admission.controller import AdmissionController
+    from bamboopier_decisions.admission.messages import AdmissionEvent, AdmissionRequested
 
 TICK_SECONDS = 0.1
 
@@ -33,7 +33,7 @@
         "_request_id",
         "answered",
         "failed",
-        "new_tokens",
+        "prefill_tokens",
         "output_tokens",
         "reject",
     )
@@ -46,27 +46,27 @@
         self.answered = False
         self.failed = False
         self.output_tokens = 0
-        self.new_tokens = 0
+        self.prefill_tokens = 0
 
     def mark_first_byte(self) -> None:
         """Tell the decisions that the target began to answer.
 
         How much it prefilled is known only with the usage at the answer's end.
         """
-        self._gate.tell(FirstToken(time.monotonic(), self._request_id, 0))
+        self._gate.tell(FirstTokenReceived(time.monotonic(), self._request_id, 0))
 
 
 class AdmissionGate:
-    """Drives one ``Admission`` from live requests and the clock."""
+    """Drives one ``AdmissionController`` from live requests and the clock."""
 
-    def __init__(self, admission: Admission) -> None:
+    def __init__(self, admission: AdmissionController) -> None:
         self.admission = admission
         self._waiters: dict[str, asyncio.Future[Reject | None]] = {}
         self._idle = asyncio.Event()
         self._idle.set()
 
     @asynccontextmanager
-    async def enter(self, work: WorkArrived) -> AsyncIterator[Entry]:
+    async def enter(self, work: AdmissionRequested) -> AsyncIterator[Entry]:
         """Wait for a place; the entry says whether there is one."""
         waiter = asyncio.get_running_loop().create_future()
         self._waiters[work.request_id] = waiter
@@ -110,16 +110,16 @@
         """Undo a request whose gateway left while it waited or as it was let in."""
         self._waiters.pop(request_id, None)
         now = time.monotonic()
-        self.tell(WorkWithdrawn(now, request_id))
-        self.tell(WorkEnded(now, request_id, answered=False, cancelled=True))
+        self.tell(RequestCancelled(now, request_id))
+        self.tell(RequestFinished(now, request_id, succeeded=False, cancelled=True))
 
 
-def _describe_end(entry: Entry, request_id: str) -> WorkEnded:
-    return WorkEnded(
+def _describe_end(entry: Entry, request_id: str) -> RequestFinished:
+    return RequestFinished(
         now=time.monotonic(),
         request_id=request_id,
-        answered=entry.answered,
+        succeeded=entry.answered,
         output_tokens=entry.output_tokens,
         cancelled=not entry.answered and not entry.failed,
-        new_tokens=entry.new_tokens,
+        prefill_tokens=entry.prefill_tokens,
     )
--- a/libraries/agent/src/bamboopier_agent/service.py
+++ b/libraries/agent/src/bamboopier_agent/service.py
@@ -10,7 +10,7 @@
 import structlog
 from result import Err
 
-from bamboopier_decisions.admission.messages import WorkArrived
+from bamboopier_decisions.admission.messages import AdmissionRequested
 from bamboopier_decisions.claims.table import ClaimStatus
 from bamboopier_protocol import agent_pb2 as pb, agent_pb2_grpc
 
@@ -203,9 +203,9 @@
             return answer.make_not_run(pb.WRONG_VERSION, detail=self._watch.version)
         return None
 
-    def _describe(self, request: pb.ServeRequest, stream: EventStream) -> WorkArrived:
+    def _describe(self, request: pb.ServeRequest, stream: EventStream) -> AdmissionRequested:
         workspace = self._follower.directory.workspaces.get(request.workspace)
-        return WorkArrived(
+        return AdmissionRequested(
             now=time.monotonic(),
             request_id=request.attempt_id,
             workspace=request.workspace,
@@ -345,12 +345,12 @@
         counted = usage.read()
         entry.answered = True
         if request.model.model:
-            new_tokens = max(0, counted.prompt_tokens - counted.cached_tokens)
+            prefill_tokens = max(0, counted.prompt_tokens - counted.cached_tokens)
             self._context.note_answer(
-                request, counted.cached_tokens, new_tokens, first_byte
+                request, counted.cached_tokens, prefill_tokens, first_byte
             )
         entry.output_tokens = counted.completion_tokens
-        entry.new_tokens = max(0, counted.prompt_tokens - counted.cached_tokens)
+        entry.prefill_tokens = max(0, counted.prompt_tokens - counted.cached_tokens)
         self._count_tokens(counted.prompt_tokens, counted.cached_tokens, fetched)
         self._log_end(request, "finished", counted.cached_tokens)
         yield answer.make_finished(
--- a/libraries/decisions/src/bamboopier_decisions/admission/messages.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/messages.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorkArrived:
+class AdmissionRequested:
     """A gateway asks this target to run a request."""
 
     now: float
@@ -38,34 +38,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FirstToken:
-    """The first byte for a request that had ``new_tokens`` of prompt to prefill.
+class FirstTokenReceived:
+    """The first byte for a request that had ``prefill_tokens`` of prompt to prefill.
 
     0 when that is known only at the end.
     """
 
     now: float
     request_id: str
-    new_tokens: int
+    prefill_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
-class WorkEnded:
-    """A started request is over; ``answered`` when the target finished it."""
+class RequestFinished:
+    """A started request is over; ``succeeded`` when the target finished it."""
 
     now: float
     request_id: str
-    answered: bool
+    succeeded: bool
     output_tokens: int = 0
     # Neither answered nor failed: the caller left, or it was refused after its start.
     # It says nothing of the target.
     cancelled: bool = False
-    # Tokens that were prefilled, where ``FirstToken`` could not say.
-    new_tokens: int = 0
+    # Tokens that were prefilled, where ``FirstTokenReceived`` could not say.
+    prefill_tokens: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class WorkWithdrawn:
+class RequestCancelled:
     """The gateway cancelled a request that may still be waiting."""
 
     now: float
@@ -117,10 +117,10 @@
 
 
 AdmissionEvent = (
-    WorkArrived
-    | FirstToken
-    | WorkEnded
-    | WorkWithdrawn
+    AdmissionRequested
+    | FirstTokenReceived
+    | RequestFinished
+    | RequestCancelled
     | TargetRestarted
     | StopRequested
     | ResumeRequested
--- a/libraries/decisions/src/bamboopier_decisions/routing/messages.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/messages.py
@@ -6,11 +6,11 @@
 from enum import StrEnum
 
 
-class Ran(StrEnum):
+class ExecutionStatus(StrEnum):
     """What is known about whether a request has run."""
 
-    NO = "no"
-    YES = "yes"
+    NOT_EXECUTED = "no"
+    EXECUTED = "yes"
     UNKNOWN = "unknown"
 
 
@@ -44,7 +44,7 @@
     QUARANTINED = "quarantined"
 
 
-class Obstacle(StrEnum):
+class ExclusionReason(StrEnum):
     """Why a target is not sent a request."""
 
     # It has had this request.
@@ -62,11 +62,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PassedOver:
+class ExcludedTarget:
     """A target that a refused request was not sent to."""
 
     target: str
-    obstacle: Obstacle
+    reason: ExclusionReason
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,7 +117,7 @@
     priority: int = 0
 
     @property
-    def refusal_key(self) -> str:
+    def backoff_key(self) -> str:
         """Return whose refusals say something of this request.
 
         A target that is full for a workspace's drafts still takes its urgent ones.
@@ -135,7 +135,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FirstByteCame:
+class FirstByteReceived:
     """An attempt's answer began ``seconds`` after it was sent."""
 
     now: float
@@ -151,7 +151,7 @@
     now: float
     request_id: str
     target: str
-    ran: Ran
+    ran: ExecutionStatus
     # The target refused for load; seconds until it thinks it worthwhile to return.
     retry_after: float = 0.0
     # The connection broke or the target crashed while it had the request.
@@ -175,7 +175,7 @@
     """A target that was weighed, with its expected seconds to the first byte."""
 
     target: str
-    expected: float
+    expected_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -196,10 +196,10 @@
 
     request_id: str
     reason: RefuseReason
-    ran: Ran
+    ran: ExecutionStatus
     retry_after: float
     # Where no target was left to send to: why each of the first was not.
-    passed_over: tuple[PassedOver, ...] = ()
+    excluded: tuple[ExcludedTarget, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -210,6 +210,6 @@
 
 
 RoutingEvent = (
-    RequestArrived | TargetReported | FirstByteCame | AttemptEnded | FleetChanged
+    RequestArrived | TargetReported | FirstByteReceived | AttemptEnded | FleetChanged
 )
 RoutingDecision = Send | Refuse | Deliver
--- a/libraries/decisions/src/bamboopier_decisions/routing/wait_bound.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/wait_bound.py
@@ -18,19 +18,19 @@
 from __future__ import annotations
 
 # Seconds; a few hops, and a small part of the 0.68 s a first token may take.
-SHORT_WAIT = 0.1
+BOUNDED_WAIT_SECONDS = 0.1
 # Attempts that may be turned away for it.
 BOUNDED_ATTEMPTS = 2
 UNBOUNDED = float("inf")
 
 
-def bound_wait(attempt: int, saved: float, *, is_last: bool) -> float:
+def bound_wait(attempt: int, saved_seconds: float, *, is_last: bool) -> float:
     """Return the seconds that attempt number ``attempt``, from 1, may wait.
 
-    ``saved`` is the prefill that a warm target spares: waiting less than that there is
+    ``saved_seconds`` is the prefill that a warm target spares: waiting less than that there is
     still better than starting cold elsewhere. ``is_last`` says that no other target is
     left to try.
     """
     if is_last or attempt > BOUNDED_ATTEMPTS:
         return UNBOUNDED
-    return SHORT_WAIT + saved
+    return BOUNDED_WAIT_SECONDS + saved_seconds
--- a/libraries/decisions/tests/test_wait_bound.py
+++ b/libraries/decisions/tests/test_wait_bound.py
@@ -5,53 +5,53 @@
 import random
 import unittest
 
-from bamboopier_decisions.admission.admission import Admission
+from bamboopier_decisions.admission.controller import AdmissionController
 from bamboopier_decisions.admission.messages import (
     Reject,
     RejectReason,
     Start,
-    WorkArrived,
-    WorkEnded,
+    AdmissionRequested,
+    RequestFinished,
 )
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
     Distance,
     FleetChanged,
-    Ran,
+    ExecutionStatus,
     RequestArrived,
     Send,
     TargetView,
 )
 from bamboopier_decisions.routing.router import Router
-from bamboopier_decisions.routing.wait_bound import SHORT_WAIT, UNBOUNDED
+from bamboopier_decisions.routing.wait_bound import BOUNDED_WAIT_SECONDS, UNBOUNDED
 
 TARGETS = 6
 # More requests than any retry budget holds.
 REQUESTS = 200
 
 
-def build_work(number: int, max_wait: float) -> WorkArrived:
+def build_work(number: int, max_wait: float) -> AdmissionRequested:
     """Return a request that takes the target some seconds."""
     name = f"r{number}"
-    return WorkArrived(0.0, name, "w", 1.0, 0, 60.0, 4000, 400, max_wait)
+    return AdmissionRequested(0.0, name, "w", 1.0, 0, 60.0, 4000, 400, max_wait)
 
 
 class WaitBoundTests(unittest.TestCase):
-    def test_a_busy_target_turns_away_at_once_what_may_not_wait(self) -> None:
+    def test_busy_target_rejects_requests_beyond_their_wait_bound(self) -> None:
         # The target is full. A request that may wait 0.1 s is answered "not run"
         # without a hint, since another target may have room; one without a bound waits.
-        admission = Admission(2, 10, random.Random(1))
+        admission = AdmissionController(2, 10, random.Random(1))
         admission.handle(build_work(0, UNBOUNDED))
-        admission.handle(WorkEnded(3.0, "r0", answered=True, output_tokens=100))
+        admission.handle(RequestFinished(3.0, "r0", succeeded=True, output_tokens=100))
         for number in (1, 2):
-            started = admission.handle(build_work(number, SHORT_WAIT))
+            started = admission.handle(build_work(number, BOUNDED_WAIT_SECONDS))
             self.assertEqual(started, [Start(f"r{number}")])
-        busy = admission.handle(build_work(3, SHORT_WAIT))
+        busy = admission.handle(build_work(3, BOUNDED_WAIT_SECONDS))
         self.assertEqual(busy, [Reject("r3", RejectReason.BUSY, 0.0)])
         self.assertEqual(admission.handle(build_work(4, UNBOUNDED)), [])
         self.assertEqual(admission.waiting, 1)
 
-    def test_being_turned_away_leads_on_and_in_the_end_waits(self) -> None:
+    def test_third_attempt_waits_without_a_bound(self) -> None:
         # Every target the gateway tries is busier than it knew. The third waits as
         # long as it must; nobody is refused for want of a retry budget.
         router = Router(random.Random(2))
@@ -65,9 +65,9 @@
             for _ in range(3):
                 assert isinstance(decision, Send), decision
                 tried.append((decision.target, decision.max_wait))
-                ended = AttemptEnded(100.0, name, decision.target, Ran.NO)
+                ended = AttemptEnded(100.0, name, decision.target, ExecutionStatus.NOT_EXECUTED)
                 decision = router.handle(ended)
             self.assertEqual(len({target for target, _ in tried}), 3)
             bounds = [bound for _, bound in tried]
-            self.assertEqual(bounds, [SHORT_WAIT, SHORT_WAIT, UNBOUNDED])
+            self.assertEqual(bounds, [BOUNDED_WAIT_SECONDS, BOUNDED_WAIT_SECONDS, UNBOUNDED])
             router.abandon(name)
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -10,7 +10,7 @@
 from result import Err
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.routing.messages import Ran
+from bamboopier_decisions.routing.messages import ExecutionStatus
 
 from .target_response import BrokenResponseError
 from .delivery import CallerDisconnectedError
@@ -58,7 +58,7 @@
 class AttemptResult:
     """How one send ended. ``ran`` is the truth as far as it is known."""
 
-    ran: Ran
+    ran: ExecutionStatus
     cause: Cause = Cause.NONE
     detail: str = ""
     status: int = 0
@@ -113,7 +113,7 @@
         try:
             connection = await self._pool.acquire(entry, recently_used=recently_used)
         except ConnectError as error:
-            return AttemptResult(Ran.NO, Cause.CONNECT, str(error))
+            return AttemptResult(ExecutionStatus.NOT_EXECUTED, Cause.CONNECT, str(error))
         # Nothing may be awaited between these checks and the send: a connection takes
         # up to a second, or as long as this process is suspended, and what held before
         # it may not hold any more.
@@ -126,7 +126,7 @@
             raise
         if isinstance(prepared, Err):
             self._pool.release_unused(entry, connection)
-            return AttemptResult(Ran.NO, prepared.err_value)
+            return AttemptResult(ExecutionStatus.NOT_EXECUTED, prepared.err_value)
         metadata, sent_at = prepared.unwrap(), read_clock()
         done = False
         with self._expiry_monitor.watch(call, metadata, connection) as pending:
@@ -135,16 +135,16 @@
                     result = await self._send_and_relay(call, in_flight, pending, delivery)
                 done = True
             except TimeoutError:
-                result = AttemptResult(Ran.UNKNOWN, Cause.TIMEOUT)
+                result = AttemptResult(ExecutionStatus.UNKNOWN, Cause.TIMEOUT)
             except BrokenResponseError as error:
-                result = AttemptResult(Ran.UNKNOWN, Cause.BROKEN, str(error))
+                result = AttemptResult(ExecutionStatus.UNKNOWN, Cause.BROKEN, str(error))
             finally:
                 if done:
                     self._pool.release(entry, connection)
                 else:
                     self._pool.discard(entry, connection)
         if pending.aborted and result.cause is Cause.BROKEN:
-            result = AttemptResult(Ran.UNKNOWN, Cause.OUTDATED)
+            result = AttemptResult(ExecutionStatus.UNKNOWN, Cause.OUTDATED)
         result.metadata, result.sent_at = metadata, sent_at
         return result
 
@@ -165,7 +165,7 @@
             await response.read_all(MAX_BUFFERED_BYTES)
             cause = Cause.MISDIRECTED if response_metadata.misdirected else Cause.NOT_RUN
             return AttemptResult(
-                Ran.NO,
+                ExecutionStatus.NOT_EXECUTED,
                 cause,
                 f"status {response.status}, target {response_metadata.target}",
                 response.status,
@@ -174,7 +174,7 @@
             )
         if not response_metadata.sealed and response.status < 500:
             detail = f"status {response.status} without a seal"
-            return AttemptResult(Ran.UNKNOWN, Cause.UNSEALED, detail, response.status)
+            return AttemptResult(ExecutionStatus.UNKNOWN, Cause.UNSEALED, detail, response.status)
         if call.route.streams and response.status == 200:
             result = await self._relay_stream(
                 call, in_flight, pending, response, delivery, started_at
@@ -194,7 +194,7 @@
         started_at: float,
     ) -> AttemptResult:
         body = await response.read_all(MAX_BUFFERED_BYTES)
-        result = AttemptResult(Ran.YES, status=response.status)
+        result = AttemptResult(ExecutionStatus.EXECUTED, status=response.status)
         result.first_byte = read_clock() - started_at
         buffered = BufferedResponse(response.status, response.headers, body)
         if response.status >= 500:
@@ -214,7 +214,7 @@
         delivery: Delivery,
         started_at: float,
     ) -> AttemptResult:
-        result = AttemptResult(Ran.YES, status=response.status)
+        result = AttemptResult(ExecutionStatus.EXECUTED, status=response.status)
         splitter = EventSplitter()
         try:
             while data := await response.read():
@@ -230,12 +230,12 @@
                 await delivery.write(complete_events)
                 call.last_event = splitter.last_event
         except BrokenResponseError as error:
-            result.ran = Ran.UNKNOWN
+            result.ran = ExecutionStatus.UNKNOWN
             result.cause = Cause.BROKEN
             result.detail = str(error)
             return result
         if splitter.incomplete:
-            result.ran = Ran.UNKNOWN
+            result.ran = ExecutionStatus.UNKNOWN
             result.cause = Cause.BROKEN
             result.detail = "the stream ended within an event"
             return result
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -13,7 +13,7 @@
 from bamboopier_decisions.forwarding.waiting import draw_return, limit_wait
 
 from .exchange import Cause
-from .refusals import CallerError, ErrorCode, Ran
+from .refusals import CallerError, ErrorCode, ExecutionStatus
 from .attempt_log import AttemptLog
 
 if TYPE_CHECKING:
@@ -109,7 +109,7 @@
             self._attempt_log.record(call, in_flight, result)
             if result.delivered:
                 return
-            if result.ran is not Ran.NO:
+            if result.ran is not ExecutionStatus.NOT_EXECUTED:
                 runs += 1
                 call.may_have_run = True
             if not await self._retry_or_finish(call, result, delivery, runs, retry_budget):
@@ -199,11 +199,11 @@
             tried=call.tried,
         )
         if call.may_have_run:
-            return CallerError(ErrorCode.OUTCOME_UNKNOWN, code.value, Ran.UNKNOWN)
+            return CallerError(ErrorCode.OUTCOME_UNKNOWN, code.value, ExecutionStatus.UNKNOWN)
         limited = placement.limited
         seconds_to_capacity = limited.next_at - now if limited.only and limited.count else 0.0
         wait = draw_return(call.timeout_at - now, self._random, seconds_to_capacity)
-        return CallerError(code, "no target has room", Ran.NO, wait)
+        return CallerError(code, "no target has room", ExecutionStatus.NOT_EXECUTED, wait)
 
     def _check_freshness(self, call: Call, now: float) -> None:
         """Refuse a request with a key once the key may have been taken away."""
@@ -213,7 +213,7 @@
             return
         if call.may_have_run:
             message = "the configuration became too old to send this again"
-            raise CallerError(ErrorCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN)
+            raise CallerError(ErrorCode.OUTCOME_UNKNOWN, message, ExecutionStatus.UNKNOWN)
         raise make_stale_configuration_error(self._active_configuration, now)
 
     def _check_quarantine(self, call: Call) -> None:
@@ -221,7 +221,7 @@
         wait = self._quarantine.find_wait(call.fingerprint)
         if wait > 0:
             message = "this request broke the targets that ran it"
-            raise CallerError(ErrorCode.OVERLOADED, message, Ran.NO, wait)
+            raise CallerError(ErrorCode.OVERLOADED, message, ExecutionStatus.NOT_EXECUTED, wait)
 
     def _record_outcome(self, call: Call, in_flight: Sent, result: AttemptResult) -> None:
         """Take in what a send says of its target."""
@@ -273,12 +273,12 @@
             code = ErrorCode.DEADLINE
             if result.cause not in (Cause.TIMEOUT, Cause.LATE):
                 code = ErrorCode.OUTCOME_UNKNOWN
-            raise CallerError(code, result.cause.value, Ran.UNKNOWN)
+            raise CallerError(code, result.cause.value, ExecutionStatus.UNKNOWN)
         now = read_clock()
         # The caller may wait longer than its route allows, and come back.
         end = call.timeout_at if now < call.timeout_at else call.deadline
         wait = draw_return(max(0.0, end - now), self._random)
-        raise CallerError(ErrorCode.OVERLOADED, result.cause.value, Ran.NO, wait)
+        raise CallerError(ErrorCode.OVERLOADED, result.cause.value, ExecutionStatus.NOT_EXECUTED, wait)
 
     def _may_retry(
         self, call: Call, result: AttemptResult, delivery: Delivery, runs: int
@@ -287,7 +287,7 @@
             return False
         if result.cause is Cause.TIMEOUT:
             return False
-        if result.ran is Ran.NO:
+        if result.ran is ExecutionStatus.NOT_EXECUTED:
             return not delivery.started or call.last_event is not None
         if runs >= call.route.max_targets:
             return False
@@ -304,4 +304,4 @@
     """Return the refusal for keys that may have been taken away meanwhile."""
     age = active_configuration.currency.find_age(now)
     message = f"the configuration was last confirmed {age:.1f} s ago"
-    return CallerError(ErrorCode.STALE_CONFIGURATION, message, Ran.NO, 1.0)
+    return CallerError(ErrorCode.STALE_CONFIGURATION, message, ExecutionStatus.NOT_EXECUTED, 1.0)
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -16,7 +16,7 @@
 from .delivery import CallerDisconnectedError, Delivery
 from .forwarder import make_stale_configuration_error
 from .messages import Call, make_fingerprint
-from .refusals import CallerError, ErrorCode, Ran, make_error_headers
+from .refusals import CallerError, ErrorCode, ExecutionStatus, make_error_headers
 
 if TYPE_CHECKING:
     import random
@@ -102,7 +102,7 @@
             raise
         except Exception:
             log.exception("request failed", request_id=trace.request_id)
-            ran = Ran.UNKNOWN if trace.sent else Ran.NO
+            ran = ExecutionStatus.UNKNOWN if trace.sent else ExecutionStatus.NOT_EXECUTED
             fault = CallerError(ErrorCode.INTERNAL, "internal error", ran)
             await self._send_error(request, delivery, trace, fault)
         finally:
@@ -124,12 +124,12 @@
     ) -> None:
         if self.refusing:
             message = "this process is stopping"
-            raise CallerError(ErrorCode.STOPPING, message, Ran.NO, STOPPING_RETRY_SECONDS)
+            raise CallerError(ErrorCode.STOPPING, message, ExecutionStatus.NOT_EXECUTED, STOPPING_RETRY_SECONDS)
         table = self._active_configuration.table
         if table is None:
             message = "no configuration is known yet"
             raise CallerError(
-                ErrorCode.STALE_CONFIGURATION, message, Ran.NO, STARTING_RETRY_SECONDS
+                ErrorCode.STALE_CONFIGURATION, message, ExecutionStatus.NOT_EXECUTED, STARTING_RETRY_SECONDS
             )
         metadata = self._parse_metadata(request, trace)
         path = request.raw_path.partition("?")[0]
--- a/libraries/proxy/tests/test_attempts.py
+++ b/libraries/proxy/tests/test_attempts.py
@@ -8,7 +8,7 @@
 
 import unittest
 
-from bamboopier_proxy.refusals import CallerError, ErrorCode, Ran
+from bamboopier_proxy.refusals import CallerError, ErrorCode, ExecutionStatus
 
 from .forwarder_builders import (
     KEY_SECONDS,
@@ -54,7 +54,7 @@
         # same: a van was dispatched for a caller who was told the end, or had left.
         self.advance_while_connecting(TIMEOUT_SECONDS + 1)
         error = await self.expect_refusal()
-        self.assertIs(error.ran, Ran.NO)
+        self.assertIs(error.ran, ExecutionStatus.NOT_EXECUTED)
         self.assertFalse(self.harness.quarantine.record_crash.called)
         standing = self.harness.fleet.list_service("desk", 0.0)[0].standing
         self.assertEqual(standing.failing_share, 0.0)
@@ -66,7 +66,7 @@
         state.limit.note_named(self.harness.clock.now, 0.5)
         with self.assertRaises(CallerError) as caught:
             await self.harness.forward()
-        self.assertIs(caught.exception.ran, Ran.NO)
+        self.assertIs(caught.exception.ran, ExecutionStatus.NOT_EXECUTED)
         # Callers wait for a third of the time that they have at the most.
         min_retry_after = min(2.0, 0.3 * TIMEOUT_SECONDS)
         self.assertGreaterEqual(caught.exception.retry_after, min_retry_after)
@@ -79,7 +79,7 @@
         self.advance_while_connecting(0.9)
         error = await self.expect_refusal()
         self.assertIs(error.code, ErrorCode.STALE_CONFIGURATION)
-        self.assertIs(error.ran, Ran.NO)
+        self.assertIs(error.ran, ExecutionStatus.NOT_EXECUTED)
         await self.harness.forward(keyed=False)
         self.assertEqual(len(self.harness.pool.heads), 1)
 
@@ -91,7 +91,7 @@
         self.harness.weights.name(MODEL, 2, now - VERSION_SECONDS + 2.6 + 0.5)
         self.advance_while_connecting(0.9)
         error = await self.expect_refusal(keyed=False, prompt=True)
-        self.assertIs(error.ran, Ran.NO)
+        self.assertIs(error.ran, ExecutionStatus.NOT_EXECUTED)
 
 
 if __name__ == "__main__":
--- a/tools/bench_context/drive.py
+++ b/tools/bench_context/drive.py
@@ -23,7 +23,7 @@
     AttemptEnded,
     Distance,
     FleetChanged,
-    Ran,
+    ExecutionStatus,
     RequestArrived,
     Send,
     TargetLoad,
@@ -138,7 +138,7 @@
         )
         assert isinstance(decision, Send)
         name = decision.target
-        self.router.handle(AttemptEnded(now, request_id, name, Ran.YES))
+        self.router.handle(AttemptEnded(now, request_id, name, ExecutionStatus.EXECUTED))
         return next(engine for engine in self.engines if engine.name == name)
 
     def _fetch(self, now: float, engine: Engine, prompt: Prompt) -> float:
@@ -198,16 +198,16 @@
         self, now: float, arrived: float, engine: Engine, prompt: Prompt
     ) -> None:
         cached = engine.count_cached(prompt.keys) * BLOCK_TOKENS
-        new_tokens = prompt.tokens - cached
+        prefill_tokens = prompt.tokens - cached
         start = max(now, engine.busy_until)
-        engine.busy_until = start + new_tokens / self.site.prefill_rate
+        engine.busy_until = start + prefill_tokens / self.site.prefill_rate
         milliseconds = int((engine.busy_until - arrived) * 1000)
         milliseconds = min(MAX_MILLISECONDS, max(1, milliseconds))
         self.first_token.record_value(milliseconds)
         if prompt.returning:
             self.returning.record_value(milliseconds)
         self.prompt_tokens += prompt.tokens
-        self.recomputed_tokens += new_tokens
+        self.recomputed_tokens += prefill_tokens
         engine.remember(now, prompt.keys)
         if self.policy.weights:
             self._at(engine.busy_until, lambda at: self._offer(at, engine, prompt))
--- a/tools/bench_load/baselines.py
+++ b/tools/bench_load/baselines.py
@@ -7,15 +7,15 @@
 
 from bamboopier_decisions.admission.messages import (
     Start,
-    WorkArrived,
-    WorkEnded,
-    WorkWithdrawn,
+    AdmissionRequested,
+    RequestFinished,
+    RequestCancelled,
 )
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
     Deliver,
     FleetChanged,
-    Ran,
+    ExecutionStatus,
     Refuse,
     RefuseReason,
     RequestArrived,
@@ -59,11 +59,11 @@
 
     def handle(self, event: AdmissionEvent) -> list[AdmissionDecision]:
         """Start what there is a slot for."""
-        if isinstance(event, WorkArrived):
+        if isinstance(event, AdmissionRequested):
             self._queue.append(event.request_id)
-        elif isinstance(event, WorkEnded):
+        elif isinstance(event, RequestFinished):
             self._running.discard(event.request_id)
-        elif isinstance(event, WorkWithdrawn) and event.request_id in self._queue:
+        elif isinstance(event, RequestCancelled) and event.request_id in self._queue:
             self._queue.remove(event.request_id)
         decisions: list[AdmissionDecision] = []
         while self._queue and len(self._running) < self.limit:
@@ -93,7 +93,7 @@
         elif isinstance(event, AttemptEnded):
             if event.target in self._open:
                 self._open[event.target] -= 1
-            if event.ran is Ran.YES or event.delivered:
+            if event.ran is ExecutionStatus.EXECUTED or event.delivered:
                 return Deliver(event.request_id)
             reason = RefuseReason.TARGET_FAILED
             return Refuse(event.request_id, reason, event.ran, 1.0)
--- a/tools/bench_load/cost.py
+++ b/tools/bench_load/cost.py
@@ -11,19 +11,19 @@
 
 import fire
 
-from bamboopier_decisions.admission.admission import Admission
+from bamboopier_decisions.admission.controller import AdmissionController
 from bamboopier_decisions.admission.messages import (
     Start,
     Tick,
-    WorkArrived,
-    WorkEnded,
+    AdmissionRequested,
+    RequestFinished,
 )
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
     Distance,
-    FirstByteCame,
+    FirstByteReceived,
     FleetChanged,
-    Ran,
+    ExecutionStatus,
     RequestArrived,
     Send,
     TargetLoad,
@@ -78,8 +78,8 @@
         if not isinstance(sent, Send):
             raise AssertionError(sent)
         router.handle(TargetReported(now, sent.target, load))
-        router.handle(FirstByteCame(now, str(number), sent.target, 0.1))
-        router.handle(AttemptEnded(now, str(number), sent.target, Ran.YES))
+        router.handle(FirstByteReceived(now, str(number), sent.target, 0.1))
+        router.handle(AttemptEnded(now, str(number), sent.target, ExecutionStatus.EXECUTED))
     whole = time.perf_counter() - started
     scale = MICROSECONDS / REQUESTS
     return choosing * scale, whole * scale
@@ -99,12 +99,12 @@
 def measure_admission(waiting: int, workspaces: int) -> tuple[float, float, float]:
     """Return microseconds per arrival with its end, per tick, and bytes per request."""
     tracemalloc.start()
-    admission = Admission(32, 1_000_000, Random(1))
+    admission = AdmissionController(32, 1_000_000, Random(1))
     running: list[str] = []
 
     def arrive(number: int, now: float) -> None:
         workspace = f"w{number % workspaces}"
-        work = WorkArrived(
+        work = AdmissionRequested(
             now, str(number), workspace, 1.0, 0, now + 1e6, 800 + number % 97, 256
         )
         for decision in admission.handle(work):
@@ -120,7 +120,7 @@
         # A shorter time than counts as a standing queue, which is kept short.
         now = step / REQUESTS
         arrive(waiting + 2 + step, now)
-        ended = WorkEnded(now, running.pop(0), False, cancelled=True)
+        ended = RequestFinished(now, running.pop(0), False, cancelled=True)
         running.extend(d.request_id for d in admission.handle(ended))
     each = (time.perf_counter() - started) / REQUESTS * MICROSECONDS
     started = time.perf_counter()
--- a/tools/bench_load/simulation.py
+++ b/tools/bench_load/simulation.py
@@ -9,22 +9,22 @@
 from typing import TYPE_CHECKING, Protocol
 
 from bamboopier_decisions.admission.messages import (
-    FirstToken,
+    FirstTokenReceived,
     Reject,
     Start,
     StopRequested,
     TargetRestarted,
     Tick,
-    WorkArrived,
-    WorkEnded,
-    WorkWithdrawn,
+    AdmissionRequested,
+    RequestFinished,
+    RequestCancelled,
 )
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
     Distance,
-    FirstByteCame,
+    FirstByteReceived,
     FleetChanged,
-    Ran,
+    ExecutionStatus,
     Refuse,
     RequestArrived,
     Send,
@@ -178,9 +178,9 @@
         order = attempt.order
         self._attempts[attempt.ask_id] = attempt
         if not self.engine.up:
-            self._fail(attempt.ask_id, Ran.NO)
+            self._fail(attempt.ask_id, ExecutionStatus.NOT_EXECUTED)
             return
-        work = WorkArrived(
+        work = AdmissionRequested(
             now=self._clock.now,
             request_id=attempt.ask_id,
             workspace=order.workspace,
@@ -206,10 +206,10 @@
     def _start(self, ask_id: str) -> None:
         attempt = self._attempts.get(ask_id)
         if attempt is None:
-            self.tell(WorkEnded(self._clock.now, ask_id, False, cancelled=True))
+            self.tell(RequestFinished(self._clock.now, ask_id, False, cancelled=True))
             return
         if not self.engine.up:
-            self._fail(ask_id, Ran.NO)
+            self._fail(ask_id, ExecutionStatus.NOT_EXECUTED)
             return
         self.engine.run(
             ask_id,
@@ -223,25 +223,25 @@
         attempt = self._attempts[ask_id]
         attempt.first_byte = self._clock.now - attempt.sent
         attempt.order.first_token = self._clock.now + HOP_SECONDS
-        self.tell(FirstToken(self._clock.now, ask_id, new))
+        self.tell(FirstTokenReceived(self._clock.now, ask_id, new))
         self._simulation.hear(self, attempt)
 
     def _finish(self, ask_id: str) -> None:
         attempt = self._attempts.pop(ask_id)
         tokens = attempt.order.output_tokens
-        self.tell(WorkEnded(self._clock.now, ask_id, True, tokens))
-        self._answer(attempt, Ran.YES)
+        self.tell(RequestFinished(self._clock.now, ask_id, True, tokens))
+        self._answer(attempt, ExecutionStatus.EXECUTED)
 
-    def _fail(self, ask_id: str, ran: Ran = Ran.UNKNOWN) -> None:
+    def _fail(self, ask_id: str, ran: ExecutionStatus = ExecutionStatus.UNKNOWN) -> None:
         attempt = self._attempts.pop(ask_id)
-        self.tell(WorkWithdrawn(self._clock.now, ask_id))
-        self.tell(WorkEnded(self._clock.now, ask_id, answered=False))
+        self.tell(RequestCancelled(self._clock.now, ask_id))
+        self.tell(RequestFinished(self._clock.now, ask_id, succeeded=False))
         self._answer(attempt, ran, broken=True)
 
     def _reject(self, reject: Reject) -> None:
         attempt = self._attempts.pop(reject.request_id, None)
         if attempt is not None:
-            self._answer(attempt, Ran.NO, reject.retry_after)
+            self._answer(attempt, ExecutionStatus.NOT_EXECUTED, reject.retry_after)
 
     def _cancel(self, ask_id: str) -> None:
         """The caller left at its deadline."""
@@ -250,12 +250,12 @@
             return
         order_id = str(attempt.order.order_id)
         self.engine.cancel(ask_id)
-        self.tell(WorkWithdrawn(self._clock.now, ask_id))
-        self.tell(WorkEnded(self._clock.now, ask_id, False, cancelled=True))
+        self.tell(RequestCancelled(self._clock.now, ask_id))
+        self.tell(RequestFinished(self._clock.now, ask_id, False, cancelled=True))
         self._simulation.abandon(order_id)
 
     def _answer(
-        self, attempt: _Attempt, ran: Ran, wait: float = 0.0, broken: bool = False
+        self, attempt: _Attempt, ran: ExecutionStatus, wait: float = 0.0, broken: bool = False
     ) -> None:
         ended = AttemptEnded(
             now=self._clock.now + HOP_SECONDS,
@@ -264,7 +264,7 @@
             ran=ran,
             retry_after=wait,
             broken=broken,
-            delivered=attempt.first_byte > 0 and ran is not Ran.NO,
+            delivered=attempt.first_byte > 0 and ran is not ExecutionStatus.NOT_EXECUTED,
             first_byte=attempt.first_byte,
         )
         load = self.report()
@@ -336,7 +336,7 @@
         router = self._homes[str(attempt.order.order_id)]
         now, request_id = self.clock.now, str(attempt.order.order_id)
         router.handle(TargetReported(now, agent.name, agent.report()))
-        router.handle(FirstByteCame(now, request_id, agent.name, attempt.first_byte))
+        router.handle(FirstByteReceived(now, request_id, agent.name, attempt.first_byte))
 
     def end(self, attempt: _Attempt, ended: AttemptEnded, load: TargetLoad) -> None:
         """Bring an attempt's end to its gateway and carry out the decision."""
@@ -370,9 +370,9 @@
             block_keys=keys,
             priority=order.priority,
         )
-        self._follow(order, router.handle(event), Ran.NO)
+        self._follow(order, router.handle(event), ExecutionStatus.NOT_EXECUTED)
 
-    def _follow(self, order: Order, decision: RoutingDecision | None, ran: Ran) -> None:
+    def _follow(self, order: Order, decision: RoutingDecision | None, ran: ExecutionStatus) -> None:
         if isinstance(decision, Send):
             order.targets.append(decision.target)
             sent = self.clock.now
@@ -383,7 +383,7 @@
             self.clock.call_later(HOP_SECONDS, lambda: agent.serve(attempt))
         elif isinstance(decision, Refuse):
             self._refuse(order, decision.retry_after)
-        elif ran is Ran.YES:
+        elif ran is ExecutionStatus.EXECUTED:
             order.finished = self.clock.now
         else:
             order.first_token = 0.0
