--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from .blind_share import BlindShare
+from .gateway_headroom import BlindShare
 from .cold_ramp import ColdRamp, draw_phase
 from .part_memory import PartMemory
 from .rate_limit import RateLimit
