--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from .gateway_headroom import BlindShare
-from .cold_ramp import ColdRamp, draw_phase
+from .cold_start_limit import ColdRamp, draw_phase
 from .part_memory import PartMemory
 from .rate_limit import RateLimit
 from .standing import Standing
--- a/libraries/decisions/tests/forwarding/test_rate_limit.py
+++ b/libraries/decisions/tests/forwarding/test_rate_limit.py
@@ -6,7 +6,7 @@
 import random
 import unittest
 
-from bamboopier_decisions.forwarding.cold_ramp import draw_phase
+from bamboopier_decisions.forwarding.cold_start_limit import draw_phase
 from bamboopier_decisions.forwarding.placement import (
     Demand,
     Placement,
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -10,7 +10,7 @@
 import msgspec
 from result import Ok
 
-from bamboopier_decisions.forwarding.cold_ramp import ColdRamp
+from bamboopier_decisions.forwarding.cold_start_limit import ColdRamp
 from bamboopier_decisions.forwarding.pauses import TICK_SECONDS, Pauses
 from bamboopier_decisions.forwarding.retry_share import RetryBounds
 from bamboopier_objects.objects import Listing, StoredObject
