--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -5,7 +5,7 @@
 import unittest
 
 from bamboopier_decisions.forwarding.cold_start_limit import ColdRamp, draw_phase
-from bamboopier_decisions.forwarding.currency import SEND_MARGIN, Currency
+from bamboopier_decisions.forwarding.configuration_freshness import SEND_MARGIN, Currency
 from bamboopier_decisions.forwarding.retry_share import (
     RetryBounds,
     RetryShare,
--- a/libraries/proxy/src/bamboopier_proxy/knowledge.py
+++ b/libraries/proxy/src/bamboopier_proxy/knowledge.py
@@ -6,7 +6,7 @@
 
 import structlog
 
-from bamboopier_decisions.forwarding.currency import Currency
+from bamboopier_decisions.forwarding.configuration_freshness import Currency
 from bamboopier_decisions.forwarding.route_table import RouteTable
 
 if TYPE_CHECKING:
