--- a/libraries/decisions/tests/forwarding/test_kept_parts.py
+++ b/libraries/decisions/tests/forwarding/test_kept_parts.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from bamboopier_decisions.forwarding.kept_parts import (
+from bamboopier_decisions.forwarding.part_store_index import (
     SETTLE_SECONDS,
     TRUST_SECONDS,
     KeptParts,
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -7,7 +7,7 @@
 import structlog
 
 from bamboopier_decisions.forwarding.fleet import Fleet
-from bamboopier_decisions.forwarding.kept_parts import KeptParts
+from bamboopier_decisions.forwarding.part_store_index import KeptParts
 from bamboopier_decisions.forwarding.model import CallerLimits
 from bamboopier_decisions.forwarding.retry_share import RetryShares
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
--- a/libraries/proxy/src/bamboopier_proxy/messages.py
+++ b/libraries/proxy/src/bamboopier_proxy/messages.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.kept_parts import PartPlan
+    from bamboopier_decisions.forwarding.part_store_index import PartPlan
     from bamboopier_decisions.forwarding.model import Route, Workspace
     from bamboopier_decisions.forwarding.prompt import Prompt
 
--- a/libraries/proxy/src/bamboopier_proxy/part_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_follower.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     import random
 
-    from bamboopier_decisions.forwarding.kept_parts import KeptParts, PartNews
+    from bamboopier_decisions.forwarding.part_store_index import KeptParts, PartNews
 
     from .part_relay import PartRelay
     from .roster import Roster
--- a/libraries/proxy/src/bamboopier_proxy/part_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_relay.py
@@ -17,10 +17,10 @@
 from result import Err, Ok, Result
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.kept_parts import PartChange, PartNews
+from bamboopier_decisions.forwarding.part_store_index import PartChange, PartNews
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.kept_parts import KeptParts, PartStore
+    from bamboopier_decisions.forwarding.part_store_index import KeptParts, PartStore
     from bamboopier_objects.http_caller import HttpCaller
 
     from .settings import Endpoint
--- a/libraries/proxy/src/bamboopier_proxy/send_planner.py
+++ b/libraries/proxy/src/bamboopier_proxy/send_planner.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.fleet import Sent
-    from bamboopier_decisions.forwarding.kept_parts import KeptParts, PartPlan
+    from bamboopier_decisions.forwarding.part_store_index import KeptParts, PartPlan
     from bamboopier_decisions.forwarding.prompt import Prompt
     from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from bamboopier_decisions.forwarding.fleet import Fleet
-from bamboopier_decisions.forwarding.kept_parts import KeptParts
+from bamboopier_decisions.forwarding.part_store_index import KeptParts
 from bamboopier_decisions.forwarding.model import (
     CallerLimits,
     Declared,
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.kept_parts import (
+from bamboopier_decisions.forwarding.part_store_index import (
     SETTLE_SECONDS,
     KeptParts,
     PartNews,
--- a/libraries/proxy/tests/test_part_relay.py
+++ b/libraries/proxy/tests/test_part_relay.py
@@ -10,7 +10,7 @@
 
 from result import Ok, Result
 
-from bamboopier_decisions.forwarding.kept_parts import (
+from bamboopier_decisions.forwarding.part_store_index import (
     SETTLE_SECONDS,
     TRUST_SECONDS,
     KeptParts,
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -139,7 +139,7 @@
     ),
     Mutation(
         "a start that is later by the stores' clock is taken when it is handed on",
-        f"{FORWARDING}/kept_parts.py",
+        f"{FORWARDING}/part_store_index.py",
         " and news.clock_ms < self.clock_ms\n",
         "\n",
         "libraries/proxy",
