--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -6,7 +6,7 @@
 import unittest
 from typing import TYPE_CHECKING
 
-from bamboopier_decisions.forwarding.load_drain import (
+from bamboopier_decisions.forwarding.weight_load_drain import (
     HEARD_SECONDS,
     LONGEST_SECONDS,
     LoadDrain,
