--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from .model import ServiceSpec
+from .specs import ServiceSpec
 from .target_state import Load, TargetState
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-    from .model import TargetEntry
+    from .specs import TargetEntry
     from .prompt import Prompt
     from .rate_limit import RateLimit
 
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/route_table.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/route_table.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     import random
 
-    from .model import Declared, Route, Workspace
+    from .specs import Declared, Route, Workspace
 
 
 class RouteTable:
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -12,7 +12,7 @@
 from .standing import Standing
 
 if TYPE_CHECKING:
-    from .model import ServiceSpec, TargetEntry
+    from .specs import ServiceSpec, TargetEntry
     from .prompt import Prompt
 
 # Share of an engine's memory that is believed to hold shared parts; the rest holds
--- a/libraries/decisions/tests/forwarding/builders.py
+++ b/libraries/decisions/tests/forwarding/builders.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from bamboopier_decisions.forwarding.fleet import Fleet
-from bamboopier_decisions.forwarding.model import (
+from bamboopier_decisions.forwarding.specs import (
     CallerLimits,
     Declared,
     EngineSpec,
--- a/libraries/decisions/tests/forwarding/test_route_table.py
+++ b/libraries/decisions/tests/forwarding/test_route_table.py
@@ -5,7 +5,7 @@
 import random
 import unittest
 
-from bamboopier_decisions.forwarding.model import WeightedService
+from bamboopier_decisions.forwarding.specs import WeightedService
 from bamboopier_decisions.forwarding.route_table import RouteTable, draw_service
 
 from .builders import make_declared, make_route
--- a/libraries/proxy/src/bamboopier_proxy/caller_listener.py
+++ b/libraries/proxy/src/bamboopier_proxy/caller_listener.py
@@ -14,7 +14,7 @@
     from collections.abc import Awaitable, Callable
     from types import TracebackType
 
-    from bamboopier_decisions.forwarding.model import CallerLimits
+    from bamboopier_decisions.forwarding.specs import CallerLimits
 
     from .settings import Endpoint
 
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -8,7 +8,7 @@
 from result import Err, Ok
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.model import Repeat
+from bamboopier_decisions.forwarding.specs import Repeat
 from bamboopier_decisions.forwarding.placement import place
 from bamboopier_decisions.forwarding.waiting import draw_return, limit_wait
 
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -8,7 +8,7 @@
 
 from bamboopier_decisions.forwarding.fleet import Fleet
 from bamboopier_decisions.forwarding.part_store_index import KeptParts
-from bamboopier_decisions.forwarding.model import CallerLimits
+from bamboopier_decisions.forwarding.specs import CallerLimits
 from bamboopier_decisions.forwarding.retry_share import RetryShares
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 
@@ -18,7 +18,7 @@
 from .waiting_room import WaitingRoom
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.model import Declared
+    from bamboopier_decisions.forwarding.specs import Declared
     from bamboopier_decisions.forwarding.pauses import Pauses
 
     from .settings import ProxySettings
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -23,7 +23,7 @@
 
     from aiohttp import web
 
-    from bamboopier_decisions.forwarding.model import Route, Workspace
+    from bamboopier_decisions.forwarding.specs import Route, Workspace
     from bamboopier_decisions.forwarding.route_table import RouteTable
 
     from .dialect import Dialect
--- a/libraries/proxy/src/bamboopier_proxy/knowledge.py
+++ b/libraries/proxy/src/bamboopier_proxy/knowledge.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from bamboopier_decisions.forwarding.model import Declared
+    from bamboopier_decisions.forwarding.specs import Declared
 
 log = structlog.get_logger()
 
--- a/libraries/proxy/src/bamboopier_proxy/messages.py
+++ b/libraries/proxy/src/bamboopier_proxy/messages.py
@@ -8,7 +8,7 @@
 
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.part_store_index import PartPlan
-    from bamboopier_decisions.forwarding.model import Route, Workspace
+    from bamboopier_decisions.forwarding.specs import Route, Workspace
     from bamboopier_decisions.forwarding.prompt import Prompt
 
 HeaderList = tuple[tuple[str, str], ...]
--- a/libraries/proxy/src/bamboopier_proxy/target_directory.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_directory.py
@@ -7,7 +7,7 @@
 from result import Err, Ok
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.model import TargetEntry
+    from bamboopier_decisions.forwarding.specs import TargetEntry
     from bamboopier_objects.objects import FollowedStore
 
     from .vocabulary import Vocabulary
--- a/libraries/proxy/src/bamboopier_proxy/target_pool.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_pool.py
@@ -19,7 +19,7 @@
     from types import TracebackType
     from typing import Self
 
-    from bamboopier_decisions.forwarding.model import TargetEntry
+    from bamboopier_decisions.forwarding.specs import TargetEntry
 
 # A connection in the same region stands within milliseconds; a lost packet is sent
 # again after a second, by which time another target is the better choice.
--- a/libraries/proxy/src/bamboopier_proxy/vocabulary.py
+++ b/libraries/proxy/src/bamboopier_proxy/vocabulary.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from result import Result
 
-    from bamboopier_decisions.forwarding.model import Declared, TargetEntry
+    from bamboopier_decisions.forwarding.specs import Declared, TargetEntry
 
 
 @dataclass(frozen=True, slots=True)
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -8,7 +8,7 @@
 
 from bamboopier_decisions.forwarding.fleet import Fleet
 from bamboopier_decisions.forwarding.part_store_index import KeptParts
-from bamboopier_decisions.forwarding.model import (
+from bamboopier_decisions.forwarding.specs import (
     CallerLimits,
     Declared,
     EngineSpec,
--- a/libraries/proxy/tests/test_configuration_intake.py
+++ b/libraries/proxy/tests/test_configuration_intake.py
@@ -8,7 +8,7 @@
 
 from result import Err, Ok, Result
 
-from bamboopier_decisions.forwarding.model import CallerLimits, Declared
+from bamboopier_decisions.forwarding.specs import CallerLimits, Declared
 from bamboopier_objects.objects import StoredObject
 from bamboopier_proxy.configuration_intake import ConfigurationIntake
 from bamboopier_proxy.knowledge import Knowledge
--- a/libraries/proxy/tests/test_knowledge.py
+++ b/libraries/proxy/tests/test_knowledge.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest import mock
 
-from bamboopier_decisions.forwarding.model import CallerLimits, Declared
+from bamboopier_decisions.forwarding.specs import CallerLimits, Declared
 from bamboopier_proxy.knowledge import Knowledge
 
 
--- a/libraries/proxy/tests/test_store_health.py
+++ b/libraries/proxy/tests/test_store_health.py
@@ -10,7 +10,7 @@
 from result import Err, Ok
 
 from bamboopier_decisions.forwarding.fleet import Fleet
-from bamboopier_decisions.forwarding.model import TargetEntry
+from bamboopier_decisions.forwarding.specs import TargetEntry
 from bamboopier_objects.errors import PlatformUnavailableError
 from bamboopier_objects.objects import (
     ChangeBatch,
