--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -7,7 +7,7 @@
 
 from .gateway_headroom import BlindShare
 from .cold_start_limit import ColdRamp, draw_phase
-from .part_memory import PartMemory
+from .part_cache_estimate import PartMemory
 from .rate_limit import RateLimit
 from .standing import Standing
 
