--- a/libraries/decisions/tests/forwarding/test_pauses.py
+++ b/libraries/decisions/tests/forwarding/test_pauses.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from bamboopier_decisions.forwarding.pauses import (
+from bamboopier_decisions.forwarding.pause_tracker import (
     CATCH_UP_SECONDS,
     PAUSE_SECONDS,
     TICK_SECONDS,
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -19,7 +19,7 @@
 
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.specs import Declared
-    from bamboopier_decisions.forwarding.pauses import Pauses
+    from bamboopier_decisions.forwarding.pause_tracker import Pauses
 
     from .settings import ProxySettings
     from .vocabulary import Vocabulary
--- a/libraries/proxy/src/bamboopier_proxy/pause_watch.py
+++ b/libraries/proxy/src/bamboopier_proxy/pause_watch.py
@@ -9,7 +9,7 @@
 from prometheus_client import CollectorRegistry, Counter
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.pauses import TICK_SECONDS, Pauses
+from bamboopier_decisions.forwarding.pause_tracker import TICK_SECONDS, Pauses
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/libraries/proxy/src/bamboopier_proxy/roster.py
+++ b/libraries/proxy/src/bamboopier_proxy/roster.py
@@ -35,7 +35,7 @@
     import random
     from collections.abc import Callable
 
-    from bamboopier_decisions.forwarding.pauses import Pauses
+    from bamboopier_decisions.forwarding.pause_tracker import Pauses
 
     from .vocabulary import Store
 
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -11,7 +11,7 @@
 from result import Ok
 
 from bamboopier_decisions.forwarding.cold_start_limit import ColdRamp
-from bamboopier_decisions.forwarding.pauses import TICK_SECONDS, Pauses
+from bamboopier_decisions.forwarding.pause_tracker import TICK_SECONDS, Pauses
 from bamboopier_decisions.forwarding.retry_share import RetryBounds
 from bamboopier_objects.objects import Listing, StoredObject
 from bamboopier_proxy.gateway_peers import GatewayPeers
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -16,7 +16,7 @@
     KeptParts,
     PartNews,
 )
-from bamboopier_decisions.forwarding.pauses import Pauses
+from bamboopier_decisions.forwarding.pause_tracker import Pauses
 from bamboopier_objects.http_caller import HttpCaller
 from bamboopier_proxy.part_follower import (
     DIRECT_GATEWAYS,
--- a/libraries/proxy/tests/test_roster.py
+++ b/libraries/proxy/tests/test_roster.py
@@ -10,7 +10,7 @@
 import msgspec
 from result import Ok
 
-from bamboopier_decisions.forwarding.pauses import Pauses
+from bamboopier_decisions.forwarding.pause_tracker import Pauses
 from bamboopier_objects.objects import Listing, StoredObject
 from bamboopier_proxy.roster import GatewayEntry, Roster
 
--- a/libraries/proxy/tests/test_store_followers.py
+++ b/libraries/proxy/tests/test_store_followers.py
@@ -12,7 +12,7 @@
 from result import Ok
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.pauses import Pauses
+from bamboopier_decisions.forwarding.pause_tracker import Pauses
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 from bamboopier_objects.objects import Listing, StoredObject
 from bamboopier_proxy.store_followers import StoreFollowers
--- a/libraries/proxy/tests/test_weight_ages.py
+++ b/libraries/proxy/tests/test_weight_ages.py
@@ -11,7 +11,7 @@
 import msgspec
 from result import Err, Ok
 
-from bamboopier_decisions.forwarding.pauses import Pauses
+from bamboopier_decisions.forwarding.pause_tracker import Pauses
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 from bamboopier_objects.errors import (
     PlatformUnavailableError,
--- a/libraries/proxy/tests/test_weights_observer.py
+++ b/libraries/proxy/tests/test_weights_observer.py
@@ -10,7 +10,7 @@
 
 from result import Err, Ok
 
-from bamboopier_decisions.forwarding.pauses import TICK_SECONDS, Pauses
+from bamboopier_decisions.forwarding.pause_tracker import TICK_SECONDS, Pauses
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 from bamboopier_objects.errors import PlatformUnavailableError
 from bamboopier_objects.object_follower import ObjectFollower
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -12,7 +12,7 @@
 PEERS = "tests.test_gateway_peers.GatewayCountTests"
 STARTS = "tests.test_part_relay.FormerStartTests"
 FORWARDING = "libraries/decisions/src/bamboopier_decisions/forwarding"
-PAUSES = f"{FORWARDING}/pauses.py"
+PAUSES = f"{FORWARDING}/pause_tracker.py"
 WEIGHTS = f"{FORWARDING}/weight_versions.py"
 
 MUTATIONS = (
