--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -6,7 +6,7 @@
 
 from bamboopier_decisions.forwarding.cold_start_limit import ColdRamp, draw_phase
 from bamboopier_decisions.forwarding.configuration_freshness import SEND_MARGIN, Currency
-from bamboopier_decisions.forwarding.retry_share import (
+from bamboopier_decisions.forwarding.shared_retry_budget import (
     RetryBounds,
     RetryShare,
     RetryShares,
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -23,7 +23,7 @@
 
     from bamboopier_decisions.forwarding.fleet import Fleet, Sent
     from bamboopier_decisions.forwarding.placement import Demand, Placement
-    from bamboopier_decisions.forwarding.retry_share import RetryShare, RetryShares
+    from bamboopier_decisions.forwarding.shared_retry_budget import RetryShare, RetryShares
 
     from .delivery import Delivery
     from .exchange import Exchange, SendResult
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -9,7 +9,7 @@
 from bamboopier_decisions.forwarding.fleet import Fleet
 from bamboopier_decisions.forwarding.part_store_index import KeptParts
 from bamboopier_decisions.forwarding.specs import CallerLimits
-from bamboopier_decisions.forwarding.retry_share import RetryShares
+from bamboopier_decisions.forwarding.shared_retry_budget import RetryShares
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 
 from .configuration_intake import ConfigurationIntake
--- a/libraries/proxy/src/bamboopier_proxy/settings.py
+++ b/libraries/proxy/src/bamboopier_proxy/settings.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.retry_share import RetryBounds
+    from bamboopier_decisions.forwarding.shared_retry_budget import RetryBounds
 
 
 @dataclass(frozen=True, slots=True)
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -12,7 +12,7 @@
 
 from bamboopier_decisions.forwarding.cold_start_limit import ColdRamp
 from bamboopier_decisions.forwarding.pause_tracker import TICK_SECONDS, Pauses
-from bamboopier_decisions.forwarding.retry_share import RetryBounds
+from bamboopier_decisions.forwarding.shared_retry_budget import RetryBounds
 from bamboopier_objects.objects import Listing, StoredObject
 from bamboopier_proxy.gateway_peers import GatewayPeers
 from bamboopier_proxy.gateway_state import GatewayState
