--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from ..routing.rendezvous import rank
-from .roll_order import list_near
+from .rollout_order import list_near
 
 if TYPE_CHECKING:
     import random
--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -12,7 +12,7 @@
     LoadDrain,
 )
 from bamboopier_decisions.forwarding.placement import Demand, WantedWeights, place
-from bamboopier_decisions.forwarding.roll_order import (
+from bamboopier_decisions.forwarding.rollout_order import (
     TURN_SECONDS,
     count_loads,
     find_delay,
--- a/libraries/proxy/src/bamboopier_proxy/weight_roller.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_roller.py
@@ -18,7 +18,7 @@
 
 from bamboopier_daemon.clock import read_clock
 from bamboopier_decisions.forwarding.weight_load_drain import LoadDrain
-from bamboopier_decisions.forwarding.roll_order import count_loads, find_delay
+from bamboopier_decisions.forwarding.rollout_order import count_loads, find_delay
 
 from .target_orders import OrderFault, WeightOrder
 
