--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -9,7 +9,7 @@
 from .cold_start_limit import ColdRamp, draw_phase
 from .part_cache_estimate import PartMemory
 from .rate_limit import RateLimit
-from .standing import Standing
+from .circuit_breaker import Standing
 
 if TYPE_CHECKING:
     from .specs import ServiceSpec, TargetEntry
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -11,7 +11,7 @@
     RetryShare,
     RetryShares,
 )
-from bamboopier_decisions.forwarding.standing import Standing
+from bamboopier_decisions.forwarding.circuit_breaker import Standing
 
 BOUNDS = RetryBounds(ratio=0.2, slack=54, window_seconds=10.0)
 
