--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -10,7 +10,7 @@
 from bamboopier_daemon.clock import read_clock
 from bamboopier_decisions.forwarding.specs import Repeat
 from bamboopier_decisions.forwarding.placement import place
-from bamboopier_decisions.forwarding.waiting import draw_return, limit_wait
+from bamboopier_decisions.forwarding.wait_queue import draw_return, limit_wait
 
 from .exchange import Cause
 from .refusals import CallerError, ErrorCode, Ran
--- a/libraries/proxy/src/bamboopier_proxy/waiting_room.py
+++ b/libraries/proxy/src/bamboopier_proxy/waiting_room.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from bamboopier_decisions.forwarding.waiting import WaitQueue
+from bamboopier_decisions.forwarding.wait_queue import WaitQueue
 
 if TYPE_CHECKING:
     from collections.abc import Callable
