--- a/libraries/decisions/src/bamboopier_decisions/forwarding/gateway_headroom.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/gateway_headroom.py
@@ -21,7 +21,7 @@
 UNEVEN = 2.0
 
 
-class BlindShare:
+class GatewayHeadroom:
     """What this gateway has sent to one target within the last moments."""
 
     __slots__ = ("_memory", "_sent", "_unread")
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from .gateway_headroom import BlindShare
+from .gateway_headroom import GatewayHeadroom
 from .cold_start_limit import ColdRamp, draw_phase
 from .part_cache_estimate import PartMemory
 from .rate_limit import RateLimit
@@ -61,7 +61,7 @@
         self.service = service
         self.own = Load()
         self.others = Load()
-        self.blind = BlindShare()
+        self.blind = GatewayHeadroom()
         self.standing = Standing()
         self.cold = ColdRamp(draw_phase(entry.name))
         self.limit = RateLimit(draw_phase(entry.name))
