--- a/libraries/decisions/src/bamboopier_decisions/forwarding/gateway_headroom.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/gateway_headroom.py
@@ -38,7 +38,7 @@
         self._unread += unread
         self._memory += memory
 
-    def allows_unread(
+    def allows_prefill(
         self, now: float, tokens: int, room: float, gateways: int
     ) -> bool:
         """Say whether ``tokens`` more may be sent to be read.
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -190,7 +190,7 @@
         return False
     gateways = fleet.gateways
     unread = state.count_unread(prompt)
-    return state.blind.allows_unread(
+    return state.blind.allows_prefill(
         now, unread, unread_room, gateways
     ) and state.blind.allows_memory(now, memory, memory_room, gateways)
 
