--- a/libraries/decisions/src/bamboopier_decisions/forwarding/cold_start_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/cold_start_limit.py
@@ -36,7 +36,7 @@
     return int.from_bytes(digest, "big") / 2**32
 
 
-class ColdRamp:
+class ColdStartLimit:
     """Counts what was sent to one target while it is cold."""
 
     __slots__ = ("_phase", "_sent", "_since", "_until")
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from .gateway_headroom import GatewayHeadroom
-from .cold_start_limit import ColdRamp, draw_phase
+from .cold_start_limit import ColdStartLimit, draw_phase
 from .part_cache_estimate import PartMemory
 from .rate_limit import RateLimit
 from .circuit_breaker import Standing
@@ -63,7 +63,7 @@
         self.others = Load()
         self.blind = GatewayHeadroom()
         self.standing = Standing()
-        self.cold = ColdRamp(draw_phase(entry.name))
+        self.cold = ColdStartLimit(draw_phase(entry.name))
         self.limit = RateLimit(draw_phase(entry.name))
         # Until then it turns requests away, by its own word.
         self.busy_until = float("-inf")
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from bamboopier_decisions.forwarding.cold_start_limit import ColdRamp, draw_phase
+from bamboopier_decisions.forwarding.cold_start_limit import ColdStartLimit, draw_phase
 from bamboopier_decisions.forwarding.configuration_freshness import SEND_MARGIN, Currency
 from bamboopier_decisions.forwarding.shared_retry_budget import (
     RetryBounds,
@@ -62,7 +62,7 @@
     def test_all_gateways_together_respect_the_rate(self) -> None:
         # Five gateways send to an engine that is cold, as fast as they may. In no
         # second does it get more than 18 requests.
-        ramps = [ColdRamp() for _ in range(5)]
+        ramps = [ColdStartLimit() for _ in range(5)]
         sent: list[float] = []
         for ramp in ramps:
             ramp.start(0.0, 3.0)
@@ -97,7 +97,7 @@
         self, gateways: int, rate: float, seconds: float, idle: float
     ) -> list[float]:
         """Let all send what they may to a cold target; return when they did."""
-        ramps = [ColdRamp(draw_phase("i-1")) for _ in range(gateways)]
+        ramps = [ColdStartLimit(draw_phase("i-1")) for _ in range(gateways)]
         for number, ramp in enumerate(ramps):
             # They hear of its start within some milliseconds.
             ramp.start(number * 0.0002, seconds)
@@ -111,7 +111,7 @@
         return sent
 
     def test_a_warm_target_has_no_bound(self) -> None:
-        ramp = ColdRamp()
+        ramp = ColdStartLimit()
         for _ in range(100):
             self.assertTrue(ramp.may_send(5.0, 18.0, 1))
             ramp.note_sent(5.0)
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -10,7 +10,7 @@
 import msgspec
 from result import Ok
 
-from bamboopier_decisions.forwarding.cold_start_limit import ColdRamp
+from bamboopier_decisions.forwarding.cold_start_limit import ColdStartLimit
 from bamboopier_decisions.forwarding.pause_tracker import TICK_SECONDS, Pauses
 from bamboopier_decisions.forwarding.shared_retry_budget import RetryBounds
 from bamboopier_objects.objects import Listing, StoredObject
@@ -37,7 +37,7 @@
         self.name = f"g-{number}"
         self.host = f"10.0.0.{number}"
         self.pauses = Pauses(now)
-        self.ramp = ColdRamp()
+        self.ramp = ColdStartLimit()
         settings = mock.Mock(
             vm=self.name,
             host=self.host,
