--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -58,7 +58,7 @@
         self.assertLessEqual(spent, 54)
 
 
-class ColdRampTests(unittest.TestCase):
+class ColdStartLimitTests(unittest.TestCase):
     def test_all_gateways_together_respect_the_rate(self) -> None:
         # Five gateways send to an engine that is cold, as fast as they may. In no
         # second does it get more than 18 requests.
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -110,7 +110,7 @@
         " and self._is_in_slot(now, part * SLOT_SHARE, phase)\n",
         "\n",
         "libraries/decisions",
-        "tests.forwarding.test_bounds.ColdRampTests"
+        "tests.forwarding.test_bounds.ColdStartLimitTests"
         ".test_more_gateways_than_a_cold_target_bears_requests",
     ),
     Mutation(
