--- a/libraries/decisions/src/bamboopier_decisions/forwarding/cold_start_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/cold_start_limit.py
@@ -27,7 +27,7 @@
 SLOT_SHARE = 0.8
 
 
-def draw_phase(target: str) -> float:
+def hash_phase(target: str) -> float:
     """Return where the first gateway's slots at a target lie, from 0 to 1.
 
     It differs by target, so that a gateway does not come last at all of them.
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from .gateway_headroom import GatewayHeadroom
-from .cold_start_limit import ColdStartLimit, draw_phase
+from .cold_start_limit import ColdStartLimit, hash_phase
 from .part_cache_estimate import PartMemory
 from .rate_limit import RateLimit
 from .circuit_breaker import Standing
@@ -63,8 +63,8 @@
         self.others = Load()
         self.blind = GatewayHeadroom()
         self.standing = Standing()
-        self.cold = ColdStartLimit(draw_phase(entry.name))
-        self.limit = RateLimit(draw_phase(entry.name))
+        self.cold = ColdStartLimit(hash_phase(entry.name))
+        self.limit = RateLimit(hash_phase(entry.name))
         # Until then it turns requests away, by its own word.
         self.busy_until = float("-inf")
         # Until then it gets short answers only: it is about to load new weights.
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from bamboopier_decisions.forwarding.cold_start_limit import ColdStartLimit, draw_phase
+from bamboopier_decisions.forwarding.cold_start_limit import ColdStartLimit, hash_phase
 from bamboopier_decisions.forwarding.configuration_freshness import SEND_MARGIN, Currency
 from bamboopier_decisions.forwarding.shared_retry_budget import (
     RetryBounds,
@@ -97,7 +97,7 @@
         self, gateways: int, rate: float, seconds: float, idle: float
     ) -> list[float]:
         """Let all send what they may to a cold target; return when they did."""
-        ramps = [ColdStartLimit(draw_phase("i-1")) for _ in range(gateways)]
+        ramps = [ColdStartLimit(hash_phase("i-1")) for _ in range(gateways)]
         for number, ramp in enumerate(ramps):
             # They hear of its start within some milliseconds.
             ramp.start(number * 0.0002, seconds)
--- a/libraries/decisions/tests/forwarding/test_rate_limit.py
+++ b/libraries/decisions/tests/forwarding/test_rate_limit.py
@@ -6,7 +6,7 @@
 import random
 import unittest
 
-from bamboopier_decisions.forwarding.cold_start_limit import draw_phase
+from bamboopier_decisions.forwarding.cold_start_limit import hash_phase
 from bamboopier_decisions.forwarding.placement import (
     Demand,
     Placement,
@@ -30,7 +30,7 @@
     Each has a request at each step with this chance, also after rests.
     """
     generator = random.Random(seed)
-    phase = draw_phase(f"i-{seed}")
+    phase = hash_phase(f"i-{seed}")
     limits = [RateLimit(phase) for _ in range(gateways)]
     sent: list[float] = []
     for count in range(int(SECONDS / STEP)):
