--- a/libraries/decisions/src/bamboopier_decisions/forwarding/configuration_freshness.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/configuration_freshness.py
@@ -12,7 +12,7 @@
 SEND_MARGIN = 0.15
 
 
-class Currency:
+class ConfigurationFreshness:
     """When the configuration in force was last proved current.
 
     All times are on a clock that also counts while the machine is suspended.
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -5,7 +5,7 @@
 import unittest
 
 from bamboopier_decisions.forwarding.cold_start_limit import ColdStartLimit, hash_phase
-from bamboopier_decisions.forwarding.configuration_freshness import SEND_MARGIN, Currency
+from bamboopier_decisions.forwarding.configuration_freshness import SEND_MARGIN, ConfigurationFreshness
 from bamboopier_decisions.forwarding.shared_retry_budget import (
     RetryBounds,
     RetryShare,
@@ -121,20 +121,20 @@
     def test_a_proof_counts_from_its_question(self) -> None:
         # The answer to a question of second 10 arrives at second 14. A key could have
         # been taken away at 10.1, so at 15 the proof is five seconds old.
-        currency = Currency(5.0)
+        currency = ConfigurationFreshness(5.0)
         self.assertFalse(currency.covers(1.0))
         currency.prove(10.0)
         self.assertTrue(currency.covers(14.0))
         self.assertFalse(currency.covers(15.0 - SEND_MARGIN))
 
     def test_an_older_proof_takes_nothing_back(self) -> None:
-        currency = Currency(5.0)
+        currency = ConfigurationFreshness(5.0)
         currency.prove(10.0)
         currency.prove(3.0)
         self.assertTrue(currency.covers(14.0))
 
     def test_without_a_bound_one_proof_is_enough(self) -> None:
-        currency = Currency(None)
+        currency = ConfigurationFreshness(None)
         self.assertFalse(currency.covers(1.0))
         currency.prove(0.0)
         self.assertTrue(currency.covers(1e6))
--- a/libraries/proxy/src/bamboopier_proxy/knowledge.py
+++ b/libraries/proxy/src/bamboopier_proxy/knowledge.py
@@ -6,7 +6,7 @@
 
 import structlog
 
-from bamboopier_decisions.forwarding.configuration_freshness import Currency
+from bamboopier_decisions.forwarding.configuration_freshness import ConfigurationFreshness
 from bamboopier_decisions.forwarding.route_table import RouteTable
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
         self, key_seconds: float | None, apply: Callable[[Declared], None]
     ) -> None:
         self.table: RouteTable | None = None
-        self.currency = Currency(key_seconds)
+        self.currency = ConfigurationFreshness(key_seconds)
         self._apply = apply
 
     @property
