--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -117,7 +117,7 @@
             ramp.note_sent(5.0)
 
 
-class CurrencyTests(unittest.TestCase):
+class ConfigurationFreshnessTests(unittest.TestCase):
     def test_a_proof_counts_from_its_question(self) -> None:
         # The answer to a question of second 10 arrives at second 14. A key could have
         # been taken away at 10.1, so at 15 the proof is five seconds old.
