--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -29,7 +29,7 @@
 NEVER = float("-inf")
 
 
-class Sent:
+class InFlightRequest:
     """One request at one target, from its sending to its end."""
 
     __slots__ = ("load", "prompt", "service", "state")
@@ -159,7 +159,7 @@
         self._remember(state)
         self._arrange()
 
-    def begin(self, now: float, state: TargetState, prompt: Prompt | None) -> Sent:
+    def begin(self, now: float, state: TargetState, prompt: Prompt | None) -> InFlightRequest:
         """Count a request that is sent now."""
         load = Load(requests=1)
         if prompt is not None:
@@ -171,14 +171,14 @@
         state.cold.note_sent(now)
         state.limit.note_sent(now)
         state.standing.note_sent()
-        return Sent(state, load, prompt)
+        return InFlightRequest(state, load, prompt)
 
-    def note_read(self, sent: Sent) -> None:
+    def note_read(self, sent: InFlightRequest) -> None:
         """Take in that the prompt has been read: the first event came."""
         sent.state.own.unread -= sent.load.unread
         sent.load.unread = 0
 
-    def end(self, sent: Sent) -> None:
+    def end(self, sent: InFlightRequest) -> None:
         """Take in that the request is over."""
         own = sent.state.own
         own.requests -= sent.load.requests
--- a/libraries/decisions/tests/forwarding/test_load_pattern.py
+++ b/libraries/decisions/tests/forwarding/test_load_pattern.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from bamboopier_decisions.forwarding.fleet import Fleet, Sent
+    from bamboopier_decisions.forwarding.fleet import Fleet, InFlightRequest
     from bamboopier_decisions.forwarding.prompt import Prompt
 
 READ_RATE = 112_000.0
@@ -94,7 +94,7 @@
             assert state is not None
             state.limit.note_named(0.0, per_second)
     outcome = Outcome(by_engine=dict.fromkeys(names, 0))
-    events: list[tuple[float, int, str, Fleet, Sent]] = []
+    events: list[tuple[float, int, str, Fleet, InFlightRequest]] = []
     told = 0.0
     for number, (now, prompt) in enumerate(arrivals):
         while events and events[0][0] <= now:
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -23,7 +23,7 @@
 
     from result import Result
 
-    from bamboopier_decisions.forwarding.fleet import Fleet, Sent
+    from bamboopier_decisions.forwarding.fleet import Fleet, InFlightRequest
 
     from .answer import Answer
     from .begin_watch import BeginWatch, Wait
@@ -98,7 +98,7 @@
     async def send(
         self,
         call: Call,
-        sent: Sent,
+        sent: InFlightRequest,
         prepare: Callable[[], Result[SendMarks, Cause]],
         delivery: Delivery,
     ) -> SendResult:
@@ -149,7 +149,7 @@
         return result
 
     async def _ask(
-        self, call: Call, sent: Sent, wait: Wait, delivery: Delivery
+        self, call: Call, sent: InFlightRequest, wait: Wait, delivery: Delivery
     ) -> SendResult:
         started = read_clock()
         marks = wait.marks
@@ -208,7 +208,7 @@
     async def _pass_stream(
         self,
         call: Call,
-        sent: Sent,
+        sent: InFlightRequest,
         wait: Wait,
         answer: Answer,
         delivery: Delivery,
@@ -253,7 +253,7 @@
             lines.append(f"Content-Length: {len(call.body)}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
-    def _note_marks(self, call: Call, sent: Sent, said: AnswerMarks) -> None:
+    def _note_marks(self, call: Call, sent: InFlightRequest, said: AnswerMarks) -> None:
         state = sent.state
         if call.prompt is not None and said.weight_version and not said.misdirected:
             state.note_version(call.prompt.model, said.weight_version)
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -21,7 +21,7 @@
 
     from result import Result
 
-    from bamboopier_decisions.forwarding.fleet import Fleet, Sent
+    from bamboopier_decisions.forwarding.fleet import Fleet, InFlightRequest
     from bamboopier_decisions.forwarding.placement import Demand, Placement
     from bamboopier_decisions.forwarding.shared_retry_budget import RetryShare, RetryShares
 
@@ -115,13 +115,13 @@
             if not await self._goes_on(call, result, delivery, runs, share):
                 return
 
-    async def _send(self, call: Call, sent: Sent, delivery: Delivery) -> SendResult:
+    async def _send(self, call: Call, sent: InFlightRequest, delivery: Delivery) -> SendResult:
         def prepare() -> Result[SendMarks, Cause]:
             return self._prepare(call, sent)
 
         return await self._exchange.send(call, sent, prepare, delivery)
 
-    def _prepare(self, call: Call, sent: Sent) -> Result[SendMarks, Cause]:
+    def _prepare(self, call: Call, sent: InFlightRequest) -> Result[SendMarks, Cause]:
         """Return what the target is told, or why nothing may be sent now.
 
         Raises ``CallerError`` once the request's key may have been taken away.
@@ -135,7 +135,7 @@
             return Err(Cause.CLOSED)
         return Ok(self._planner.make_marks(now, call, sent))
 
-    async def _find_place(self, call: Call) -> Sent:
+    async def _find_place(self, call: Call) -> InFlightRequest:
         """Return a place at a target; raises ``CallerError`` when there is none."""
         demand = self._planner.make_demand(read_clock(), call)
         tried = set(call.tried)
@@ -148,7 +148,7 @@
         seconds = limit_wait(call.route.aim, call.timeout - started)
         self._check_limits(call, placement, started + seconds)
 
-        def find() -> Sent | None:
+        def find() -> InFlightRequest | None:
             found = self._place(call, demand, tried)
             if found.state is None:
                 return None
@@ -223,7 +223,7 @@
             message = "this request broke the targets that ran it"
             raise CallerError(ErrorCode.OVERLOADED, message, Ran.NO, wait)
 
-    def _judge(self, call: Call, sent: Sent, result: SendResult) -> None:
+    def _judge(self, call: Call, sent: InFlightRequest, result: SendResult) -> None:
         """Take in what a send says of its target."""
         state = sent.state
         now = read_clock()
--- a/libraries/proxy/src/bamboopier_proxy/send_log.py
+++ b/libraries/proxy/src/bamboopier_proxy/send_log.py
@@ -9,7 +9,7 @@
 from bamboopier_daemon.clock import read_clock
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.fleet import Sent
+    from bamboopier_decisions.forwarding.fleet import InFlightRequest
 
     from .exchange import SendResult
     from .knowledge import Knowledge
@@ -30,7 +30,7 @@
         self._knowledge = knowledge
         self._metrics = metrics
 
-    def note(self, call: Call, sent: Sent, result: SendResult) -> None:
+    def note(self, call: Call, sent: InFlightRequest, result: SendResult) -> None:
         """Take in that a send has ended."""
         now = read_clock()
         self._metrics.sends.labels(call.service, result.cause.value).inc()
--- a/libraries/proxy/src/bamboopier_proxy/send_planner.py
+++ b/libraries/proxy/src/bamboopier_proxy/send_planner.py
@@ -9,7 +9,7 @@
 from .messages import SendMarks
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.fleet import Sent
+    from bamboopier_decisions.forwarding.fleet import InFlightRequest
     from bamboopier_decisions.forwarding.part_store_index import KeptParts, PartPlan
     from bamboopier_decisions.forwarding.prompt import Prompt
     from bamboopier_decisions.forwarding.weight_versions import WeightVersions
@@ -42,7 +42,7 @@
             self._weights.find_oldest_allowed(now, model),
         )
 
-    def may_begin(self, now: float, call: Call, sent: Sent) -> bool:
+    def may_begin(self, now: float, call: Call, sent: InFlightRequest) -> bool:
         """Say whether the call may begin on the weights that the target has now."""
         if call.prompt is None:
             return True
@@ -59,7 +59,7 @@
         age = now - self._weights.find_since(call.prompt.model)
         return round(age, 3) if age < float("inf") else None
 
-    def make_marks(self, now: float, call: Call, sent: Sent) -> SendMarks:
+    def make_marks(self, now: float, call: Call, sent: InFlightRequest) -> SendMarks:
         """Return what the target is told beside the caller's own headers."""
         entry = sent.state.entry
         workspace = call.workspace
--- a/libraries/proxy/src/bamboopier_proxy/waiting_room.py
+++ b/libraries/proxy/src/bamboopier_proxy/waiting_room.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from bamboopier_decisions.forwarding.fleet import Sent
+    from bamboopier_decisions.forwarding.fleet import InFlightRequest
 
 # Requests tried at each end of another: the first that still finds no room shows that
 # those behind it need not be tried, unless they need less.
@@ -22,8 +22,8 @@
 
 @dataclass(slots=True)
 class _Waiting:
-    find: Callable[[], Sent | None]
-    found: asyncio.Future[Sent]
+    find: Callable[[], InFlightRequest | None]
+    found: asyncio.Future[InFlightRequest]
 
 
 class WaitingRoom:
@@ -48,9 +48,9 @@
         service: str,
         priority: int,
         seconds: float,
-        find: Callable[[], Sent | None],
-        take_back: Callable[[Sent], None],
-    ) -> Sent | None:
+        find: Callable[[], InFlightRequest | None],
+        take_back: Callable[[InFlightRequest], None],
+    ) -> InFlightRequest | None:
         """Wait until ``find`` returns a place; None when ``seconds`` have passed.
 
         A caller may leave between the moment in which a place is counted for it and
@@ -59,7 +59,7 @@
         """
         queue = self._queues.setdefault(service, WaitQueue())
         ticket = queue.add(priority)
-        found: asyncio.Future[Sent] = asyncio.get_running_loop().create_future()
+        found: asyncio.Future[InFlightRequest] = asyncio.get_running_loop().create_future()
         self._waiting[service, ticket] = _Waiting(find, found)
         try:
             async with asyncio.timeout(seconds):
@@ -96,6 +96,6 @@
                 self.wake(service)
 
 
-def _get_place(found: asyncio.Future[Sent]) -> Sent | None:
+def _get_place(found: asyncio.Future[InFlightRequest]) -> InFlightRequest | None:
     """Return the place that was found, if one was."""
     return found.result() if found.done() and not found.cancelled() else None
--- a/libraries/proxy/tests/test_waiting_room.py
+++ b/libraries/proxy/tests/test_waiting_room.py
@@ -9,7 +9,7 @@
 from bamboopier_proxy.waiting_room import WaitingRoom
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.fleet import Sent
+    from bamboopier_decisions.forwarding.fleet import InFlightRequest
 
 PLACE = cast("Sent", object())
 
@@ -17,14 +17,14 @@
 class WaitingRoomTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.room = WaitingRoom()
-        self.given: list[Sent] = []
-        self.taken_back: list[Sent] = []
+        self.given: list[InFlightRequest] = []
+        self.taken_back: list[InFlightRequest] = []
 
-    def give(self) -> Sent:
+    def give(self) -> InFlightRequest:
         self.given.append(PLACE)
         return PLACE
 
-    def wait(self, seconds: float) -> asyncio.Task[Sent | None]:
+    def wait(self, seconds: float) -> asyncio.Task[InFlightRequest | None]:
         waiting = self.room.wait("desk", 1, seconds, self.give, self.taken_back.append)
         return asyncio.create_task(waiting)
 
