--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -75,7 +75,7 @@
         """Return a target's state."""
         return self._states.get(name)
 
-    def list_service(self, service: str, now: float) -> list[TargetState]:
+    def list_targets(self, service: str, now: float) -> list[TargetState]:
         """Return the targets of a service that new requests may go to."""
         self._drop_gone(now)
         closed = self._closed_data_centres
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -149,7 +149,7 @@
 
     Targets with weights older than the oldest that is allowed are left out.
     """
-    listed = fleet.list_service(demand.service, now)
+    listed = fleet.list_targets(demand.service, now)
     known = [state for state in listed if _fits(state, demand)]
     willing = [
         state
--- a/libraries/decisions/tests/forwarding/test_fleet.py
+++ b/libraries/decisions/tests/forwarding/test_fleet.py
@@ -11,7 +11,7 @@
 
 class FleetTests(unittest.TestCase):
     def list_names(self, now: float) -> list[str]:
-        return [s.entry.name for s in self.fleet.list_service(DESK, now)]
+        return [s.entry.name for s in self.fleet.list_targets(DESK, now)]
 
     def setUp(self) -> None:
         self.fleet = make_fleet([make_entry("i-1"), make_entry("i-2")])
--- a/libraries/proxy/tests/test_sends.py
+++ b/libraries/proxy/tests/test_sends.py
@@ -37,7 +37,7 @@
             await self.lab.forward(**options)
         self.assertEqual(self.lab.pool.heads, [])
         self.assertEqual(self.lab.pool.unused, 1)
-        self.assertEqual(self.lab.fleet.list_service("desk", 0.0)[0].requests, 0)
+        self.assertEqual(self.lab.fleet.list_targets("desk", 0.0)[0].requests, 0)
         return caught.exception
 
     async def test_the_target_is_told_what_is_left_when_it_is_sent(self) -> None:
@@ -56,13 +56,13 @@
         error = await self.expect_refusal()
         self.assertIs(error.ran, Ran.NO)
         self.assertFalse(self.lab.breaks.note_break.called)
-        standing = self.lab.fleet.list_service("desk", 0.0)[0].standing
+        standing = self.lab.fleet.list_targets("desk", 0.0)[0].standing
         self.assertEqual(standing.failing_share, 0.0)
 
     async def test_a_caller_is_not_told_to_return_before_there_is_room(self) -> None:
         # Guards against a caller that is refused a second time by a target in need: it
         # takes the next request in two seconds.
-        state = self.lab.fleet.list_service("desk", 0.0)[0]
+        state = self.lab.fleet.list_targets("desk", 0.0)[0]
         state.limit.note_named(self.lab.clock.now, 0.5)
         with self.assertRaises(CallerError) as caught:
             await self.lab.forward()
--- a/libraries/proxy/tests/test_store_health.py
+++ b/libraries/proxy/tests/test_store_health.py
@@ -53,7 +53,7 @@
             for _ in range(4):
                 self.assertTrue(await poll.read())
             observer.take_listing(Listing(9, ()), 3.5, 100.0)
-        self.assertEqual(fleet.list_service("chat", 103.6), [])
+        self.assertEqual(fleet.list_targets("chat", 103.6), [])
 
     async def test_a_large_configuration_on_its_way_is_no_outage(self) -> None:
         # Guards against a target that goes while a weak link carries a megabyte: taken
