--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -186,7 +186,7 @@
             own.memory -= sent.state.unpin(sent.prompt)
         own.unread -= sent.load.unread
 
-    def set_others(self, loads: Mapping[str, Load]) -> None:
+    def set_other_loads(self, loads: Mapping[str, Load]) -> None:
         """Take what the other gateways have under way at each target."""
         for name, state in self._states.items():
             state.others = loads.get(name) or Load()
--- a/libraries/decisions/tests/forwarding/test_load_pattern.py
+++ b/libraries/decisions/tests/forwarding/test_load_pattern.py
@@ -137,7 +137,7 @@
                 own = state.own
                 load = loads.setdefault(name, Load())
                 load.add(Load(own.requests, own.memory, own.unread))
-        fleet.set_others(loads)
+        fleet.set_other_loads(loads)
 
 
 def draw_arrivals(
--- a/libraries/proxy/src/bamboopier_proxy/gossip.py
+++ b/libraries/proxy/src/bamboopier_proxy/gossip.py
@@ -253,4 +253,4 @@
             for told in hint.loads:
                 load = loads.setdefault(told.target, Load())
                 load.add(Load(told.requests, told.memory, told.unread))
-        self._fleet.set_others(loads)
+        self._fleet.set_other_loads(loads)
