--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -94,7 +94,7 @@
             and state.entry.data_centre not in self._closed_data_centres
         )
 
-    def close_data_centres(self, names: Iterable[str]) -> None:
+    def drain_data_centres(self, names: Iterable[str]) -> None:
         """Send nothing to the targets of these data centres."""
         self._closed_data_centres = frozenset(names)
 
--- a/libraries/decisions/tests/forwarding/test_fleet.py
+++ b/libraries/decisions/tests/forwarding/test_fleet.py
@@ -61,7 +61,7 @@
 
     def test_a_closed_data_centre_gets_nothing(self) -> None:
         self.fleet.put(1.0, make_entry("i-3", data_centre="z2"))
-        self.fleet.close_data_centres(["z1"])
+        self.fleet.drain_data_centres(["z1"])
         self.assertEqual(self.list_names(1.0), ["i-3"])
 
     def test_new_weights_empty_the_cache(self) -> None:
--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -217,4 +217,4 @@
         if closed != self._closed:
             log.info("data centres closed", data_centres=sorted(closed))
         self._closed = closed
-        self._fleet.close_data_centres(closed)
+        self._fleet.drain_data_centres(closed)
