--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -25,7 +25,7 @@
 RETURN_SECONDS = 2.2
 # Targets without an entry whose limits are remembered.
 MAX_FORMER = 64
-# For ``store_returned``: the store was not away.
+# For ``store_recovered_at``: the store was not away.
 NEVER = float("-inf")
 
 
@@ -108,14 +108,14 @@
         self._arrange()
 
     def replace(
-        self, now: float, entries: Iterable[TargetEntry], store_returned: float = NEVER
+        self, now: float, entries: Iterable[TargetEntry], store_recovered_at: float = NEVER
     ) -> None:
         """Take the whole list; those missing after an outage keep a while."""
         listed = {entry.name: entry for entry in entries}
         for entry in listed.values():
             self.put(now, entry)
         for name in [n for n in self._states if n not in listed]:
-            self.remove(now, name, store_returned)
+            self.remove(now, name, store_recovered_at)
         self._arrange()
 
     def put(self, now: float, entry: TargetEntry) -> None:
@@ -140,7 +140,7 @@
         self._states[entry.name] = state
         self._arrange()
 
-    def remove(self, now: float, name: str, store_returned: float = NEVER) -> None:
+    def remove(self, now: float, name: str, store_recovered_at: float = NEVER) -> None:
         """Take in that an entry is gone.
 
         Failure answered: a target goes seconds after the store's return, and is sent
@@ -150,7 +150,7 @@
         state = self._states.get(name)
         if state is None:
             return
-        until = store_returned + RETURN_SECONDS
+        until = store_recovered_at + RETURN_SECONDS
         if now < until and not state.entry.leaving:
             self._missing.setdefault(name, until)
             return
--- a/libraries/decisions/tests/forwarding/test_fleet.py
+++ b/libraries/decisions/tests/forwarding/test_fleet.py
@@ -25,25 +25,25 @@
         self.assertEqual(self.list_names(1.0), ["i-2"])
 
     def test_after_an_outage_a_missing_entry_keeps_two_seconds(self) -> None:
-        self.fleet.replace(10.0, [make_entry("i-2")], store_returned=10.0)
+        self.fleet.replace(10.0, [make_entry("i-2")], store_recovered_at=10.0)
         self.assertEqual(self.list_names(10.1), ["i-1", "i-2"])
         self.assertEqual(self.list_names(10.0 + RETURN_SECONDS), ["i-2"])
 
     def test_one_that_goes_later_keeps_no_longer_than_from_the_return(self) -> None:
-        self.fleet.remove(11.5, "i-1", store_returned=10.0)
+        self.fleet.remove(11.5, "i-1", store_recovered_at=10.0)
         self.assertEqual(self.list_names(11.6), ["i-1", "i-2"])
         self.assertEqual(self.list_names(10.0 + RETURN_SECONDS), ["i-2"])
-        self.fleet.remove(10.0 + RETURN_SECONDS, "i-2", store_returned=10.0)
+        self.fleet.remove(10.0 + RETURN_SECONDS, "i-2", store_recovered_at=10.0)
         self.assertEqual(self.list_names(10.0 + RETURN_SECONDS), [])
 
     def test_an_entry_that_is_back_in_time_stays(self) -> None:
-        self.fleet.replace(10.0, [make_entry("i-2")], store_returned=10.0)
+        self.fleet.replace(10.0, [make_entry("i-2")], store_recovered_at=10.0)
         self.fleet.put(11.0, make_entry("i-1"))
         self.assertEqual(self.list_names(20.0), ["i-1", "i-2"])
 
     def test_one_that_was_leaving_before_the_outage_does_not_come_back(self) -> None:
         self.fleet.put(1.0, make_entry("i-1", leaving=True))
-        self.fleet.replace(10.0, [make_entry("i-2")], store_returned=10.0)
+        self.fleet.replace(10.0, [make_entry("i-2")], store_recovered_at=10.0)
         self.assertEqual(self.list_names(10.1), ["i-2"])
 
     def test_a_new_start_under_the_same_name_knows_nothing(self) -> None:
