--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PartNews:
+class PartUpdate:
     """One answer of a store."""
 
     # Changes at each start.
@@ -121,7 +121,7 @@
         """Return the tokens believed to lie there."""
         return self._held
 
-    def take(self, asked_at: float, read_at: float, news: PartNews) -> bool:
+    def take(self, asked_at: float, read_at: float, news: PartUpdate) -> bool:
         """Take an answer asked for and read at these times; True for a new start.
 
         Failure answered: a gateway is suspended for seconds with a question open, in
@@ -144,7 +144,7 @@
             self._apply(change)
         return restarted
 
-    def is_former(self, news: PartNews) -> bool:
+    def is_former(self, news: PartUpdate) -> bool:
         """Say whether news that were handed on are of a start before the known one.
 
         Failure answered: a gateway heard of a store's new start, and then asks one that
--- a/libraries/decisions/tests/forwarding/test_part_store_index.py
+++ b/libraries/decisions/tests/forwarding/test_part_store_index.py
@@ -9,7 +9,7 @@
     TRUST_SECONDS,
     KeptParts,
     PartChange,
-    PartNews,
+    PartUpdate,
 )
 
 SCOPE = "/1"
@@ -20,7 +20,7 @@
     """Let every store answer, and say that these parts lie whole in it."""
     changes = tuple(PartChange(SCOPE, name, tokens) for name, tokens in parts)
     for store in kept.stores:
-        store.take(now, now, PartNews(epoch, int(now * 1000) + 500_000, changes))
+        store.take(now, now, PartUpdate(epoch, int(now * 1000) + 500_000, changes))
 
 
 class KeptPartTests(unittest.TestCase):
@@ -90,10 +90,10 @@
         # store had answered last.
         store = self.kept.find("10.0.0.1:1")
         assert store is not None
-        store.take(10.0, 11.0, PartNews(7, 500_000, ()))
+        store.take(10.0, 11.0, PartUpdate(7, 500_000, ()))
         self.assertTrue(store.trusts(9.99 + TRUST_SECONDS))
         self.assertFalse(store.trusts(10.01 + TRUST_SECONDS))
-        store.take(13.0, 14.0, PartNews(7, 503_000, ()))
+        store.take(13.0, 14.0, PartUpdate(7, 503_000, ()))
         self.assertFalse(store.may_save(10.99 + SETTLE_SECONDS, 500))
         self.assertTrue(store.may_save(11.01 + SETTLE_SECONDS, 500))
 
@@ -114,20 +114,20 @@
             with self.subTest(lost=lost):
                 if lost:
                     store.lose()
-                self.assertTrue(store.is_former(PartNews(7, 510_900, ())))
-                self.assertFalse(store.is_former(PartNews(5, 511_100, ())))
+                self.assertTrue(store.is_former(PartUpdate(7, 510_900, ())))
+                self.assertFalse(store.is_former(PartUpdate(5, 511_100, ())))
         hear(self.kept, 12.0, 3)
-        self.assertFalse(store.is_former(PartNews(3, 511_000, ())))
+        self.assertFalse(store.is_former(PartUpdate(3, 511_000, ())))
 
     def test_a_store_that_never_told_its_clock_has_no_order_of_starts(self) -> None:
         store = self.kept.stores[0]
-        store.take(10.0, 10.0, PartNews(7, 0, ()))
-        self.assertFalse(store.is_former(PartNews(3, 0, ())))
+        store.take(10.0, 10.0, PartUpdate(7, 0, ()))
+        self.assertFalse(store.is_former(PartUpdate(3, 0, ())))
 
     def test_a_store_without_a_clock_is_not_fetched_from(self) -> None:
         changes = tuple(PartChange(SCOPE, name, tokens) for name, tokens in PARTS)
         for store in self.kept.stores:
-            store.take(10.0, 10.0, PartNews(7, 0, changes))
+            store.take(10.0, 10.0, PartUpdate(7, 0, changes))
         self.assertIsNone(self.kept.plan(10.1, SCOPE, PARTS, 1))
 
     def test_a_full_store_gets_nothing_more(self) -> None:
--- a/libraries/proxy/src/bamboopier_proxy/part_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_follower.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     import random
 
-    from bamboopier_decisions.forwarding.part_store_index import KeptParts, PartNews
+    from bamboopier_decisions.forwarding.part_store_index import KeptParts, PartUpdate
 
     from .part_relay import PartRelay
     from .roster import Roster
@@ -47,7 +47,7 @@
 class PartAnswer:
     """News with the place from which to ask on."""
 
-    news: PartNews
+    news: PartUpdate
     position: int
 
 
--- a/libraries/proxy/src/bamboopier_proxy/part_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_relay.py
@@ -17,7 +17,7 @@
 from result import Err, Ok, Result
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.part_store_index import PartChange, PartNews
+from bamboopier_decisions.forwarding.part_store_index import PartChange, PartUpdate
 
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.part_store_index import KeptParts, PartStore
@@ -121,7 +121,7 @@
         # Until the answer was made. The way here is not added: a start must not look
         # older than it is.
         known = (found.heard_ms + found.known_ms) / 1000
-        news = PartNews(
+        news = PartUpdate(
             found.epoch,
             found.clock_ms,
             tuple(PartChange(*change) for change in found.changes),
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -14,7 +14,7 @@
 from bamboopier_decisions.forwarding.part_store_index import (
     SETTLE_SECONDS,
     KeptParts,
-    PartNews,
+    PartUpdate,
 )
 from bamboopier_decisions.forwarding.pause_tracker import Pauses
 from bamboopier_objects.http_caller import HttpCaller
@@ -49,7 +49,7 @@
     ) -> Result[PartAnswer, str]:
         self.questions += 1
         await asyncio.sleep(0.01)
-        return Ok(PartAnswer(PartNews(1, 1, ()), 0))
+        return Ok(PartAnswer(PartUpdate(1, 1, ()), 0))
 
 
 class CountedRelay(PartRelay):
@@ -79,7 +79,7 @@
         self._clock[0] += self._delays.pop(0) if self._delays else 0.0
         self.asked += 1
         epoch = min(self.asked, 2)
-        return Ok(PartAnswer(PartNews(epoch, int(self._clock[0] * 1000), ()), 0))
+        return Ok(PartAnswer(PartUpdate(epoch, int(self._clock[0] * 1000), ()), 0))
 
 
 class SettleTests(unittest.IsolatedAsyncioTestCase):
