--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
@@ -236,7 +236,7 @@
         self._held = 0
 
 
-class KeptParts:
+class PartStoreIndex:
     """All stores, and the plan for a prompt."""
 
     def __init__(self) -> None:
--- a/libraries/decisions/tests/forwarding/test_part_store_index.py
+++ b/libraries/decisions/tests/forwarding/test_part_store_index.py
@@ -7,7 +7,7 @@
 from bamboopier_decisions.forwarding.part_store_index import (
     SETTLE_SECONDS,
     TRUST_SECONDS,
-    KeptParts,
+    PartStoreIndex,
     PartChange,
     PartUpdate,
 )
@@ -16,7 +16,7 @@
 PARTS = [("system", 512), ("session", 8600)]
 
 
-def hear(kept: KeptParts, now: float, epoch: int, *parts: tuple[str, int]) -> None:
+def hear(kept: PartStoreIndex, now: float, epoch: int, *parts: tuple[str, int]) -> None:
     """Let every store answer, and say that these parts lie whole in it."""
     changes = tuple(PartChange(SCOPE, name, tokens) for name, tokens in parts)
     for store in kept.stores:
@@ -25,7 +25,7 @@
 
 class KeptPartTests(unittest.TestCase):
     def setUp(self) -> None:
-        self.kept = KeptParts()
+        self.kept = PartStoreIndex()
         self.kept.set_stores({"10.0.0.1:1": 200_000, "10.0.0.2:1": 2_000_000})
 
     def test_what_lies_whole_is_fetched_and_the_rest_saved(self) -> None:
@@ -75,7 +75,7 @@
         plan = self.kept.plan(10.0, SCOPE, PARTS, 1)
         assert plan is not None
         fetch_end = (plan.until_ms - 500_000) / 1000
-        other = KeptParts()
+        other = PartStoreIndex()
         other.set_stores({"10.0.0.1:1": 200_000, "10.0.0.2:1": 2_000_000})
         now = 10.0
         while now < fetch_end:
@@ -131,7 +131,7 @@
         self.assertIsNone(self.kept.plan(10.1, SCOPE, PARTS, 1))
 
     def test_a_full_store_gets_nothing_more(self) -> None:
-        kept = KeptParts()
+        kept = PartStoreIndex()
         kept.set_stores({"10.0.0.1:1": 10_000})
         hear(kept, 0.0, 7)
         hear(kept, 10.0, 7, ("other", 5000))
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -7,7 +7,7 @@
 import structlog
 
 from bamboopier_decisions.forwarding.fleet import Fleet
-from bamboopier_decisions.forwarding.part_store_index import KeptParts
+from bamboopier_decisions.forwarding.part_store_index import PartStoreIndex
 from bamboopier_decisions.forwarding.specs import CallerLimits
 from bamboopier_decisions.forwarding.shared_retry_budget import RetryShares
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
@@ -41,7 +41,7 @@
         self.pauses = pauses
         self.fleet = Fleet()
         self.fleet.gateways, self.fleet.place = UNCOUNTED_GATEWAYS, None
-        self.kept = KeptParts()
+        self.kept = PartStoreIndex()
         self.weights = WeightVersions(settings.version_seconds)
         self.shares = RetryShares(settings.retries)
         self.health = StoreHealth()
--- a/libraries/proxy/src/bamboopier_proxy/part_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_follower.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     import random
 
-    from bamboopier_decisions.forwarding.part_store_index import KeptParts, PartUpdate
+    from bamboopier_decisions.forwarding.part_store_index import PartStoreIndex, PartUpdate
 
     from .part_relay import PartRelay
     from .roster import Roster
@@ -67,7 +67,7 @@
     def __init__(
         self,
         stores: PartStores,
-        kept: KeptParts,
+        kept: PartStoreIndex,
         relay: PartRelay,
         roster: Roster,
         random: random.Random,
--- a/libraries/proxy/src/bamboopier_proxy/part_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_relay.py
@@ -20,7 +20,7 @@
 from bamboopier_decisions.forwarding.part_store_index import PartChange, PartUpdate
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.part_store_index import KeptParts, PartStore
+    from bamboopier_decisions.forwarding.part_store_index import PartStoreIndex, PartStore
     from bamboopier_objects.http_caller import HttpCaller
 
     from .settings import Endpoint
@@ -62,7 +62,7 @@
 class PartRelay:
     """Both sides of a call for news."""
 
-    def __init__(self, kept: KeptParts, caller: HttpCaller) -> None:
+    def __init__(self, kept: PartStoreIndex, caller: HttpCaller) -> None:
         self._kept = kept
         self._caller = caller
         # The other side's position for each store, by its address.
--- a/libraries/proxy/src/bamboopier_proxy/send_planner.py
+++ b/libraries/proxy/src/bamboopier_proxy/send_planner.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.fleet import InFlightRequest
-    from bamboopier_decisions.forwarding.part_store_index import KeptParts, PartPlan
+    from bamboopier_decisions.forwarding.part_store_index import PartStoreIndex, PartPlan
     from bamboopier_decisions.forwarding.prompt import Prompt
     from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 
@@ -23,7 +23,7 @@
 class SendPlanner:
     """Knows which weights are wanted and where parts of prompts are kept."""
 
-    def __init__(self, weights: WeightVersions, kept: KeptParts) -> None:
+    def __init__(self, weights: WeightVersions, kept: PartStoreIndex) -> None:
         self._weights = weights
         self._kept = kept
 
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from bamboopier_decisions.forwarding.fleet import Fleet
-from bamboopier_decisions.forwarding.part_store_index import KeptParts
+from bamboopier_decisions.forwarding.part_store_index import PartStoreIndex
 from bamboopier_decisions.forwarding.specs import (
     CallerLimits,
     Declared,
@@ -110,7 +110,7 @@
         self.forwarder = Forwarder(
             self.fleet,
             self.knowledge,
-            SendPlanner(self.weights, KeptParts()),
+            SendPlanner(self.weights, PartStoreIndex()),
             Exchange(
                 cast("Any", self.pool), self.fleet, dialect, BeginWatch(self.weights)
             ),
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -13,7 +13,7 @@
 from bamboopier_daemon.clock import read_clock
 from bamboopier_decisions.forwarding.part_store_index import (
     SETTLE_SECONDS,
-    KeptParts,
+    PartStoreIndex,
     PartUpdate,
 )
 from bamboopier_decisions.forwarding.pause_tracker import Pauses
@@ -55,7 +55,7 @@
 class CountedRelay(PartRelay):
     """Counts questions to other gateways."""
 
-    def __init__(self, kept: KeptParts) -> None:
+    def __init__(self, kept: PartStoreIndex) -> None:
         super().__init__(kept, HttpCaller(""))
         self.asked: set[str] = set()
 
@@ -90,7 +90,7 @@
         # while others may still fetch what lay there before: a caller's answer could
         # be made from half a part.
         clock = [100.0]
-        kept = KeptParts()
+        kept = PartStoreIndex()
         kept.set_stores({ADDRESS: 100_000})
         generator = random.Random(1)
         roster = make_roster(generator)
@@ -118,7 +118,7 @@
 class FollowerTests(unittest.IsolatedAsyncioTestCase):
     async def follow(self, gateways: int, own: str) -> tuple[int, int]:
         """Return the questions to stores and the gateways asked in a moment."""
-        kept = KeptParts()
+        kept = PartStoreIndex()
         kept.set_stores({ADDRESS: 1000})
         generator = random.Random(1)
         roster = make_roster(generator)
--- a/libraries/proxy/tests/test_part_relay.py
+++ b/libraries/proxy/tests/test_part_relay.py
@@ -13,7 +13,7 @@
 from bamboopier_decisions.forwarding.part_store_index import (
     SETTLE_SECONDS,
     TRUST_SECONDS,
-    KeptParts,
+    PartStoreIndex,
     PartChange,
     PartUpdate,
 )
@@ -69,7 +69,7 @@
         patch.start()
         self.addCleanup(patch.stop)
         self.caller = DirectCaller()
-        self.direct, self.other = KeptParts(), KeptParts()
+        self.direct, self.other = PartStoreIndex(), PartStoreIndex()
         for kept in (self.direct, self.other):
             kept.set_stores({ADDRESS: 1_000_000})
         self.caller.other = PartRelay(self.direct, self.caller)
@@ -208,7 +208,7 @@
         patch.start()
         self.addCleanup(patch.stop)
         self.caller = DirectCaller()
-        self.quick, self.slow, self.third = KeptParts(), KeptParts(), KeptParts()
+        self.quick, self.slow, self.third = PartStoreIndex(), PartStoreIndex(), PartStoreIndex()
         for kept in (self.quick, self.slow, self.third):
             kept.set_stores({ADDRESS: 1_000_000})
         self.relay = PartRelay(self.third, self.caller)
@@ -227,14 +227,14 @@
         await self.ask(self.quick, FIRST)
         self.assertFalse(self.fetches("lost"))
 
-    def hear(self, kept: KeptParts, epoch: int, *changes: PartChange) -> None:
+    def hear(self, kept: PartStoreIndex, epoch: int, *changes: PartChange) -> None:
         """Let the store answer one that asks it."""
         store = kept.find(ADDRESS)
         assert store is not None
         clock_ms = int(self.now * 1000)
         store.take(self.now, self.now, PartUpdate(epoch, clock_ms, changes))
 
-    async def ask(self, kept: KeptParts, gateway: Endpoint) -> None:
+    async def ask(self, kept: PartStoreIndex, gateway: Endpoint) -> None:
         """Let the third gateway ask one of the two."""
         self.now += 0.2
         self.caller.other = PartRelay(kept, self.caller)
