--- a/libraries/decisions/tests/forwarding/test_part_store_index.py
+++ b/libraries/decisions/tests/forwarding/test_part_store_index.py
@@ -23,7 +23,7 @@
         store.take(now, now, PartUpdate(epoch, int(now * 1000) + 500_000, changes))
 
 
-class KeptPartTests(unittest.TestCase):
+class PartStoreIndexTests(unittest.TestCase):
     def setUp(self) -> None:
         self.kept = PartStoreIndex()
         self.kept.set_stores({"10.0.0.1:1": 200_000, "10.0.0.2:1": 2_000_000})
