--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
@@ -169,7 +169,7 @@
         """Say whether beliefs still hold."""
         return now - self._heard < TRUST_SECONDS
 
-    def may_save(self, now: float, tokens: int) -> bool:
+    def can_save(self, now: float, tokens: int) -> bool:
         """Say whether a part of so many tokens may be written."""
         settled = now - self._since >= SETTLE_SECONDS
         room = self._held + tokens <= self.capacity * FULL_SHARE
@@ -311,7 +311,7 @@
                 if store.has(scope, name, tokens) and limit:
                     fetched = store.address
                     limits.append(limit)
-                elif store.may_save(now, tokens) and not store.is_saving(
+                elif store.can_save(now, tokens) and not store.is_saving(
                     now, scope, name
                 ):
                     saved = store.address
--- a/libraries/decisions/tests/forwarding/test_part_store_index.py
+++ b/libraries/decisions/tests/forwarding/test_part_store_index.py
@@ -94,8 +94,8 @@
         self.assertTrue(store.trusts(9.99 + TRUST_SECONDS))
         self.assertFalse(store.trusts(10.01 + TRUST_SECONDS))
         store.take(13.0, 14.0, PartUpdate(7, 503_000, ()))
-        self.assertFalse(store.may_save(10.99 + SETTLE_SECONDS, 500))
-        self.assertTrue(store.may_save(11.01 + SETTLE_SECONDS, 500))
+        self.assertFalse(store.can_save(10.99 + SETTLE_SECONDS, 500))
+        self.assertTrue(store.can_save(11.01 + SETTLE_SECONDS, 500))
 
     def test_a_new_start_holds_nothing(self) -> None:
         hear(self.kept, 0.0, 7)
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -112,7 +112,7 @@
         assert store is not None
         self.assertEqual(store.epoch, 2)
         # The start was seen at 104.0 for the first time.
-        self.assertFalse(store.may_save(104.0 + SETTLE_SECONDS / 2, 1000))
+        self.assertFalse(store.can_save(104.0 + SETTLE_SECONDS / 2, 1000))
 
 
 class FollowerTests(unittest.IsolatedAsyncioTestCase):
--- a/libraries/proxy/tests/test_part_relay.py
+++ b/libraries/proxy/tests/test_part_relay.py
@@ -128,7 +128,7 @@
         await self.ask()
         store = self.other.find(ADDRESS)
         assert store is not None
-        self.assertFalse(store.may_save(self.now, 500))
+        self.assertFalse(store.can_save(self.now, 500))
         self.now += SETTLE_SECONDS
         self.hear(7)
         self.other.set_stores({})
@@ -136,7 +136,7 @@
         await self.ask()
         store = self.other.find(ADDRESS)
         assert store is not None
-        self.assertTrue(store.may_save(self.now, 500))
+        self.assertTrue(store.can_save(self.now, 500))
 
     async def test_a_start_looks_no_older_than_the_first_gateway_saw_it(self) -> None:
         # Answers come late, at the gateway that asks the store as well as at the one
@@ -161,7 +161,7 @@
                 for now in (seen + SETTLE_SECONDS - 1e-6, seen + SETTLE_SECONDS + 1):
                     # It still answers, under the same start.
                     other.take(now, now, PartUpdate(epoch, 5000, ()))
-                    self.assertEqual(other.may_save(now, 500), now > seen + 3)
+                    self.assertEqual(other.can_save(now, 500), now > seen + 3)
 
     async def test_a_start_is_known_from_what_is_heard_of_it_later(self) -> None:
         # The first news told little of how long the start is known. Later ones that
@@ -177,8 +177,8 @@
             self.pass_time(0.1)
         store = self.other.find(ADDRESS)
         assert store is not None
-        self.assertFalse(store.may_save(seen + SETTLE_SECONDS - 1e-6, 500))
-        self.assertTrue(store.may_save(seen + SETTLE_SECONDS + 0.01, 500))
+        self.assertFalse(store.can_save(seen + SETTLE_SECONDS - 1e-6, 500))
+        self.assertTrue(store.can_save(seen + SETTLE_SECONDS + 0.01, 500))
 
     async def test_another_gateway_counts_in_its_own_way(self) -> None:
         # The gateway that was asked is gone; another one has seen the same changes in
