--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
@@ -144,7 +144,7 @@
             self._apply(change)
         return restarted
 
-    def is_former(self, news: PartUpdate) -> bool:
+    def is_outdated(self, news: PartUpdate) -> bool:
         """Say whether news that were handed on are of a start before the known one.
 
         Failure answered: a gateway heard of a store's new start, and then asks one that
--- a/libraries/decisions/tests/forwarding/test_part_store_index.py
+++ b/libraries/decisions/tests/forwarding/test_part_store_index.py
@@ -114,15 +114,15 @@
             with self.subTest(lost=lost):
                 if lost:
                     store.lose()
-                self.assertTrue(store.is_former(PartUpdate(7, 510_900, ())))
-                self.assertFalse(store.is_former(PartUpdate(5, 511_100, ())))
+                self.assertTrue(store.is_outdated(PartUpdate(7, 510_900, ())))
+                self.assertFalse(store.is_outdated(PartUpdate(5, 511_100, ())))
         hear(self.kept, 12.0, 3)
-        self.assertFalse(store.is_former(PartUpdate(3, 511_000, ())))
+        self.assertFalse(store.is_outdated(PartUpdate(3, 511_000, ())))
 
     def test_a_store_that_never_told_its_clock_has_no_order_of_starts(self) -> None:
         store = self.kept.stores[0]
         store.take(10.0, 10.0, PartUpdate(7, 0, ()))
-        self.assertFalse(store.is_former(PartUpdate(3, 0, ())))
+        self.assertFalse(store.is_outdated(PartUpdate(3, 0, ())))
 
     def test_a_store_without_a_clock_is_not_fetched_from(self) -> None:
         changes = tuple(PartChange(SCOPE, name, tokens) for name, tokens in PARTS)
--- a/libraries/proxy/src/bamboopier_proxy/part_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_relay.py
@@ -128,7 +128,7 @@
             found.whole,
             max(0.0, known),
         )
-        if store.is_former(news):
+        if store.is_outdated(news):
             return
         store.take(asked_at - found.heard_ms / 1000, read_at, news)
         self._positions[found.address] = found.position
