--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
@@ -56,7 +56,7 @@
     # ``changes`` are all parts there, not those since the last answer.
     whole: bool = False
     # Seconds for which this start was known to whoever handed the answer on.
-    known_seconds: float = 0.0
+    epoch_known_seconds: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,7 +137,7 @@
             self._since = read_at
         elif news.whole:
             self._forget()
-        self._since = min(self._since, read_at - news.known_seconds)
+        self._since = min(self._since, read_at - news.epoch_known_seconds)
         self._heard = max(self._heard, asked_at)
         self.clock_ms = news.clock_ms
         for change in news.changes:
@@ -193,7 +193,7 @@
         return now - self._heard
 
     @property
-    def known_seconds(self) -> float:
+    def epoch_known_seconds(self) -> float:
         """Return for how long this start had been known as the last answer was asked.
 
         It is below 0 as long as only the answer that told of the start is known.
--- a/libraries/proxy/src/bamboopier_proxy/part_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_relay.py
@@ -148,7 +148,7 @@
         int(store.find_age(now) * 1000) + 1,
         # Rounded down, and by what the age was rounded up: their sum must not make the
         # start look older than it is.
-        math.floor(store.known_seconds * 1000) - 1,
+        math.floor(store.epoch_known_seconds * 1000) - 1,
         store.clock_ms,
         whole,
         [(change.scope, change.part, change.tokens) for change in listed],
