--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
@@ -211,7 +211,7 @@
         """Return all parts believed to lie there."""
         return [PartChange(*key, tokens) for key, tokens in self._parts.items()]
 
-    def find_limit_ms(self, now: float) -> int:
+    def find_fetch_deadline_ms(self, now: float) -> int:
         """Return until when a fetch may go on, on the engines' clock."""
         left = self._heard + TRUST_SECONDS - now
         age = now - self._heard
@@ -307,7 +307,7 @@
             store = self.choose_store(name)
             fetched = saved = ""
             if store is not None and tokens >= LEAST_TOKENS and store.trusts(now):
-                limit = store.find_limit_ms(now)
+                limit = store.find_fetch_deadline_ms(now)
                 if store.has(scope, name, tokens) and limit:
                     fetched = store.address
                     limits.append(limit)
