--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
@@ -66,7 +66,7 @@
     fetch: tuple[str, ...]
     save: tuple[str, ...]
     # Milliseconds on the engines' clock; a later fetch is thrown away. 0 for no fetch.
-    until_ms: int
+    fetch_deadline_ms: int
 
     @property
     def fetched_parts(self) -> int:
--- a/libraries/decisions/tests/forwarding/test_part_store_index.py
+++ b/libraries/decisions/tests/forwarding/test_part_store_index.py
@@ -74,7 +74,7 @@
         hear(self.kept, 10.0, 7, *PARTS)
         plan = self.kept.plan(10.0, SCOPE, PARTS, 1)
         assert plan is not None
-        fetch_end = (plan.until_ms - 500_000) / 1000
+        fetch_end = (plan.fetch_deadline_ms - 500_000) / 1000
         other = PartStoreIndex()
         other.set_stores({"10.0.0.1:1": 200_000, "10.0.0.2:1": 2_000_000})
         now = 10.0
