--- a/libraries/decisions/src/bamboopier_decisions/forwarding/weight_load_drain.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/weight_load_drain.py
@@ -18,7 +18,7 @@
 LONGEST_SECONDS = 5.0
 
 
-class LoadDrain:
+class WeightLoadDrain:
     """One target on its way to an order."""
 
     __slots__ = ("_runs", "_since", "over")
--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -9,7 +9,7 @@
 from bamboopier_decisions.forwarding.weight_load_drain import (
     HEARD_SECONDS,
     LONGEST_SECONDS,
-    LoadDrain,
+    WeightLoadDrain,
 )
 from bamboopier_decisions.forwarding.placement import Demand, WantedWeights, place
 from bamboopier_decisions.forwarding.rollout_order import (
@@ -178,7 +178,7 @@
 
 class DrainTests(unittest.TestCase):
     def setUp(self) -> None:
-        self.drain = LoadDrain(10.0)
+        self.drain = WeightLoadDrain(10.0)
 
     def test_the_order_waits_until_the_long_streams_end(self) -> None:
         self.drain.take_runs(10.0 + HEARD_SECONDS, frozenset({"long", "short"}))
--- a/libraries/proxy/src/bamboopier_proxy/weight_roller.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_roller.py
@@ -17,7 +17,7 @@
 from result import Err, Ok
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.weight_load_drain import LoadDrain
+from bamboopier_decisions.forwarding.weight_load_drain import WeightLoadDrain
 from bamboopier_decisions.forwarding.rollout_order import count_loads, find_delay
 
 from .target_orders import OrderFault, WeightOrder
@@ -81,7 +81,7 @@
         # The version that the target has to load, and since when that is known here.
         self._wanted: tuple[str, int] | None = None
         self._wanted_since = 0.0
-        self._drain: LoadDrain | None = None
+        self._drain: WeightLoadDrain | None = None
         self._target = ""
         self._random = random
         self.changed = asyncio.Event()
@@ -155,7 +155,7 @@
                 return False
             await self._announcer.refresh()
             self._announcer.reset()
-            self._drain = LoadDrain(read_clock())
+            self._drain = WeightLoadDrain(read_clock())
             log.info(
                 "drain begun",
                 target=self._target,
