--- a/libraries/decisions/src/bamboopier_decisions/forwarding/weight_load_drain.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/weight_load_drain.py
@@ -34,7 +34,7 @@
         """Return the seconds since the drain began."""
         return now - self._since
 
-    def take_runs(self, now: float, runs: frozenset[str]) -> None:
+    def record_running(self, now: float, runs: frozenset[str]) -> None:
         """Take the ids of the requests that run at the target now.
 
         What began after the gateways were told is short, and not waited for.
--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -181,24 +181,24 @@
         self.drain = WeightLoadDrain(10.0)
 
     def test_the_order_waits_until_the_long_streams_end(self) -> None:
-        self.drain.take_runs(10.0 + HEARD_SECONDS, frozenset({"long", "short"}))
-        self.drain.take_runs(10.5, frozenset({"long", "new"}))
+        self.drain.record_running(10.0 + HEARD_SECONDS, frozenset({"long", "short"}))
+        self.drain.record_running(10.5, frozenset({"long", "new"}))
         self.assertFalse(self.drain.over)
-        self.drain.take_runs(11.0, frozenset({"new", "newer"}))
+        self.drain.record_running(11.0, frozenset({"new", "newer"}))
         self.assertTrue(self.drain.over)
 
     def test_what_gateways_sent_before_they_heard_is_waited_for(self) -> None:
         # The target looks idle when its drain begins, and a long request is on its way.
-        self.drain.take_runs(10.0, frozenset())
+        self.drain.record_running(10.0, frozenset())
         self.assertFalse(self.drain.over)
-        self.drain.take_runs(10.0 + HEARD_SECONDS, frozenset({"late"}))
+        self.drain.record_running(10.0 + HEARD_SECONDS, frozenset({"late"}))
         self.assertFalse(self.drain.over)
 
     def test_a_stream_that_does_not_end_holds_the_order_up_for_a_while_only(
         self,
     ) -> None:
-        self.drain.take_runs(11.0, frozenset({"long"}))
-        self.drain.take_runs(10.0 + LONGEST_SECONDS, frozenset({"long"}))
+        self.drain.record_running(11.0, frozenset({"long"}))
+        self.drain.record_running(10.0 + LONGEST_SECONDS, frozenset({"long"}))
         self.assertTrue(self.drain.over)
 
     def test_a_drained_target_gets_short_answers_only(self) -> None:
--- a/libraries/proxy/src/bamboopier_proxy/weight_roller.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_roller.py
@@ -166,7 +166,7 @@
         now = read_clock()
         if self._drain.find_age(now) < HOPE_SECONDS:
             self._announcer.announce_drain(self._target, wanted[0])
-        self._drain.take_runs(now, report.runs)
+        self._drain.record_running(now, report.runs)
         return self._drain.over
 
     async def _refresh_directory(self) -> bool:
