--- a/libraries/decisions/src/bamboopier_decisions/forwarding/specs.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/specs.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 
 
-class Repeat(StrEnum):
+class RetrySafety(StrEnum):
     """How often one request may run."""
 
     # Idempotent: running it again changes nothing.
@@ -22,7 +22,7 @@
     @property
     def may_run_again(self) -> bool:
         """Say whether a second run from the beginning does no harm."""
-        return self is not Repeat.ONCE
+        return self is not RetrySafety.ONCE
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
     host: str
     # Begins and ends with a slash.
     prefix: str
-    repeat: Repeat
+    repeat: RetrySafety
     # The answer is a stream of events.
     streams: bool
     # The longest time a caller is kept waiting for its final answer.
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -8,7 +8,7 @@
 from result import Err, Ok
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.specs import Repeat
+from bamboopier_decisions.forwarding.specs import RetrySafety
 from bamboopier_decisions.forwarding.placement import place
 from bamboopier_decisions.forwarding.wait_queue import draw_return, limit_wait
 
@@ -292,11 +292,11 @@
         if runs >= call.route.max_targets:
             return False
         match call.route.repeat:
-            case Repeat.SAFE:
+            case RetrySafety.SAFE:
                 return not delivery.begun
-            case Repeat.RESUMABLE:
+            case RetrySafety.RESUMABLE:
                 return not delivery.begun or call.last_event is not None
-            case Repeat.ONCE:
+            case RetrySafety.ONCE:
                 return False
 
 
