--- a/libraries/decisions/src/bamboopier_decisions/forwarding/specs.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/specs.py
@@ -20,7 +20,7 @@
     RESUMABLE = "resumable"
 
     @property
-    def may_run_again(self) -> bool:
+    def allows_rerun(self) -> bool:
         """Say whether a second run from the beginning does no harm."""
         return self is not RetrySafety.ONCE
 
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -109,7 +109,7 @@
         for the answer.
         """
         entry = sent.state.entry
-        fresh = not call.route.repeat.may_run_again
+        fresh = not call.route.repeat.allows_rerun
         try:
             connection = await self._pool.take(entry, fresh=fresh)
         except ConnectError as error:
