--- a/libraries/decisions/src/bamboopier_decisions/forwarding/route_table.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/route_table.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     import random
 
-    from .specs import Declared, Route, Workspace
+    from .specs import DeclaredConfiguration, Route, Workspace
 
 
 class RouteTable:
@@ -19,7 +19,7 @@
 
     __slots__ = ("_by_host", "_by_key", "declared")
 
-    def __init__(self, declared: Declared) -> None:
+    def __init__(self, declared: DeclaredConfiguration) -> None:
         self.declared = declared
         self._by_host: dict[str, dict[str, Route]] = {}
         for route in declared.routes:
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/specs.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/specs.py
@@ -120,7 +120,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Declared:
+class DeclaredConfiguration:
     """One version of the operator's configuration."""
 
     version: int
--- a/libraries/decisions/tests/forwarding/builders.py
+++ b/libraries/decisions/tests/forwarding/builders.py
@@ -7,7 +7,7 @@
 from bamboopier_decisions.forwarding.fleet import Fleet
 from bamboopier_decisions.forwarding.specs import (
     CallerLimits,
-    Declared,
+    DeclaredConfiguration,
     EngineSpec,
     RetrySafety,
     Route,
@@ -90,7 +90,7 @@
     return Route(**{**fields, **changes})
 
 
-def make_declared(routes: Iterable[Route], **changes: Any) -> Declared:
+def make_declared(routes: Iterable[Route], **changes: Any) -> DeclaredConfiguration:
     """Return a configuration with one workspace."""
     workspace = Workspace("midlands", ("k1", "k2"), None, isolated=False)
     fields: dict[str, Any] = {
@@ -100,4 +100,4 @@
         "limits": CallerLimits(),
         "workspaces": (workspace,),
     }
-    return Declared(**{**fields, **changes})
+    return DeclaredConfiguration(**{**fields, **changes})
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -18,7 +18,7 @@
 from .waiting_room import WaitingRoom
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.specs import Declared
+    from bamboopier_decisions.forwarding.specs import DeclaredConfiguration
     from bamboopier_decisions.forwarding.pause_tracker import Pauses
 
     from .settings import ProxySettings
@@ -71,7 +71,7 @@
         table = self.knowledge.table
         return table.declared.limits if table is not None else CallerLimits()
 
-    def _apply(self, declared: Declared) -> None:
+    def _apply(self, declared: DeclaredConfiguration) -> None:
         self._services = tuple(declared.services)
         self.fleet.set_services(declared.services)
         managed = [s for s in declared.part_stores if s.managed]
--- a/libraries/proxy/src/bamboopier_proxy/knowledge.py
+++ b/libraries/proxy/src/bamboopier_proxy/knowledge.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from bamboopier_decisions.forwarding.specs import Declared
+    from bamboopier_decisions.forwarding.specs import DeclaredConfiguration
 
 log = structlog.get_logger()
 
@@ -21,7 +21,7 @@
     """The configuration in force with its proof of currency."""
 
     def __init__(
-        self, key_seconds: float | None, apply: Callable[[Declared], None]
+        self, key_seconds: float | None, apply: Callable[[DeclaredConfiguration], None]
     ) -> None:
         self.table: RouteTable | None = None
         self.currency = ConfigurationFreshness(key_seconds)
@@ -33,7 +33,7 @@
         return self.table.declared.version if self.table is not None else 0
 
     def take(
-        self, declared: Declared, asked_at: float, now: float, size: int = 0
+        self, declared: DeclaredConfiguration, asked_at: float, now: float, size: int = 0
     ) -> None:
         """Take a configuration of ``size`` bytes that was current at ``asked_at``.
 
--- a/libraries/proxy/src/bamboopier_proxy/vocabulary.py
+++ b/libraries/proxy/src/bamboopier_proxy/vocabulary.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from result import Result
 
-    from bamboopier_decisions.forwarding.specs import Declared, TargetEntry
+    from bamboopier_decisions.forwarding.specs import DeclaredConfiguration, TargetEntry
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
     # Where it is written what targets in need take.
     limits_prefix: str
 
-    def decode_configuration(self, value: bytes) -> Result[Declared, str]:
+    def decode_configuration(self, value: bytes) -> Result[DeclaredConfiguration, str]:
         """Return a configuration, or what is wrong with it."""
         ...
 
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -10,7 +10,7 @@
 from bamboopier_decisions.forwarding.part_store_index import PartStoreIndex
 from bamboopier_decisions.forwarding.specs import (
     CallerLimits,
-    Declared,
+    DeclaredConfiguration,
     EngineSpec,
     RetrySafety,
     Route,
@@ -153,11 +153,11 @@
     )
 
 
-def make_declared() -> Declared:
+def make_declared() -> DeclaredConfiguration:
     """Return a configuration with one route, service and workspace."""
     engine = EngineSpec(slots=8, memory_tokens=10_000, models=(MODEL,))
     service = ServiceSpec(SERVICE, "/healthz", 100, 0.0, 0.0, engine)
-    return Declared(
+    return DeclaredConfiguration(
         1, (make_route(),), {SERVICE: service}, CallerLimits(), (WORKSPACE,)
     )
 
--- a/libraries/proxy/tests/test_configuration_intake.py
+++ b/libraries/proxy/tests/test_configuration_intake.py
@@ -8,7 +8,7 @@
 
 from result import Err, Ok, Result
 
-from bamboopier_decisions.forwarding.specs import CallerLimits, Declared
+from bamboopier_decisions.forwarding.specs import CallerLimits, DeclaredConfiguration
 from bamboopier_objects.objects import StoredObject
 from bamboopier_proxy.configuration_intake import ConfigurationIntake
 from bamboopier_proxy.knowledge import Knowledge
@@ -17,11 +17,11 @@
     from bamboopier_proxy.vocabulary import Vocabulary
 
 
-def decode(value: bytes) -> Result[Declared, str]:
+def decode(value: bytes) -> Result[DeclaredConfiguration, str]:
     """Take the value for the version's number."""
     if not value.isdigit():
         return Err("no number")
-    return Ok(Declared(int(value), (), {}, CallerLimits(), None))
+    return Ok(DeclaredConfiguration(int(value), (), {}, CallerLimits(), None))
 
 
 class IntakeTests(unittest.TestCase):
--- a/libraries/proxy/tests/test_knowledge.py
+++ b/libraries/proxy/tests/test_knowledge.py
@@ -5,12 +5,12 @@
 import unittest
 from unittest import mock
 
-from bamboopier_decisions.forwarding.specs import CallerLimits, Declared
+from bamboopier_decisions.forwarding.specs import CallerLimits, DeclaredConfiguration
 from bamboopier_proxy.knowledge import Knowledge
 
 
-def declare(version: int) -> Declared:
-    return Declared(version, (), {}, CallerLimits(), None)
+def declare(version: int) -> DeclaredConfiguration:
+    return DeclaredConfiguration(version, (), {}, CallerLimits(), None)
 
 
 class KnowledgeTests(unittest.TestCase):
