--- a/libraries/decisions/src/bamboopier_decisions/forwarding/specs.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/specs.py
@@ -56,7 +56,7 @@
     # No API key is asked for.
     public: bool
     # Requests carry prompts whose parts targets may have cached.
-    carries_prompt: bool
+    has_prompt: bool
 
 
 @dataclass(frozen=True, slots=True)
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -195,7 +195,7 @@
             route=route,
             service=draw_service(route, self._random),
             workspace=workspace,
-            prompt=marks.prompt if route.carries_prompt else None,
+            prompt=marks.prompt if route.has_prompt else None,
             priority=priority,
             arrived=arrived,
             deadline=deadline,
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -149,7 +149,7 @@
         services=(WeightedService(SERVICE),),
         max_targets=2,
         public=False,
-        carries_prompt=True,
+        has_prompt=True,
     )
 
 
