--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_cache_estimate.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_cache_estimate.py
@@ -13,7 +13,7 @@
     from .prompt import Prompt
 
 
-class PartMemory:
+class PartCacheEstimate:
     """The parts sent to one target last, up to what its memory can hold."""
 
     __slots__ = ("_capacity", "_held", "_parts")
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -7,7 +7,7 @@
 
 from .gateway_headroom import GatewayHeadroom
 from .cold_start_limit import ColdStartLimit, hash_phase
-from .part_cache_estimate import PartMemory
+from .part_cache_estimate import PartCacheEstimate
 from .rate_limit import RateLimit
 from .circuit_breaker import Standing
 
@@ -71,7 +71,7 @@
         self.short_until = float("-inf")
         self.versions = dict(entry.versions)
         memory = service.engine.memory_tokens if service.engine else 0
-        self.parts = PartMemory(int(memory * CACHE_SHARE))
+        self.parts = PartCacheEstimate(int(memory * CACHE_SHARE))
         # Requests of this gateway under way that need each shared part: while there
         # is one, the engine cannot evict it.
         self.pinned: Counter[str] = Counter()
