--- a/libraries/decisions/src/bamboopier_decisions/forwarding/pause_tracker.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/pause_tracker.py
@@ -38,7 +38,7 @@
         return self.ended + (self.ended - self.began) + CATCH_UP_SECONDS
 
 
-class Pauses:
+class PauseTracker:
     """The last two times at which one process paused, and how long it ran."""
 
     __slots__ = ("_before", "_last", "_paused", "_ticked")
--- a/libraries/decisions/tests/forwarding/test_pause_tracker.py
+++ b/libraries/decisions/tests/forwarding/test_pause_tracker.py
@@ -8,7 +8,7 @@
     CATCH_UP_SECONDS,
     PAUSE_SECONDS,
     TICK_SECONDS,
-    Pauses,
+    PauseTracker,
 )
 
 # Seconds that news may look too old by: a few of the pauses after which it is read.
@@ -17,7 +17,7 @@
 
 class PauseTests(unittest.TestCase):
     def setUp(self) -> None:
-        self.pauses = Pauses(100.0)
+        self.pauses = PauseTracker(100.0)
 
     def run_until(self, start: float, end: float) -> None:
         """Let the process tick from ``start`` to ``end``."""
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -19,7 +19,7 @@
 
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.specs import DeclaredConfiguration
-    from bamboopier_decisions.forwarding.pause_tracker import Pauses
+    from bamboopier_decisions.forwarding.pause_tracker import PauseTracker
 
     from .settings import ProxySettings
     from .vocabulary import Vocabulary
@@ -36,7 +36,7 @@
     """The beliefs of one gateway, and the requests that wait on them."""
 
     def __init__(
-        self, settings: ProxySettings, vocabulary: Vocabulary, pauses: Pauses
+        self, settings: ProxySettings, vocabulary: Vocabulary, pauses: PauseTracker
     ) -> None:
         self.pauses = pauses
         self.fleet = Fleet()
--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -15,7 +15,7 @@
 
     from bamboopier_decisions.forwarding.fleet import Fleet
     from bamboopier_decisions.forwarding.specs import TargetEntry
-    from bamboopier_decisions.forwarding.pause_tracker import Pauses
+    from bamboopier_decisions.forwarding.pause_tracker import PauseTracker
     from bamboopier_decisions.forwarding.weight_versions import WeightVersions
     from bamboopier_objects.objects import ChangedObject, Listing
 
@@ -116,7 +116,7 @@
         self,
         vocabulary: Vocabulary,
         weights: WeightVersions,
-        pauses: Pauses,
+        pauses: PauseTracker,
         changed: Callable[[NamedWeights, float], None],
     ) -> None:
         self._vocabulary = vocabulary
--- a/libraries/proxy/src/bamboopier_proxy/pause_watch.py
+++ b/libraries/proxy/src/bamboopier_proxy/pause_watch.py
@@ -9,7 +9,7 @@
 from prometheus_client import CollectorRegistry, Counter
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.pause_tracker import TICK_SECONDS, Pauses
+from bamboopier_decisions.forwarding.pause_tracker import TICK_SECONDS, PauseTracker
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -21,7 +21,7 @@
     """Ticks as long as it runs; a pause is logged when it is over."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
-        self.pauses = Pauses(read_clock())
+        self.pauses = PauseTracker(read_clock())
         self._paused = Counter(
             "bamboopier_paused_seconds",
             "Seconds for which this process or its machine stood still",
--- a/libraries/proxy/src/bamboopier_proxy/roster.py
+++ b/libraries/proxy/src/bamboopier_proxy/roster.py
@@ -35,7 +35,7 @@
     import random
     from collections.abc import Callable
 
-    from bamboopier_decisions.forwarding.pause_tracker import Pauses
+    from bamboopier_decisions.forwarding.pause_tracker import PauseTracker
 
     from .vocabulary import Store
 
@@ -91,7 +91,7 @@
         prefix: str,
         random: random.Random,
         count_changed: Callable[[int, int], None],
-        pauses: Pauses,
+        pauses: PauseTracker,
     ) -> None:
         self._store = store
         self._prefix = prefix
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -11,7 +11,7 @@
 from result import Ok
 
 from bamboopier_decisions.forwarding.cold_start_limit import ColdStartLimit
-from bamboopier_decisions.forwarding.pause_tracker import TICK_SECONDS, Pauses
+from bamboopier_decisions.forwarding.pause_tracker import TICK_SECONDS, PauseTracker
 from bamboopier_decisions.forwarding.shared_retry_budget import RetryBounds
 from bamboopier_objects.objects import Listing, StoredObject
 from bamboopier_proxy.gateway_peers import GatewayPeers
@@ -36,7 +36,7 @@
     def __init__(self, number: int, now: float, store: mock.AsyncMock) -> None:
         self.name = f"g-{number}"
         self.host = f"10.0.0.{number}"
-        self.pauses = Pauses(now)
+        self.pauses = PauseTracker(now)
         self.ramp = ColdStartLimit()
         settings = mock.Mock(
             vm=self.name,
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -16,7 +16,7 @@
     PartStoreIndex,
     PartUpdate,
 )
-from bamboopier_decisions.forwarding.pause_tracker import Pauses
+from bamboopier_decisions.forwarding.pause_tracker import PauseTracker
 from bamboopier_objects.http_caller import HttpCaller
 from bamboopier_proxy.part_follower import (
     DIRECT_GATEWAYS,
@@ -35,7 +35,7 @@
 def make_roster(generator: random.Random) -> Roster:
     """Return a list of gateways that reads no store."""
     store = mock.AsyncMock()
-    return Roster(store, "", generator, lambda *_: None, Pauses(read_clock()))
+    return Roster(store, "", generator, lambda *_: None, PauseTracker(read_clock()))
 
 
 class CountedStores:
--- a/libraries/proxy/tests/test_roster.py
+++ b/libraries/proxy/tests/test_roster.py
@@ -10,7 +10,7 @@
 import msgspec
 from result import Ok
 
-from bamboopier_decisions.forwarding.pause_tracker import Pauses
+from bamboopier_decisions.forwarding.pause_tracker import PauseTracker
 from bamboopier_objects.objects import Listing, StoredObject
 from bamboopier_proxy.roster import GatewayEntry, Roster
 
@@ -35,7 +35,7 @@
             if len(pauses) > 3:
                 raise asyncio.CancelledError
 
-        roster = Roster(store, "g/", random.Random(1), mock.Mock(), Pauses(0.0))
+        roster = Roster(store, "g/", random.Random(1), mock.Mock(), PauseTracker(0.0))
         with (
             mock.patch("bamboopier_proxy.roster.asyncio.sleep", sleep),
             self.assertRaises(asyncio.CancelledError),
--- a/libraries/proxy/tests/test_store_followers.py
+++ b/libraries/proxy/tests/test_store_followers.py
@@ -12,7 +12,7 @@
 from result import Ok
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.pause_tracker import Pauses
+from bamboopier_decisions.forwarding.pause_tracker import PauseTracker
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 from bamboopier_objects.objects import Listing, StoredObject
 from bamboopier_proxy.store_followers import StoreFollowers
@@ -31,7 +31,7 @@
         # age, takes it for as old as can be and never asks again: callers there get 503
         # until engines have loaded, though the entry stands a moment later.
         state = mock.Mock()
-        state.pauses = Pauses(read_clock())
+        state.pauses = PauseTracker(read_clock())
         state.weights = WeightVersions(12.0)
         vocabulary = mock.Mock(ages_prefix="a/", weights_prefix="v/")
         vocabulary.decode_weights.return_value = Ok(NamedWeights("m", 2))
--- a/libraries/proxy/tests/test_weight_ages.py
+++ b/libraries/proxy/tests/test_weight_ages.py
@@ -11,7 +11,7 @@
 import msgspec
 from result import Err, Ok
 
-from bamboopier_decisions.forwarding.pause_tracker import Pauses
+from bamboopier_decisions.forwarding.pause_tracker import PauseTracker
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 from bamboopier_objects.errors import (
     PlatformUnavailableError,
@@ -147,7 +147,7 @@
         observer = WeightsObserver(
             vocabulary,
             self.weights,
-            Pauses(NOW),
+            PauseTracker(NOW),
             lambda named, since: self.ages.note_named(
                 named.model, named.version, since
             ),
@@ -240,7 +240,7 @@
         return Ok(Listing(5, tuple(found)))
 
     async def hear_after_an_outage(
-        self, seconds: float, *gateways: Pauses
+        self, seconds: float, *gateways: PauseTracker
     ) -> list[WeightVersions]:
         """Let gateways hear by a list, after an outage for all, of version 2."""
         heard, written = [], []
@@ -273,9 +273,9 @@
         # 0.7 s takes them for five seconds old, and as that is little it writes first;
         # the others read it, add six seconds for clocks, and refuse older weights at
         # once: callers get 503 there until the first engines have loaded.
-        paused = Pauses(NOW - 0.8)
+        paused = PauseTracker(NOW - 0.8)
         paused.note_tick(NOW - 0.1)
-        ran = Pauses(NOW), Pauses(NOW)
+        ran = PauseTracker(NOW), PauseTracker(NOW)
         heard = await self.hear_after_an_outage(5.0, *ran, paused)
         allowed = [w.find_oldest_allowed(NOW + 1.0, "m") for w in heard]
         self.assertEqual(allowed, [1, 1, 1])
--- a/libraries/proxy/tests/test_weights_observer.py
+++ b/libraries/proxy/tests/test_weights_observer.py
@@ -10,7 +10,7 @@
 
 from result import Err, Ok
 
-from bamboopier_decisions.forwarding.pause_tracker import TICK_SECONDS, Pauses
+from bamboopier_decisions.forwarding.pause_tracker import TICK_SECONDS, PauseTracker
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 from bamboopier_objects.errors import PlatformUnavailableError
 from bamboopier_objects.object_follower import ObjectFollower
@@ -47,7 +47,7 @@
         vocabulary.decode_weights.side_effect = lambda value: Ok(
             NamedWeights("m", int(value))
         )
-        self.pauses = Pauses(self.now)
+        self.pauses = PauseTracker(self.now)
         self.weights = WeightVersions(12.0)
         self.changed = mock.Mock()
         self.observer = WeightsObserver(
@@ -110,7 +110,7 @@
         vocabulary.decode_weights.side_effect = lambda value: Ok(
             NamedWeights("m", int(value))
         )
-        self.pauses = Pauses(self.now)
+        self.pauses = PauseTracker(self.now)
         self.weights = WeightVersions(12.0)
         self.observer = WeightsObserver(
             vocabulary, self.weights, self.pauses, mock.Mock()
