--- a/libraries/decisions/tests/forwarding/test_pause_tracker.py
+++ b/libraries/decisions/tests/forwarding/test_pause_tracker.py
@@ -15,7 +15,7 @@
 LONGEST_SECONDS = 4.0
 
 
-class PauseTests(unittest.TestCase):
+class PauseTrackerTests(unittest.TestCase):
     def setUp(self) -> None:
         self.pauses = PauseTracker(100.0)
 
