--- a/libraries/decisions/src/bamboopier_decisions/forwarding/pause_tracker.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/pause_tracker.py
@@ -60,7 +60,7 @@
         self._paused += gap
         return gap
 
-    def read_run(self, now: float) -> float:
+    def read_running_clock(self, now: float) -> float:
         """Return seconds on a clock that stands still while the process does.
 
         What is measured by it is never longer than the time that passed, pauses left
--- a/libraries/decisions/tests/forwarding/test_pause_tracker.py
+++ b/libraries/decisions/tests/forwarding/test_pause_tracker.py
@@ -80,20 +80,20 @@
     def test_time_in_which_the_process_paused_is_no_time_it_ran(self) -> None:
         # A process stands still for three seconds in twenty. What it measures by the
         # time it ran is seventeen seconds long, before its tick as well as after it.
-        before = self.pauses.read_run(100.0)
+        before = self.pauses.read_running_clock(100.0)
         self.run_until(100.0, 110.0)
-        self.assertAlmostEqual(self.pauses.read_run(113.0) - before, 10.0)
+        self.assertAlmostEqual(self.pauses.read_running_clock(113.0) - before, 10.0)
         self.pauses.note_tick(113.0)
-        self.assertAlmostEqual(self.pauses.read_run(113.0) - before, 10.0)
+        self.assertAlmostEqual(self.pauses.read_running_clock(113.0) - before, 10.0)
         self.run_until(113.0, 120.0)
-        self.assertAlmostEqual(self.pauses.read_run(120.1) - before, 17.1)
+        self.assertAlmostEqual(self.pauses.read_running_clock(120.1) - before, 17.1)
 
     def test_what_ends_before_a_pause_shows_looks_shorter_not_longer(self) -> None:
         # Something begins half a second into a pause, which nobody can know yet.
         self.run_until(100.0, 110.0)
-        began = self.pauses.read_run(110.5)
+        began = self.pauses.read_running_clock(110.5)
         self.pauses.note_tick(111.0)
-        self.assertLessEqual(self.pauses.read_run(112.0) - began, 1.5)
+        self.assertLessEqual(self.pauses.read_running_clock(112.0) - began, 1.5)
 
 
 if __name__ == "__main__":
--- a/libraries/proxy/src/bamboopier_proxy/roster.py
+++ b/libraries/proxy/src/bamboopier_proxy/roster.py
@@ -201,7 +201,7 @@
             self._tell_count()
 
     def _read_run(self) -> float:
-        return self._pauses.read_run(read_clock())
+        return self._pauses.read_running_clock(read_clock())
 
     def _tell_count(self) -> None:
         own = self._own or ""
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -75,7 +75,7 @@
     Mutation(
         "a gateway's own pause is no silence of the others",
         f"{PROXY}/roster.py",
-        "        return self._pauses.read_run(read_clock())\n",
+        "        return self._pauses.read_running_clock(read_clock())\n",
         "        return read_clock()\n",
         "libraries/proxy",
         f"{PEERS}.test_gateways_that_wake_together_share_what_a_cold_target_bears",
