--- a/libraries/decisions/src/bamboopier_decisions/forwarding/pause_tracker.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/pause_tracker.py
@@ -72,7 +72,7 @@
         pending = gap if gap >= PAUSE_SECONDS else 0.0
         return now - self._paused - pending
 
-    def find_unread_since(self, now: float) -> float:
+    def find_earliest_arrival(self, now: float) -> float:
         """Return since when something that is read now may have waited.
 
         That is ``now`` unless the process paused a moment ago.
--- a/libraries/decisions/tests/forwarding/test_pause_tracker.py
+++ b/libraries/decisions/tests/forwarding/test_pause_tracker.py
@@ -26,34 +26,34 @@
 
     def test_a_process_that_runs_reads_news_at_once(self) -> None:
         self.run_until(100.0, 110.0)
-        self.assertEqual(self.pauses.find_unread_since(110.1), 110.1)
+        self.assertEqual(self.pauses.find_earliest_arrival(110.1), 110.1)
 
     def test_a_late_tick_is_no_pause(self) -> None:
         self.run_until(100.0, 110.0)
         self.assertEqual(self.pauses.note_tick(110.0 + PAUSE_SECONDS * 0.9), 0.0)
-        self.assertEqual(self.pauses.find_unread_since(110.6), 110.6)
+        self.assertEqual(self.pauses.find_earliest_arrival(110.6), 110.6)
 
     def test_what_is_read_after_a_pause_may_have_waited_since_it_began(self) -> None:
         # The process stands still for three seconds. The first thing it reads after
         # that may come before its tick, or a while after.
         self.run_until(100.0, 110.0)
-        self.assertEqual(self.pauses.find_unread_since(113.0), 110.0)
+        self.assertEqual(self.pauses.find_earliest_arrival(113.0), 110.0)
         self.assertAlmostEqual(self.pauses.note_tick(113.0), 3.0)
         self.run_until(113.0, 115.0)
-        self.assertEqual(self.pauses.find_unread_since(115.1), 110.0)
+        self.assertEqual(self.pauses.find_earliest_arrival(115.1), 110.0)
 
     def test_a_pause_is_over_once_all_that_waited_was_read(self) -> None:
         self.run_until(100.0, 110.0)
         self.run_until(113.0, 113.0 + 3.0 + CATCH_UP_SECONDS)
-        self.assertEqual(self.pauses.find_unread_since(117.1), 117.1)
+        self.assertEqual(self.pauses.find_earliest_arrival(117.1), 117.1)
 
     def test_a_pause_soon_after_another_goes_on_with_it(self) -> None:
         # What waited in the first pause may still be unread when the second begins.
         self.run_until(100.0, 110.0)
         self.run_until(113.0, 114.0)
-        self.assertEqual(self.pauses.find_unread_since(116.0), 110.0)
+        self.assertEqual(self.pauses.find_earliest_arrival(116.0), 110.0)
         self.pauses.note_tick(116.0)
-        self.assertEqual(self.pauses.find_unread_since(116.1), 110.0)
+        self.assertEqual(self.pauses.find_earliest_arrival(116.1), 110.0)
 
     def test_short_pauses_in_a_row_do_not_add_up_to_one_without_end(self) -> None:
         # A process stands still for 0.7 s of every two, for a minute, and reads all in
@@ -64,7 +64,7 @@
         for second in range(100, 160, 2):
             self.run_until(second, second + 1.2)
         self.run_until(160.0, 160.2)
-        self.assertGreater(self.pauses.find_unread_since(160.3), 160 - LONGEST_SECONDS)
+        self.assertGreater(self.pauses.find_earliest_arrival(160.3), 160 - LONGEST_SECONDS)
 
     def test_a_slow_process_takes_news_for_little_older_than_they_are(self) -> None:
         # Each turn of a slow event loop takes 0.2 s, so a tick comes every 0.6 s; what
@@ -74,7 +74,7 @@
         for number in range(50):
             self.pauses.note_tick(100.0 + number * (PAUSE_SECONDS + 0.01))
         self.assertGreater(
-            self.pauses.find_unread_since(130.0), 130.0 - LONGEST_SECONDS
+            self.pauses.find_earliest_arrival(130.0), 130.0 - LONGEST_SECONDS
         )
 
     def test_time_in_which_the_process_paused_is_no_time_it_ran(self) -> None:
--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -135,7 +135,7 @@
         the others wrote says more. A process that paused cannot tell an outage.
         """
         now = read_clock()
-        paused = self._pauses.find_unread_since(now) < now
+        paused = self._pauses.find_earliest_arrival(now) < now
         was_away = away_seconds >= OUTAGE_SECONDS and not paused
         guessed = was_away and math.isfinite(known_until)
         since = now if guessed else known_until
@@ -164,7 +164,7 @@
         that, it ends older weights too soon.
         """
         now = read_clock()
-        unread_since = self._pauses.find_unread_since(now)
+        unread_since = self._pauses.find_earliest_arrival(now)
         if late and unread_since == now:
             return known_until
         return max(known_until, unread_since)
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -19,7 +19,7 @@
     Mutation(
         "weights heard of after a pause may be as old as that",
         f"{PROXY}/observers.py",
-        "        unread_since = self._pauses.find_unread_since(now)\n",
+        "        unread_since = self._pauses.find_earliest_arrival(now)\n",
         "        unread_since = now\n",
         "libraries/proxy",
         f"{OBSERVER}.test_what_was_told_during_a_pause_may_be_as_old_as_that",
