--- a/libraries/decisions/src/bamboopier_decisions/forwarding/pause_tracker.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/pause_tracker.py
@@ -50,7 +50,7 @@
         # Seconds of all pauses.
         self._paused = 0.0
 
-    def note_tick(self, now: float) -> float:
+    def record_tick(self, now: float) -> float:
         """Take in that the process runs; return the seconds it stood still, or 0."""
         began, self._ticked = self._ticked, now
         gap = now - began
--- a/libraries/decisions/tests/forwarding/test_pause_tracker.py
+++ b/libraries/decisions/tests/forwarding/test_pause_tracker.py
@@ -22,7 +22,7 @@
     def run_until(self, start: float, end: float) -> None:
         """Let the process tick from ``start`` to ``end``."""
         for number in range(round((end - start) / TICK_SECONDS) + 1):
-            self.pauses.note_tick(start + number * TICK_SECONDS)
+            self.pauses.record_tick(start + number * TICK_SECONDS)
 
     def test_a_process_that_runs_reads_news_at_once(self) -> None:
         self.run_until(100.0, 110.0)
@@ -30,7 +30,7 @@
 
     def test_a_late_tick_is_no_pause(self) -> None:
         self.run_until(100.0, 110.0)
-        self.assertEqual(self.pauses.note_tick(110.0 + PAUSE_SECONDS * 0.9), 0.0)
+        self.assertEqual(self.pauses.record_tick(110.0 + PAUSE_SECONDS * 0.9), 0.0)
         self.assertEqual(self.pauses.find_earliest_arrival(110.6), 110.6)
 
     def test_what_is_read_after_a_pause_may_have_waited_since_it_began(self) -> None:
@@ -38,7 +38,7 @@
         # that may come before its tick, or a while after.
         self.run_until(100.0, 110.0)
         self.assertEqual(self.pauses.find_earliest_arrival(113.0), 110.0)
-        self.assertAlmostEqual(self.pauses.note_tick(113.0), 3.0)
+        self.assertAlmostEqual(self.pauses.record_tick(113.0), 3.0)
         self.run_until(113.0, 115.0)
         self.assertEqual(self.pauses.find_earliest_arrival(115.1), 110.0)
 
@@ -52,7 +52,7 @@
         self.run_until(100.0, 110.0)
         self.run_until(113.0, 114.0)
         self.assertEqual(self.pauses.find_earliest_arrival(116.0), 110.0)
-        self.pauses.note_tick(116.0)
+        self.pauses.record_tick(116.0)
         self.assertEqual(self.pauses.find_earliest_arrival(116.1), 110.0)
 
     def test_short_pauses_in_a_row_do_not_add_up_to_one_without_end(self) -> None:
@@ -72,7 +72,7 @@
         # After half a minute of it newly named weights are taken for 30 s old, and
         # callers get 503 instead of answers on older weights, though none is loaded.
         for number in range(50):
-            self.pauses.note_tick(100.0 + number * (PAUSE_SECONDS + 0.01))
+            self.pauses.record_tick(100.0 + number * (PAUSE_SECONDS + 0.01))
         self.assertGreater(
             self.pauses.find_earliest_arrival(130.0), 130.0 - LONGEST_SECONDS
         )
@@ -83,7 +83,7 @@
         before = self.pauses.read_running_clock(100.0)
         self.run_until(100.0, 110.0)
         self.assertAlmostEqual(self.pauses.read_running_clock(113.0) - before, 10.0)
-        self.pauses.note_tick(113.0)
+        self.pauses.record_tick(113.0)
         self.assertAlmostEqual(self.pauses.read_running_clock(113.0) - before, 10.0)
         self.run_until(113.0, 120.0)
         self.assertAlmostEqual(self.pauses.read_running_clock(120.1) - before, 17.1)
@@ -92,7 +92,7 @@
         # Something begins half a second into a pause, which nobody can know yet.
         self.run_until(100.0, 110.0)
         began = self.pauses.read_running_clock(110.5)
-        self.pauses.note_tick(111.0)
+        self.pauses.record_tick(111.0)
         self.assertLessEqual(self.pauses.read_running_clock(112.0) - began, 1.5)
 
 
--- a/libraries/proxy/src/bamboopier_proxy/pause_watch.py
+++ b/libraries/proxy/src/bamboopier_proxy/pause_watch.py
@@ -39,7 +39,7 @@
     def tick(self) -> None:
         """Take in that the process runs now."""
         now = read_clock()
-        seconds = self.pauses.note_tick(now)
+        seconds = self.pauses.record_tick(now)
         if not seconds:
             return
         for listener in self.listeners:
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -108,7 +108,7 @@
         while self.now < end:
             self.now += TICK_SECONDS
             for gateway in self.gateways if running is None else running:
-                gateway.pauses.note_tick(self.now)
+                gateway.pauses.record_tick(self.now)
                 gateway.gossip._send_loads()
 
     def count_all(self) -> list[int]:
@@ -151,7 +151,7 @@
         self.now += SILENT_SECONDS + 5
         self.lost = True
         for gateway in self.gateways:
-            gateway.pauses.note_tick(self.now)
+            gateway.pauses.record_tick(self.now)
             gateway.gossip._send_loads()
         self.assertEqual(self.count_all(), [GATEWAYS] * GATEWAYS)
 
--- a/libraries/proxy/tests/test_weight_ages.py
+++ b/libraries/proxy/tests/test_weight_ages.py
@@ -274,7 +274,7 @@
         # the others read it, add six seconds for clocks, and refuse older weights at
         # once: callers get 503 there until the first engines have loaded.
         paused = PauseTracker(NOW - 0.8)
-        paused.note_tick(NOW - 0.1)
+        paused.record_tick(NOW - 0.1)
         ran = PauseTracker(NOW), PauseTracker(NOW)
         heard = await self.hear_after_an_outage(5.0, *ran, paused)
         allowed = [w.find_oldest_allowed(NOW + 1.0, "m") for w in heard]
--- a/libraries/proxy/tests/test_weights_observer.py
+++ b/libraries/proxy/tests/test_weights_observer.py
@@ -121,12 +121,12 @@
         end = self.now + seconds
         while self.now < end:
             self.now = min(end, self.now + TICK_SECONDS)
-            self.pauses.note_tick(self.now)
+            self.pauses.record_tick(self.now)
 
     def pause_for(self, seconds: float) -> None:
         """Let the process stand still."""
         self.now += seconds
-        self.pauses.note_tick(self.now)
+        self.pauses.record_tick(self.now)
 
     async def follow(self, *watches: Callable[[], Answer]) -> None:
         """Answer the watches that follow a list of version 1."""
