--- a/libraries/decisions/src/bamboopier_decisions/forwarding/pause_tracker.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/pause_tracker.py
@@ -29,7 +29,7 @@
     ended: float
 
     @property
-    def caught_up(self) -> float:
+    def caught_up_at(self) -> float:
         """Return when all that had waited has been read.
 
         A peer whose segments were not acknowledged repeats them at doubled intervals:
@@ -81,9 +81,9 @@
         if now - self._ticked >= PAUSE_SECONDS:
             # It runs again, and this is read before the tick that is due.
             last, before = Pause(self._ticked, now), self._last
-        if last is None or now >= last.caught_up:
+        if last is None or now >= last.caught_up_at:
             return now
-        if before is not None and last.began < before.caught_up:
+        if before is not None and last.began < before.caught_up_at:
             # What waited in the pause before may have been unread when this one began.
             # No further back: a slow process would take all news for ever older ones.
             return before.began
