--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WantedWeights:
+class WeightVersionRange:
     """The newest version of a model and the oldest that may still serve; 0 for any."""
 
     newest: int = 0
@@ -141,7 +141,7 @@
     fleet: Fleet,
     demand: Demand,
     tried: Set[str],
-    weights: WantedWeights,
+    weights: WeightVersionRange,
     data_centre: str,
     random: random.Random,
 ) -> Placement:
--- a/libraries/decisions/tests/forwarding/test_rate_limit.py
+++ b/libraries/decisions/tests/forwarding/test_rate_limit.py
@@ -10,7 +10,7 @@
 from bamboopier_decisions.forwarding.placement import (
     Demand,
     Placement,
-    WantedWeights,
+    WeightVersionRange,
     place,
 )
 from bamboopier_decisions.forwarding.rate_limit import NEVER, LimitNews, RateLimit
@@ -161,7 +161,7 @@
             assert state is not None
             state.limit.note_named(0.0, 0.5)
         demand = Demand(VANS, 0, None)
-        wanted = WantedWeights()
+        wanted = WeightVersionRange()
         return place(0.1, fleet, demand, set(), wanted, "z1", random.Random(1))
 
     def test_what_is_over_it_goes_elsewhere(self) -> None:
--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -11,7 +11,7 @@
     LONGEST_SECONDS,
     WeightLoadDrain,
 )
-from bamboopier_decisions.forwarding.placement import Demand, WantedWeights, place
+from bamboopier_decisions.forwarding.placement import Demand, WeightVersionRange, place
 from bamboopier_decisions.forwarding.rollout_order import (
     TURN_SECONDS,
     count_loads,
@@ -217,7 +217,7 @@
 
     def _place_ten(self, fleet: Fleet, limit_out: int) -> set[str]:
         """Return where prompts of ten sessions go."""
-        weights = WantedWeights(1, 1)
+        weights = WeightVersionRange(1, 1)
         generator = random.Random(1)
         names = set()
         for number in range(10):
--- a/libraries/proxy/src/bamboopier_proxy/send_planner.py
+++ b/libraries/proxy/src/bamboopier_proxy/send_planner.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from bamboopier_decisions.forwarding.placement import Demand, WantedWeights
+from bamboopier_decisions.forwarding.placement import Demand, WeightVersionRange
 
 from .messages import SendMarks
 
@@ -32,12 +32,12 @@
         fetched = self._count_fetched(now, call)
         return Demand(call.service, call.priority, call.prompt, fetched)
 
-    def find_wanted(self, now: float, call: Call) -> WantedWeights:
+    def find_wanted(self, now: float, call: Call) -> WeightVersionRange:
         """Return the weights on which the call may begin."""
         if call.prompt is None:
-            return WantedWeights()
+            return WeightVersionRange()
         model = call.prompt.model
-        return WantedWeights(
+        return WeightVersionRange(
             self._weights.find_newest(model),
             self._weights.find_oldest_allowed(now, model),
         )
