--- a/libraries/decisions/src/bamboopier_decisions/forwarding/prompt.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/prompt.py
@@ -30,13 +30,13 @@
     limit_out: int
     parts: tuple[PromptPart, ...]
     # The caller's estimate of the output; 0 for none.
-    hint_out: int = 0
+    estimated_output: int = 0
 
     @property
     def tokens_out(self) -> int:
         """Return the tokens of output to expect."""
-        if self.hint_out:
-            return min(self.limit_out, int(self.hint_out * HINT_FACTOR))
+        if self.estimated_output:
+            return min(self.limit_out, int(self.estimated_output * HINT_FACTOR))
         return int(self.limit_out * UNHINTED_SHARE)
 
     @property
