--- a/libraries/decisions/src/bamboopier_decisions/forwarding/prompt.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/prompt.py
@@ -27,7 +27,7 @@
     model: str
     tokens_in: int
     # The most tokens of output that the caller allows.
-    limit_out: int
+    max_output: int
     parts: tuple[PromptPart, ...]
     # The caller's estimate of the output; 0 for none.
     estimated_output: int = 0
@@ -36,8 +36,8 @@
     def tokens_out(self) -> int:
         """Return the tokens of output to expect."""
         if self.estimated_output:
-            return min(self.limit_out, int(self.estimated_output * HINT_FACTOR))
-        return int(self.limit_out * UNHINTED_SHARE)
+            return min(self.max_output, int(self.estimated_output * HINT_FACTOR))
+        return int(self.max_output * UNHINTED_SHARE)
 
     @property
     def shared_parts(self) -> tuple[PromptPart, ...]:
--- a/libraries/decisions/tests/forwarding/builders.py
+++ b/libraries/decisions/tests/forwarding/builders.py
@@ -60,7 +60,7 @@
 
 
 def make_prompt(
-    session: str, shared: int = 8600, own: int = 2800, limit_out: int = 1120
+    session: str, shared: int = 8600, own: int = 2800, max_output: int = 1120
 ) -> Prompt:
     """Return a prompt with a common part, a session's part, and its own."""
     parts = (
@@ -68,7 +68,7 @@
         PromptPart(session, shared),
         PromptPart(f"{session}-own", own),
     )
-    return Prompt(MODEL, 512 + shared + own, limit_out, parts)
+    return Prompt(MODEL, 512 + shared + own, max_output, parts)
 
 
 def make_route(prefix: str, **changes: Any) -> Route:
--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -210,18 +210,18 @@
         assert drained is not None
         assert other is not None
         drained.short_until = 20.0
-        self.assertEqual(self._place_ten(fleet, limit_out=1120), {"i-2"})
-        self.assertEqual(self._place_ten(fleet, limit_out=20), {"i-1", "i-2"})
+        self.assertEqual(self._place_ten(fleet, max_output=1120), {"i-2"})
+        self.assertEqual(self._place_ten(fleet, max_output=20), {"i-1", "i-2"})
         other.busy_until = 20.0
-        self.assertEqual(self._place_ten(fleet, limit_out=1120), {"i-1"})
+        self.assertEqual(self._place_ten(fleet, max_output=1120), {"i-1"})
 
-    def _place_ten(self, fleet: Fleet, limit_out: int) -> set[str]:
+    def _place_ten(self, fleet: Fleet, max_output: int) -> set[str]:
         """Return where prompts of ten sessions go."""
         weights = WeightVersionRange(1, 1)
         generator = random.Random(1)
         names = set()
         for number in range(10):
-            prompt = make_prompt(f"s{number}", limit_out=limit_out)
+            prompt = make_prompt(f"s{number}", max_output=max_output)
             demand = Demand(DESK, 1, prompt)
             found = place(10.0, fleet, demand, set(), weights, "z1", generator).state
             assert found is not None
