--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LimitNews:
+class LimitUpdate:
     """What gateways tell each other of one target's limit.
 
     Times are on the clock of the gateway that reads it.
@@ -103,16 +103,16 @@
         self._own_ended_at = max(self._own_ended_at, sent_at)
         return self._take_ended(sent_at)
 
-    def take_news(self, now: float, news: LimitNews) -> bool:
+    def take_news(self, now: float, news: LimitUpdate) -> bool:
         """Take what another gateway was told; say whether it changes anything."""
         ended = self._take_ended(news.ended_at)
         if news.named_at <= max(news.ended_at, self._named_at):
             return ended
         return self._take_named(now, news.named_at, news.per_second, news.since)
 
-    def make_news(self) -> LimitNews:
+    def make_news(self) -> LimitUpdate:
         """Return what this gateway was told itself."""
-        return LimitNews(
+        return LimitUpdate(
             self.per_second, self._own_named_at, self._own_ended_at, self._since
         )
 
--- a/libraries/proxy/src/bamboopier_proxy/limit_hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_hints.py
@@ -9,7 +9,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from bamboopier_decisions.forwarding.rate_limit import NEVER, LimitNews
+from bamboopier_decisions.forwarding.rate_limit import NEVER, LimitUpdate
 
 from .hints import TargetLimitHint
 from .limit_notes import take_limit_news
@@ -67,8 +67,8 @@
     )
 
 
-def _make_news(now: float, hint: TargetLimitHint) -> LimitNews:
-    return LimitNews(
+def _make_news(now: float, hint: TargetLimitHint) -> LimitUpdate:
+    return LimitUpdate(
         hint.per_second,
         _read_age(now, hint.named_age),
         _read_age(now, hint.ended_age),
--- a/libraries/proxy/src/bamboopier_proxy/limit_notes.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_notes.py
@@ -9,7 +9,7 @@
 from bamboopier_daemon.clock import read_clock
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.rate_limit import LimitNews
+    from bamboopier_decisions.forwarding.rate_limit import LimitUpdate
     from bamboopier_decisions.forwarding.target_state import TargetState
 
     from .messages import AnswerMarks
@@ -33,7 +33,7 @@
         _log_limit(state, request_id=request_id)
 
 
-def take_limit_news(state: TargetState, news: LimitNews, sender: str) -> None:
+def take_limit_news(state: TargetState, news: LimitUpdate, sender: str) -> None:
     """Take in what another gateway was told."""
     if state.limit.take_news(read_clock(), news):
         _log_limit(state, sender=sender)
--- a/libraries/proxy/src/bamboopier_proxy/limit_records.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_records.py
@@ -18,7 +18,7 @@
 from result import Err
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.rate_limit import NEVER, LimitNews
+from bamboopier_decisions.forwarding.rate_limit import NEVER, LimitUpdate
 from bamboopier_objects.errors import VersionConflictError
 from bamboopier_objects.objects import ABSENT
 
@@ -105,7 +105,7 @@
                 continue
             del self._waiting[name]
             if state.entry.born == entry.born:
-                news = LimitNews(entry.per_second, now, NEVER, now)
+                news = LimitUpdate(entry.per_second, now, NEVER, now)
                 take_limit_news(state, news, "store")
 
     async def _write_all(self) -> None:
