--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
@@ -103,7 +103,7 @@
         self._own_ended_at = max(self._own_ended_at, sent_at)
         return self._take_ended(sent_at)
 
-    def take_news(self, now: float, news: LimitUpdate) -> bool:
+    def apply_update(self, now: float, news: LimitUpdate) -> bool:
         """Take what another gateway was told; say whether it changes anything."""
         ended = self._take_ended(news.ended_at)
         if news.named_at <= max(news.ended_at, self._named_at):
--- a/libraries/decisions/tests/forwarding/test_rate_limit.py
+++ b/libraries/decisions/tests/forwarding/test_rate_limit.py
@@ -41,7 +41,7 @@
                 continue
             if not limit.in_force:
                 news = LimitUpdate(per_second, now, NEVER, 100.0 + min(heard))
-                limit.take_news(now, news)
+                limit.apply_update(now, news)
             if rests or generator.random() > chance:
                 continue
             if limit.may_send(now, gateways, place_):
@@ -111,15 +111,15 @@
     def test_news_of_the_end_are_weighed_by_when_they_were_true(self) -> None:
         limit = RateLimit()
         limit.note_named(10.0, 2.0)
-        self.assertFalse(limit.take_news(11.0, LimitUpdate(2.0, 8.0, 9.0, 8.0)))
+        self.assertFalse(limit.apply_update(11.0, LimitUpdate(2.0, 8.0, 9.0, 8.0)))
         self.assertTrue(limit.in_force)
-        self.assertTrue(limit.take_news(11.0, LimitUpdate(2.0, 9.0, 10.2, 8.0)))
+        self.assertTrue(limit.apply_update(11.0, LimitUpdate(2.0, 9.0, 10.2, 8.0)))
         self.assertFalse(limit.in_force)
 
     def test_what_others_told_is_not_told_again(self) -> None:
         # Guards against news that come back and look newer each time.
         limit = RateLimit()
-        limit.take_news(11.0, LimitUpdate(2.0, 10.0, NEVER, 9.0))
+        limit.apply_update(11.0, LimitUpdate(2.0, 10.0, NEVER, 9.0))
         self.assertTrue(limit.in_force)
         self.assertEqual(limit.known_at, NEVER)
 
--- a/libraries/proxy/src/bamboopier_proxy/limit_notes.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_notes.py
@@ -35,7 +35,7 @@
 
 def take_limit_news(state: TargetState, news: LimitUpdate, sender: str) -> None:
     """Take in what another gateway was told."""
-    if state.limit.take_news(read_clock(), news):
+    if state.limit.apply_update(read_clock(), news):
         _log_limit(state, sender=sender)
 
 
