--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
@@ -110,7 +110,7 @@
             return ended
         return self._take_named(now, news.named_at, news.per_second, news.since)
 
-    def make_news(self) -> LimitUpdate:
+    def make_update(self) -> LimitUpdate:
         """Return what this gateway was told itself."""
         return LimitUpdate(
             self.per_second, self._own_named_at, self._own_ended_at, self._since
--- a/libraries/proxy/src/bamboopier_proxy/limit_hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_hints.py
@@ -56,7 +56,7 @@
 
 
 def _make_hint(now: float, state: TargetState) -> TargetLimitHint:
-    news = state.limit.make_news()
+    news = state.limit.make_update()
     return TargetLimitHint(
         state.entry.name,
         state.entry.born,
