--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
@@ -84,7 +84,7 @@
         return self._named_at > self._ended_at
 
     @property
-    def known_at(self) -> float:
+    def last_response_at(self) -> float:
         """Return when this gateway itself last learnt something from an answer."""
         return max(self._own_named_at, self._own_ended_at)
 
--- a/libraries/decisions/tests/forwarding/test_rate_limit.py
+++ b/libraries/decisions/tests/forwarding/test_rate_limit.py
@@ -121,7 +121,7 @@
         limit = RateLimit()
         limit.apply_update(11.0, LimitUpdate(2.0, 10.0, NEVER, 9.0))
         self.assertTrue(limit.in_force)
-        self.assertEqual(limit.known_at, NEVER)
+        self.assertEqual(limit.last_response_at, NEVER)
 
     def test_a_target_that_takes_nothing_is_tried_now_and_then(self) -> None:
         # Guards against a target that is never asked again whether it takes some.
--- a/libraries/proxy/src/bamboopier_proxy/limit_hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_hints.py
@@ -41,7 +41,7 @@
         told = [
             state
             for state in states
-            if state is not None and now - state.limit.known_at < TELL_SECONDS
+            if state is not None and now - state.limit.last_response_at < TELL_SECONDS
         ]
         if len(told) > MAX_TARGETS:
             told = self._random.sample(told, MAX_TARGETS)
