--- a/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RetryBounds:
+class RetryBudgetLimits:
     """How much of a service's traffic may be repeats, over all gateways."""
 
     # Repeats for each request.
@@ -35,12 +35,12 @@
 
     __slots__ = ("_ratio", "_repeats", "_requests", "_slack", "_window")
 
-    def __init__(self, bounds: RetryBounds) -> None:
+    def __init__(self, bounds: RetryBudgetLimits) -> None:
         self._requests: deque[float] = deque()
         self._repeats: deque[float] = deque()
         self.set_bounds(bounds)
 
-    def set_bounds(self, bounds: RetryBounds) -> None:
+    def set_bounds(self, bounds: RetryBudgetLimits) -> None:
         """Take other bounds; what was counted goes on counting."""
         self._ratio = bounds.ratio * RATIO_SHARE
         self._slack = bounds.slack * SLACK_SHARE
@@ -66,7 +66,7 @@
 
     __slots__ = ("_bounds", "_shares")
 
-    def __init__(self, bounds: RetryBounds) -> None:
+    def __init__(self, bounds: RetryBudgetLimits) -> None:
         self._bounds = bounds
         self._shares: dict[str, RetryShare] = {}
 
@@ -77,7 +77,7 @@
             share = self._shares[service] = RetryShare(self._bounds)
         return share
 
-    def set_bounds(self, bounds: RetryBounds) -> None:
+    def set_bounds(self, bounds: RetryBudgetLimits) -> None:
         """Take other bounds, also for the services that are already known."""
         self._bounds = bounds
         for share in self._shares.values():
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -7,13 +7,13 @@
 from bamboopier_decisions.forwarding.cold_start_limit import ColdStartLimit, hash_phase
 from bamboopier_decisions.forwarding.configuration_freshness import SEND_MARGIN, ConfigurationFreshness
 from bamboopier_decisions.forwarding.shared_retry_budget import (
-    RetryBounds,
+    RetryBudgetLimits,
     RetryShare,
     RetryShares,
 )
 from bamboopier_decisions.forwarding.circuit_breaker import Standing
 
-BOUNDS = RetryBounds(ratio=0.2, slack=54, window_seconds=10.0)
+BOUNDS = RetryBudgetLimits(ratio=0.2, slack=54, window_seconds=10.0)
 
 
 # What the rules allow a cold target beyond what it bears in a second.
@@ -27,7 +27,7 @@
         shares = RetryShares(BOUNDS)
         share = shares.find("desk")
         self.assertTrue(share.take(1.0, 1))
-        shares.set_bounds(RetryBounds(ratio=0.2, slack=0, window_seconds=10.0))
+        shares.set_bounds(RetryBudgetLimits(ratio=0.2, slack=0, window_seconds=10.0))
         self.assertIs(shares.find("desk"), share)
         self.assertFalse(share.take(1.1, 1))
 
--- a/libraries/proxy/src/bamboopier_proxy/settings.py
+++ b/libraries/proxy/src/bamboopier_proxy/settings.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.shared_retry_budget import RetryBounds
+    from bamboopier_decisions.forwarding.shared_retry_budget import RetryBudgetLimits
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,5 +48,5 @@
     version_seconds: float
     # For which a holder of a target's orders must be silent before another gives one.
     lease_seconds: float
-    retries: RetryBounds
+    retries: RetryBudgetLimits
     memory_bytes: int
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -12,7 +12,7 @@
 
 from bamboopier_decisions.forwarding.cold_start_limit import ColdStartLimit
 from bamboopier_decisions.forwarding.pause_tracker import TICK_SECONDS, PauseTracker
-from bamboopier_decisions.forwarding.shared_retry_budget import RetryBounds
+from bamboopier_decisions.forwarding.shared_retry_budget import RetryBudgetLimits
 from bamboopier_objects.objects import Listing, StoredObject
 from bamboopier_proxy.gateway_peers import GatewayPeers
 from bamboopier_proxy.gateway_state import GatewayState
@@ -44,7 +44,7 @@
             first_port=PORT,
             version_seconds=9.0,
             key_seconds=None,
-            retries=RetryBounds(0.2, 54, 10.0),
+            retries=RetryBudgetLimits(0.2, 54, 10.0),
         )
         vocabulary = mock.Mock(gateways_prefix=PREFIX)
         self.state = GatewayState(settings, vocabulary, self.pauses)
