--- a/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
@@ -30,7 +30,7 @@
     window_seconds: float
 
 
-class RetryShare:
+class SharedRetryBudget:
     """Counts one service's requests and repeats of this gateway in a window."""
 
     __slots__ = ("_ratio", "_repeats", "_requests", "_slack", "_window")
@@ -68,13 +68,13 @@
 
     def __init__(self, bounds: RetryBudgetLimits) -> None:
         self._bounds = bounds
-        self._shares: dict[str, RetryShare] = {}
+        self._shares: dict[str, SharedRetryBudget] = {}
 
-    def find(self, service: str) -> RetryShare:
+    def find(self, service: str) -> SharedRetryBudget:
         """Return the share of a service."""
         share = self._shares.get(service)
         if share is None:
-            share = self._shares[service] = RetryShare(self._bounds)
+            share = self._shares[service] = SharedRetryBudget(self._bounds)
         return share
 
     def set_bounds(self, bounds: RetryBudgetLimits) -> None:
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -8,7 +8,7 @@
 from bamboopier_decisions.forwarding.configuration_freshness import SEND_MARGIN, ConfigurationFreshness
 from bamboopier_decisions.forwarding.shared_retry_budget import (
     RetryBudgetLimits,
-    RetryShare,
+    SharedRetryBudget,
     RetryShares,
 )
 from bamboopier_decisions.forwarding.circuit_breaker import Standing
@@ -35,7 +35,7 @@
         # Every request of a service fails and each of four gateways would repeat it.
         # In every window of ten seconds the repeats of all of them stay below a fifth
         # of the requests and the slack.
-        gateways = [RetryShare(BOUNDS) for _ in range(4)]
+        gateways = [SharedRetryBudget(BOUNDS) for _ in range(4)]
         repeats: list[float] = []
         for step in range(3000):
             now = step * 0.01
@@ -51,7 +51,7 @@
     def test_a_restart_of_one_gateway_does_not_break_the_bound(self) -> None:
         # One of four gateways restarts in the window and has forgotten its repeats.
         spent = 0
-        for shares in ([RetryShare(BOUNDS) for _ in range(5)],):
+        for shares in ([SharedRetryBudget(BOUNDS) for _ in range(5)],):
             for share in shares:
                 while share.take(1.0, 4):
                     spent += 1
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -23,7 +23,7 @@
 
     from bamboopier_decisions.forwarding.fleet import Fleet, InFlightRequest
     from bamboopier_decisions.forwarding.placement import Demand, Placement
-    from bamboopier_decisions.forwarding.shared_retry_budget import RetryShare, RetryShares
+    from bamboopier_decisions.forwarding.shared_retry_budget import SharedRetryBudget, RetryShares
 
     from .delivery import Delivery
     from .exchange import Exchange, SendResult
@@ -255,7 +255,7 @@
         result: SendResult,
         delivery: Delivery,
         runs: int,
-        share: RetryShare,
+        share: SharedRetryBudget,
     ) -> bool:
         """Say whether another send follows; if not, the caller has its answer."""
         if self._may_send_again(call, result, delivery, runs):
