--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -20,7 +20,7 @@
 COLD_OVER, COLD_SLACK = 1.5, 5.0
 
 
-class RetryShareTests(unittest.TestCase):
+class SharedRetryBudgetTests(unittest.TestCase):
     def test_changed_bounds_hold_for_services_already_known(self) -> None:
         # The operator allows no more repeats beside the ratio while a service has
         # failures. Its next failing request is not sent again.
