--- a/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
@@ -61,7 +61,7 @@
         return True
 
 
-class RetryShares:
+class SharedRetryBudgets:
     """The shares of all services."""
 
     __slots__ = ("_bounds", "_shares")
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -9,7 +9,7 @@
 from bamboopier_decisions.forwarding.shared_retry_budget import (
     RetryBudgetLimits,
     SharedRetryBudget,
-    RetryShares,
+    SharedRetryBudgets,
 )
 from bamboopier_decisions.forwarding.circuit_breaker import Standing
 
@@ -24,7 +24,7 @@
     def test_changed_bounds_hold_for_services_already_known(self) -> None:
         # The operator allows no more repeats beside the ratio while a service has
         # failures. Its next failing request is not sent again.
-        shares = RetryShares(BOUNDS)
+        shares = SharedRetryBudgets(BOUNDS)
         share = shares.find("desk")
         self.assertTrue(share.take(1.0, 1))
         shares.set_bounds(RetryBudgetLimits(ratio=0.2, slack=0, window_seconds=10.0))
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -23,7 +23,7 @@
 
     from bamboopier_decisions.forwarding.fleet import Fleet, InFlightRequest
     from bamboopier_decisions.forwarding.placement import Demand, Placement
-    from bamboopier_decisions.forwarding.shared_retry_budget import SharedRetryBudget, RetryShares
+    from bamboopier_decisions.forwarding.shared_retry_budget import SharedRetryBudget, SharedRetryBudgets
 
     from .delivery import Delivery
     from .exchange import Exchange, SendResult
@@ -72,7 +72,7 @@
         room: WaitingRoom,
         metrics: ProxyMetrics,
         breaks: Breaks,
-        shares: RetryShares,
+        shares: SharedRetryBudgets,
         data_centre: str,
         random: random.Random,
     ) -> None:
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -9,7 +9,7 @@
 from bamboopier_decisions.forwarding.fleet import Fleet
 from bamboopier_decisions.forwarding.part_store_index import PartStoreIndex
 from bamboopier_decisions.forwarding.specs import CallerLimits
-from bamboopier_decisions.forwarding.shared_retry_budget import RetryShares
+from bamboopier_decisions.forwarding.shared_retry_budget import SharedRetryBudgets
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 
 from .configuration_intake import ConfigurationIntake
@@ -43,7 +43,7 @@
         self.fleet.gateways, self.fleet.place = UNCOUNTED_GATEWAYS, None
         self.kept = PartStoreIndex()
         self.weights = WeightVersions(settings.version_seconds)
-        self.shares = RetryShares(settings.retries)
+        self.shares = SharedRetryBudgets(settings.retries)
         self.health = StoreHealth()
         self.room = WaitingRoom()
         self.knowledge = Knowledge(settings.key_seconds, self._apply)
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -20,7 +20,7 @@
     Workspace,
 )
 from bamboopier_decisions.forwarding.prompt import Prompt, PromptPart
-from bamboopier_decisions.forwarding.shared_retry_budget import RetryBudgetLimits, RetryShares
+from bamboopier_decisions.forwarding.shared_retry_budget import RetryBudgetLimits, SharedRetryBudgets
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 from bamboopier_proxy.answer import Answer
 from bamboopier_proxy.begin_watch import BeginWatch
@@ -117,7 +117,7 @@
             WaitingRoom(),
             ProxyMetrics(),
             breaks,
-            RetryShares(RetryBudgetLimits(0.2, 54.0, 10.0)),
+            SharedRetryBudgets(RetryBudgetLimits(0.2, 54.0, 10.0)),
             "z1",
             random.Random(1),
         )
