--- a/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
@@ -46,7 +46,7 @@
         self._slack = bounds.slack * SLACK_SHARE
         self._window = bounds.window_seconds
 
-    def add_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a caller's request."""
         self._requests.append(now)
 
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -40,7 +40,7 @@
         for step in range(3000):
             now = step * 0.01
             share = gateways[step % 4]
-            share.add_request(now)
+            share.record_request(now)
             if share.take(now, 4):
                 repeats.append(now)
         for start in range(20):
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -92,7 +92,7 @@
         """Answer the caller; raises ``CallerError`` when this system must answer."""
         self._check_breaks(call)
         share = self._shares.find(call.service)
-        share.add_request(read_clock())
+        share.record_request(read_clock())
         runs = 0
         while True:
             sent = await self._find_place(call)
