--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rollout_order.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rollout_order.py
@@ -27,7 +27,7 @@
 TURN_SECONDS = 2.6
 
 
-def count_loads(targets: int) -> int:
+def count_concurrent_loads(targets: int) -> int:
     """Return how many of ``targets`` may load at the same time."""
     return count_slots(max(1, targets // TARGETS_PER_LOAD), max(2, targets))
 
@@ -51,10 +51,10 @@
     order = list_order(versions, newest)
     if target not in order:
         return 0.0
-    return order.index(target) // count_loads(len(versions)) * TURN_SECONDS
+    return order.index(target) // count_concurrent_loads(len(versions)) * TURN_SECONDS
 
 
 def list_near(versions: Mapping[str, int], newest: int) -> frozenset[str]:
     """Return the targets whose turn has come or comes next."""
-    near = count_loads(len(versions)) * (1 + TURNS_AHEAD)
+    near = count_concurrent_loads(len(versions)) * (1 + TURNS_AHEAD)
     return frozenset(list_order(versions, newest)[:near])
--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -14,7 +14,7 @@
 from bamboopier_decisions.forwarding.placement import Demand, WeightVersionRange, place
 from bamboopier_decisions.forwarding.rollout_order import (
     TURN_SECONDS,
-    count_loads,
+    count_concurrent_loads,
     find_delay,
     list_near,
     list_order,
@@ -151,7 +151,7 @@
 class OrderTests(unittest.TestCase):
     def test_a_third_loads_at_once(self) -> None:
         counts = {1: 1, 2: 1, 3: 1, 6: 2, 8: 2, 9: 3, 20: 6, 21: 7}
-        self.assertEqual({n: count_loads(n) for n in counts}, counts)
+        self.assertEqual({n: count_concurrent_loads(n) for n in counts}, counts)
 
     def test_the_oldest_go_first_and_everybody_agrees(self) -> None:
         versions = {f"i-{n}": 1 + n % 2 for n in range(8)}
--- a/libraries/proxy/src/bamboopier_proxy/weight_roller.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_roller.py
@@ -18,7 +18,7 @@
 
 from bamboopier_daemon.clock import read_clock
 from bamboopier_decisions.forwarding.weight_load_drain import WeightLoadDrain
-from bamboopier_decisions.forwarding.rollout_order import count_loads, find_delay
+from bamboopier_decisions.forwarding.rollout_order import count_concurrent_loads, find_delay
 
 from .target_orders import OrderFault, WeightOrder
 
@@ -119,7 +119,7 @@
         )
         if not await self._is_drained(wanted, report):
             return True
-        async with self._slots.take(count_loads(self._directory.count)) as slot:
+        async with self._slots.take(count_concurrent_loads(self._directory.count)) as slot:
             if slot is None:
                 return True
             await self._load(wanted, slot)
