--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rollout_order.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rollout_order.py
@@ -32,7 +32,7 @@
     return count_slots(max(1, targets // TARGETS_PER_LOAD), max(2, targets))
 
 
-def list_order(versions: Mapping[str, int], newest: int) -> list[str]:
+def list_pending(versions: Mapping[str, int], newest: int) -> list[str]:
     """Return the targets that have still to load ``newest``, the next one first.
 
     ``versions`` holds each target's version. The oldest come first: the time allowed
@@ -48,7 +48,7 @@
 
     Time alone decides: a target that nobody orders holds up none behind it.
     """
-    order = list_order(versions, newest)
+    order = list_pending(versions, newest)
     if target not in order:
         return 0.0
     return order.index(target) // count_concurrent_loads(len(versions)) * TURN_SECONDS
@@ -57,4 +57,4 @@
 def list_near(versions: Mapping[str, int], newest: int) -> frozenset[str]:
     """Return the targets whose turn has come or comes next."""
     near = count_concurrent_loads(len(versions)) * (1 + TURNS_AHEAD)
-    return frozenset(list_order(versions, newest)[:near])
+    return frozenset(list_pending(versions, newest)[:near])
--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -17,7 +17,7 @@
     count_concurrent_loads,
     find_delay,
     list_near,
-    list_order,
+    list_pending,
 )
 from bamboopier_decisions.forwarding.weight_versions import (
     END_SECONDS,
@@ -155,10 +155,10 @@
 
     def test_the_oldest_go_first_and_everybody_agrees(self) -> None:
         versions = {f"i-{n}": 1 + n % 2 for n in range(8)}
-        order = list_order(versions, 3)
+        order = list_pending(versions, 3)
         self.assertEqual([versions[name] for name in order], [1] * 4 + [2] * 4)
         shuffled = dict(sorted(versions.items(), reverse=True))
-        self.assertEqual(list_order(shuffled, 3), order)
+        self.assertEqual(list_pending(shuffled, 3), order)
 
     def test_those_that_have_it_are_not_near(self) -> None:
         versions = {f"i-{n}": 3 if n < 4 else 1 for n in range(9)}
@@ -170,7 +170,7 @@
         # Nine engines load three at a time. Nothing happens at the first three, whose
         # agents are dead; the others' turns come all the same.
         versions = {f"i-{n}": 1 for n in range(9)}
-        order = list_order(versions, 2)
+        order = list_pending(versions, 2)
         delays = [find_delay(versions, 2, name) / TURN_SECONDS for name in order]
         self.assertEqual(delays, [0, 0, 0, 1, 1, 1, 2, 2, 2])
         self.assertEqual(find_delay(versions, 2, "unknown"), 0.0)
