--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rollout_order.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rollout_order.py
@@ -43,7 +43,7 @@
     return sorted(behind, key=lambda name: (versions[name], weigh(key, name)))
 
 
-def find_delay(versions: Mapping[str, int], newest: int, target: str) -> float:
+def find_wave_delay(versions: Mapping[str, int], newest: int, target: str) -> float:
     """Return the seconds from the naming of ``newest`` to the turn of ``target``.
 
     Time alone decides: a target that nobody orders holds up none behind it.
--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -15,7 +15,7 @@
 from bamboopier_decisions.forwarding.rollout_order import (
     TURN_SECONDS,
     count_concurrent_loads,
-    find_delay,
+    find_wave_delay,
     list_near,
     list_pending,
 )
@@ -171,9 +171,9 @@
         # agents are dead; the others' turns come all the same.
         versions = {f"i-{n}": 1 for n in range(9)}
         order = list_pending(versions, 2)
-        delays = [find_delay(versions, 2, name) / TURN_SECONDS for name in order]
+        delays = [find_wave_delay(versions, 2, name) / TURN_SECONDS for name in order]
         self.assertEqual(delays, [0, 0, 0, 1, 1, 1, 2, 2, 2])
-        self.assertEqual(find_delay(versions, 2, "unknown"), 0.0)
+        self.assertEqual(find_wave_delay(versions, 2, "unknown"), 0.0)
 
 
 class DrainTests(unittest.TestCase):
--- a/libraries/proxy/src/bamboopier_proxy/weight_roller.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_roller.py
@@ -18,7 +18,7 @@
 
 from bamboopier_daemon.clock import read_clock
 from bamboopier_decisions.forwarding.weight_load_drain import WeightLoadDrain
-from bamboopier_decisions.forwarding.rollout_order import count_concurrent_loads, find_delay
+from bamboopier_decisions.forwarding.rollout_order import count_concurrent_loads, find_wave_delay
 
 from .target_orders import OrderFault, WeightOrder
 
@@ -145,7 +145,7 @@
     def _has_turn(self, wanted: tuple[str, int]) -> bool:
         model, newest = wanted
         versions = self._directory.list_versions(model)
-        delay = find_delay(versions, newest, self._target)
+        delay = find_wave_delay(versions, newest, self._target)
         return read_clock() - self._find_named(wanted) >= delay
 
     async def _is_drained(self, wanted: tuple[str, int], report: TargetReport) -> bool:
