--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from ..routing.rendezvous import rank
-from .rollout_order import list_near
+from .rollout_order import list_loading_soon
 
 if TYPE_CHECKING:
     import random
@@ -259,7 +259,7 @@
     versions = {s.entry.name: s.versions.get(model, 0) for s in known}
     if min(versions.values(), default=newest) >= newest:
         return frozenset()
-    return list_near(versions, newest)
+    return list_loading_soon(versions, newest)
 
 
 def _find_owner(states: list[TargetState], demand: Demand) -> str:
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rollout_order.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rollout_order.py
@@ -54,7 +54,7 @@
     return order.index(target) // count_concurrent_loads(len(versions)) * TURN_SECONDS
 
 
-def list_near(versions: Mapping[str, int], newest: int) -> frozenset[str]:
+def list_loading_soon(versions: Mapping[str, int], newest: int) -> frozenset[str]:
     """Return the targets whose turn has come or comes next."""
     near = count_concurrent_loads(len(versions)) * (1 + TURNS_AHEAD)
     return frozenset(list_pending(versions, newest)[:near])
--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -16,7 +16,7 @@
     TURN_SECONDS,
     count_concurrent_loads,
     find_wave_delay,
-    list_near,
+    list_loading_soon,
     list_pending,
 )
 from bamboopier_decisions.forwarding.weight_versions import (
@@ -162,7 +162,7 @@
 
     def test_those_that_have_it_are_not_near(self) -> None:
         versions = {f"i-{n}": 3 if n < 4 else 1 for n in range(9)}
-        near = list_near(versions, 3)
+        near = list_loading_soon(versions, 3)
         self.assertTrue(near)
         self.assertTrue(all(versions[name] == 1 for name in near))
 
