--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rollout_order.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rollout_order.py
@@ -24,7 +24,7 @@
 # Seconds from the start of one turn to that of the next: a drain of two seconds and a
 # load of 1.4 s, of which the next drain overlaps the load. Sooner, two thirds of the
 # engines take no long answers at once; later, more answers are made on older weights.
-TURN_SECONDS = 2.6
+WAVE_SECONDS = 2.6
 
 
 def count_concurrent_loads(targets: int) -> int:
@@ -51,7 +51,7 @@
     order = list_pending(versions, newest)
     if target not in order:
         return 0.0
-    return order.index(target) // count_concurrent_loads(len(versions)) * TURN_SECONDS
+    return order.index(target) // count_concurrent_loads(len(versions)) * WAVE_SECONDS
 
 
 def list_loading_soon(versions: Mapping[str, int], newest: int) -> frozenset[str]:
--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -13,7 +13,7 @@
 )
 from bamboopier_decisions.forwarding.placement import Demand, WeightVersionRange, place
 from bamboopier_decisions.forwarding.rollout_order import (
-    TURN_SECONDS,
+    WAVE_SECONDS,
     count_concurrent_loads,
     find_wave_delay,
     list_loading_soon,
@@ -171,7 +171,7 @@
         # agents are dead; the others' turns come all the same.
         versions = {f"i-{n}": 1 for n in range(9)}
         order = list_pending(versions, 2)
-        delays = [find_wave_delay(versions, 2, name) / TURN_SECONDS for name in order]
+        delays = [find_wave_delay(versions, 2, name) / WAVE_SECONDS for name in order]
         self.assertEqual(delays, [0, 0, 0, 1, 1, 1, 2, 2, 2])
         self.assertEqual(find_wave_delay(versions, 2, "unknown"), 0.0)
 
