--- a/libraries/decisions/src/bamboopier_decisions/forwarding/route_table.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/route_table.py
@@ -53,7 +53,7 @@
         return self._by_key.get(key)
 
 
-def draw_service(route: Route, random: random.Random) -> str:
+def choose_service(route: Route, random: random.Random) -> str:
     """Return the service that one request goes to, by the declared weights."""
     if len(route.services) == 1:
         return route.services[0].service
--- a/libraries/decisions/tests/forwarding/test_route_table.py
+++ b/libraries/decisions/tests/forwarding/test_route_table.py
@@ -6,7 +6,7 @@
 import unittest
 
 from bamboopier_decisions.forwarding.specs import WeightedService
-from bamboopier_decisions.forwarding.route_table import RouteTable, draw_service
+from bamboopier_decisions.forwarding.route_table import RouteTable, choose_service
 
 from .builders import make_declared, make_route
 
@@ -48,7 +48,7 @@
         services = (WeightedService("old", 90), WeightedService("new", 10))
         route = make_route("/a/", services=services)
         generator = random.Random(1)
-        drawn = [draw_service(route, generator) for _ in range(1000)]
+        drawn = [choose_service(route, generator) for _ in range(1000)]
         self.assertTrue(50 < drawn.count("new") < 160)
 
 
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -10,7 +10,7 @@
 from result import Err
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.route_table import draw_service
+from bamboopier_decisions.forwarding.route_table import choose_service
 from bamboopier_gateway.body import BodyBudget, read_body
 
 from .delivery import CallerGoneError, Delivery
@@ -193,7 +193,7 @@
             headers=marks.passed,
             body=body,
             route=route,
-            service=draw_service(route, self._random),
+            service=choose_service(route, self._random),
             workspace=workspace,
             prompt=marks.prompt if route.has_prompt else None,
             priority=priority,
