--- a/libraries/decisions/src/bamboopier_decisions/forwarding/circuit_breaker.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/circuit_breaker.py
@@ -33,7 +33,7 @@
         self._probing = False
 
     @property
-    def failing_share(self) -> float:
+    def failure_rate(self) -> float:
         """Return the moving share of failures, 0 to 1."""
         return self._share
 
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -286,7 +286,7 @@
 
     def expect(state: TargetState) -> float:
         outside = 0.0 if state.entry.data_centre == data_centre else OUTSIDE_SECONDS
-        failing = state.standing.failing_share * FAILING_SECONDS
+        failing = state.standing.failure_rate * FAILING_SECONDS
         chance = random.random() * 1e-4
         if prompt is None:
             return state.requests / state.slots + outside + failing + chance
--- a/libraries/proxy/tests/test_sends.py
+++ b/libraries/proxy/tests/test_sends.py
@@ -57,7 +57,7 @@
         self.assertIs(error.ran, Ran.NO)
         self.assertFalse(self.lab.breaks.note_break.called)
         standing = self.lab.fleet.list_targets("desk", 0.0)[0].standing
-        self.assertEqual(standing.failing_share, 0.0)
+        self.assertEqual(standing.failure_rate, 0.0)
 
     async def test_a_caller_is_not_told_to_return_before_there_is_room(self) -> None:
         # Guards against a caller that is refused a second time by a target in need: it
