--- a/libraries/decisions/src/bamboopier_decisions/forwarding/circuit_breaker.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/circuit_breaker.py
@@ -56,7 +56,7 @@
             self._share = min(self._share, FAILING_SHARE / 2)
         self._pause = 0.0
 
-    def note_neutral(self) -> None:
+    def record_inconclusive(self) -> None:
         """Take in an end that says nothing of the target."""
         self._probing = False
 
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -101,7 +101,7 @@
                 result = await self._send(call, sent, delivery)
                 self._judge(call, sent, result)
             except BaseException:
-                sent.state.standing.note_neutral()
+                sent.state.standing.record_inconclusive()
                 raise
             finally:
                 self._fleet.end(sent)
@@ -236,14 +236,14 @@
                 state.standing.note_unreachable(now)
             case Cause.NOT_RUN:
                 state.busy_until = now + TURNED_AWAY_SECONDS
-                state.standing.note_neutral()
+                state.standing.record_inconclusive()
             case Cause.MISDIRECTED:
-                state.standing.note_neutral()
+                state.standing.record_inconclusive()
                 if result.other_target:
                     # This start of the target is over; its entry only says so later.
                     state.busy_until = now + REPLACED_SECONDS
             case Cause.CLOSED | Cause.LATE | Cause.OUTDATED:
-                state.standing.note_neutral()
+                state.standing.record_inconclusive()
             case Cause.BROKEN | Cause.UNSEALED | Cause.TIMEOUT:
                 state.standing.note_failure(now)
                 if result.cause is Cause.BROKEN and not result.status:
