--- a/libraries/decisions/src/bamboopier_decisions/forwarding/circuit_breaker.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/circuit_breaker.py
@@ -68,7 +68,7 @@
         if self._share > FAILING_SHARE or was_probing:
             self._pass_over(now, FIRST_PAUSE)
 
-    def note_unreachable(self, now: float) -> None:
+    def record_unreachable(self, now: float) -> None:
         """Take in that no connection to the target came about."""
         self._probing = False
         self._pass_over(now, UNREACHABLE_PAUSE)
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -167,7 +167,7 @@
 
     def test_it_is_tried_again_with_one_request(self) -> None:
         standing = Standing()
-        standing.note_unreachable(0.0)
+        standing.record_unreachable(0.0)
         self.assertFalse(standing.may_try(0.1))
         self.assertTrue(standing.may_try(1.0))
         standing.note_sent()
@@ -177,7 +177,7 @@
 
     def test_a_failed_try_doubles_the_pause(self) -> None:
         standing = Standing()
-        standing.note_unreachable(0.0)
+        standing.record_unreachable(0.0)
         standing.note_sent()
         standing.note_failure(1.0)
         self.assertFalse(standing.may_try(1.55))
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -233,7 +233,7 @@
             case Cause.NONE:
                 state.standing.note_answer()
             case Cause.CONNECT:
-                state.standing.note_unreachable(now)
+                state.standing.record_unreachable(now)
             case Cause.NOT_RUN:
                 state.busy_until = now + TURNED_AWAY_SECONDS
                 state.standing.record_inconclusive()
