--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -248,7 +248,7 @@
 
 def _leave_draining(now: float, states: list[TargetState]) -> list[TargetState]:
     """Return the targets that take long answers; all if none of them does."""
-    return [state for state in states if now >= state.short_until] or states
+    return [state for state in states if now >= state.short_answers_until] or states
 
 
 def _find_near(known: list[TargetState], demand: Demand, newest: int) -> frozenset[str]:
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -51,7 +51,7 @@
         "parts",
         "pinned",
         "service",
-        "short_until",
+        "short_answers_until",
         "standing",
         "versions",
     )
@@ -68,7 +68,7 @@
         # Until then it turns requests away, by its own word.
         self.busy_until = float("-inf")
         # Until then it gets short answers only: it is about to load new weights.
-        self.short_until = float("-inf")
+        self.short_answers_until = float("-inf")
         self.versions = dict(entry.versions)
         memory = service.engine.memory_tokens if service.engine else 0
         self.parts = PartCacheEstimate(int(memory * CACHE_SHARE))
--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -209,7 +209,7 @@
         drained, other = fleet.find("i-1"), fleet.find("i-2")
         assert drained is not None
         assert other is not None
-        drained.short_until = 20.0
+        drained.short_answers_until = 20.0
         self.assertEqual(self._place_ten(fleet, max_output=1120), {"i-2"})
         self.assertEqual(self._place_ten(fleet, max_output=20), {"i-1", "i-2"})
         other.busy_until = 20.0
--- a/libraries/proxy/src/bamboopier_proxy/gossip.py
+++ b/libraries/proxy/src/bamboopier_proxy/gossip.py
@@ -208,9 +208,9 @@
         if state is None:
             return
         now = read_clock()
-        is_known = hint.short_ms > 0 and now < state.short_until
+        is_known = hint.short_ms > 0 and now < state.short_answers_until
         state.busy_until = now + hint.busy_ms / 1000
-        state.short_until = now + hint.short_ms / 1000
+        state.short_answers_until = now + hint.short_ms / 1000
         if hint.version:
             state.note_version(hint.model, hint.version)
         if is_known:
