--- a/libraries/decisions/src/bamboopier_decisions/forwarding/wait_queue.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/wait_queue.py
@@ -26,7 +26,7 @@
 RETURN_SHARE = 0.3
 
 
-def limit_wait(aim: float, left: float) -> float:
+def find_max_wait(aim: float, left: float) -> float:
     """Return the seconds a request may wait for room."""
     return max(0.0, min(aim * AIM_SHARE, left * LEFT_SHARE))
 
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -10,7 +10,7 @@
 from bamboopier_daemon.clock import read_clock
 from bamboopier_decisions.forwarding.specs import RetrySafety
 from bamboopier_decisions.forwarding.placement import place
-from bamboopier_decisions.forwarding.wait_queue import draw_return, limit_wait
+from bamboopier_decisions.forwarding.wait_queue import draw_return, find_max_wait
 
 from .exchange import Cause
 from .refusals import CallerError, ErrorCode, Ran
@@ -145,7 +145,7 @@
         if placement.known == 0:
             raise self._refuse(call, ErrorCode.NO_TARGET, placement)
         started = read_clock()
-        seconds = limit_wait(call.route.aim, call.timeout - started)
+        seconds = find_max_wait(call.route.aim, call.timeout - started)
         self._check_limits(call, placement, started + seconds)
 
         def find() -> InFlightRequest | None:
