--- a/libraries/decisions/src/bamboopier_decisions/forwarding/wait_queue.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/wait_queue.py
@@ -31,7 +31,7 @@
     return max(0.0, min(aim * AIM_SHARE, left * LEFT_SHARE))
 
 
-def draw_return(left: float, random: random.Random, room_in: float = 0.0) -> float:
+def draw_retry_after(left: float, random: random.Random, room_in: float = 0.0) -> float:
     """Return the seconds after which a refused request should come back.
 
     There is known to be no room for ``room_in`` seconds; a caller that came back before
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -10,7 +10,7 @@
 from bamboopier_daemon.clock import read_clock
 from bamboopier_decisions.forwarding.specs import RetrySafety
 from bamboopier_decisions.forwarding.placement import place
-from bamboopier_decisions.forwarding.wait_queue import draw_return, find_max_wait
+from bamboopier_decisions.forwarding.wait_queue import draw_retry_after, find_max_wait
 
 from .exchange import Cause
 from .refusals import CallerError, ErrorCode, Ran
@@ -202,7 +202,7 @@
             return CallerError(ErrorCode.OUTCOME_UNKNOWN, code.value, Ran.UNKNOWN)
         limited = placement.limited
         room_in = limited.next_at - now if limited.only and limited.count else 0.0
-        wait = draw_return(call.timeout - now, self._random, room_in)
+        wait = draw_retry_after(call.timeout - now, self._random, room_in)
         return CallerError(code, "no target has room", Ran.NO, wait)
 
     def _check_currency(self, call: Call, now: float) -> None:
@@ -277,7 +277,7 @@
         now = read_clock()
         # The caller may wait longer than its route allows, and come back.
         end = call.timeout if now < call.timeout else call.deadline
-        wait = draw_return(max(0.0, end - now), self._random)
+        wait = draw_retry_after(max(0.0, end - now), self._random)
         raise CallerError(ErrorCode.OVERLOADED, result.cause.value, Ran.NO, wait)
 
     def _may_send_again(
