--- a/libraries/decisions/src/bamboopier_decisions/forwarding/watch_position.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/watch_position.py
@@ -29,7 +29,7 @@
         self.revision = revision
         self._later: deque[tuple[float, int]] = deque()
 
-    def note_unchanged(self, made: float, read: float, revision: int) -> float:
+    def record_unchanged(self, made: float, read: float, revision: int) -> float:
         """Take an empty answer, and return until when it proves that nothing changed.
 
         It was made at ``made`` at the earliest and at ``read`` at the latest.
--- a/libraries/decisions/tests/forwarding/test_watch_position.py
+++ b/libraries/decisions/tests/forwarding/test_watch_position.py
@@ -21,13 +21,13 @@
         # The change has revision 15 and is made at 101.0. The answers until 101.9 leave
         # it out and go on beyond it; one made at 102.4 would tell it.
         for made, revision in ((100.8, 12), (101.6, 20), (101.9, 22)):
-            position.note_unchanged(made, made, revision)
+            position.record_unchanged(made, made, revision)
             self.assertLess(position.revision, 15)
 
     def test_an_answer_proves_nothing_of_the_second_before_it(self) -> None:
         # Guards against a key that was taken away in that second being trusted on.
         position = WatchPosition(10)
-        proved = position.note_unchanged(100.0 + WAIT, 101.5, 20)
+        proved = position.record_unchanged(100.0 + WAIT, 101.5, 20)
         self.assertAlmostEqual(proved, 100.0 + WAIT - BLIND_SECONDS)
 
     def test_the_revision_goes_on_so_that_the_history_is_never_lost(self) -> None:
@@ -36,7 +36,7 @@
         position = WatchPosition(10)
         for count in range(10):
             made = 100.0 + count * WAIT
-            position.note_unchanged(made, made, 20 + count)
+            position.record_unchanged(made, made, 20 + count)
         self.assertEqual(position.revision, 27)
 
 
--- a/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
@@ -131,7 +131,7 @@
             return self._take_changes(asked, batch)
         # Without a change it is made at the end of the wait.
         made = min(asked + seconds, now)
-        self._intake.confirm(position.note_unchanged(made, now, batch.revision))
+        self._intake.confirm(position.record_unchanged(made, now, batch.revision))
         self._choose_wait(prompt=False)
         return True
 
