--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
@@ -93,7 +93,7 @@
         self._own_named_at = now
         return self._take_named(now, now, per_second, now)
 
-    def note_unnamed(self, sent_at: float) -> bool:
+    def record_no_limit(self, sent_at: float) -> bool:
         """Take in an answer without a limit to a request sent at ``sent_at``.
 
         Returns whether that ends a limit.
--- a/libraries/decisions/tests/forwarding/test_rate_limit.py
+++ b/libraries/decisions/tests/forwarding/test_rate_limit.py
@@ -89,7 +89,7 @@
     def test_an_answer_that_names_none_ends_it(self) -> None:
         limit = RateLimit()
         self.assertTrue(limit.note_named(10.0, 2.0))
-        self.assertTrue(limit.note_unnamed(10.5))
+        self.assertTrue(limit.record_no_limit(10.5))
         self.assertTrue(limit.may_send(10.6, 1000, None))
 
     def test_an_answer_to_an_older_request_does_not_end_it(self) -> None:
@@ -97,7 +97,7 @@
         # word of it.
         limit = RateLimit()
         limit.note_named(10.0, 2.0)
-        self.assertFalse(limit.note_unnamed(9.9))
+        self.assertFalse(limit.record_no_limit(9.9))
         self.assertTrue(limit.in_force)
 
     def test_it_holds_without_an_end_while_nothing_is_heard(self) -> None:
--- a/libraries/proxy/src/bamboopier_proxy/limit_notes.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_notes.py
@@ -26,7 +26,7 @@
         log.warning("limit not read", target=state.entry.name, request_id=request_id)
         return
     if said.limit_per_second is None:
-        changed = state.limit.note_unnamed(sent_at)
+        changed = state.limit.record_no_limit(sent_at)
     else:
         changed = state.limit.note_named(read_clock(), said.limit_per_second)
     if changed:
--- a/libraries/proxy/tests/test_limit_hints.py
+++ b/libraries/proxy/tests/test_limit_hints.py
@@ -62,7 +62,7 @@
         self.pass_on(other, 100.2)
         self.assertTrue(find_limit(other, "i-1").in_force)
         self.assertEqual(find_limit(other, "i-1").per_second, 1.5)
-        find_limit(self.told, "i-1").note_unnamed(101.0)
+        find_limit(self.told, "i-1").record_no_limit(101.0)
         self.pass_on(other, 101.2)
         self.assertFalse(find_limit(other, "i-1").in_force)
 
