--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -100,9 +100,9 @@
         """Take a newer entry of the same start."""
         self.entry = entry
         for model, version in entry.versions.items():
-            self.note_version(model, version)
+            self.record_version(model, version)
 
-    def note_version(self, model: str, version: int) -> None:
+    def record_version(self, model: str, version: int) -> None:
         """Take in a weight version; a change empties the engine's cache."""
         known = self.versions.get(model, 0)
         if version > known:
--- a/libraries/decisions/tests/forwarding/test_fleet.py
+++ b/libraries/decisions/tests/forwarding/test_fleet.py
@@ -68,7 +68,7 @@
         state = self.fleet.find("i-1")
         assert state is not None
         state.parts.add(make_prompt("s1"))
-        state.note_version(MODEL, 2)
+        state.record_version(MODEL, 2)
         self.assertEqual(state.parts.count_cached(make_prompt("s1")), 0)
 
     def test_memory_of_shared_parts_is_counted_once(self) -> None:
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -256,6 +256,6 @@
     def _note_marks(self, call: Call, sent: InFlightRequest, said: AnswerMarks) -> None:
         state = sent.state
         if call.prompt is not None and said.weight_version and not said.misdirected:
-            state.note_version(call.prompt.model, said.weight_version)
+            state.record_version(call.prompt.model, said.weight_version)
         if said.cold_seconds > 0:
             state.cold.start(read_clock(), said.cold_seconds)
--- a/libraries/proxy/src/bamboopier_proxy/gossip.py
+++ b/libraries/proxy/src/bamboopier_proxy/gossip.py
@@ -212,7 +212,7 @@
         state.busy_until = now + hint.busy_ms / 1000
         state.short_answers_until = now + hint.short_ms / 1000
         if hint.version:
-            state.note_version(hint.model, hint.version)
+            state.record_version(hint.model, hint.version)
         if is_known:
             return
         log.info(
