--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -173,7 +173,7 @@
         state.standing.note_sent()
         return InFlightRequest(state, load, prompt)
 
-    def note_read(self, sent: InFlightRequest) -> None:
+    def record_prefilled(self, sent: InFlightRequest) -> None:
         """Take in that the prompt has been read: the first event came."""
         sent.state.own.unread -= sent.load.unread
         sent.load.unread = 0
--- a/libraries/decisions/tests/forwarding/test_load_pattern.py
+++ b/libraries/decisions/tests/forwarding/test_load_pattern.py
@@ -100,7 +100,7 @@
         while events and events[0][0] <= now:
             _, _, kind, fleet, sent = heapq.heappop(events)
             if kind == "read":
-                fleet.note_read(sent)
+                fleet.record_prefilled(sent)
             else:
                 fleet.end(sent)
         if now - told >= HINT_SECONDS:
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -224,7 +224,7 @@
                 if not result.first_byte:
                     result.first_byte = read_clock() - started
                     self._begins.note_begun(wait)
-                    self._fleet.note_read(sent)
+                    self._fleet.record_prefilled(sent)
                 if not delivery.begun:
                     await delivery.begin(answer.status, answer.headers)
                 await delivery.write(whole)
