--- a/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
@@ -70,7 +70,7 @@
         self._join(model)
         return True
 
-    def learn_age(
+    def record_publish_time(
         self, model: str, version: int, since: float, *, guessed: bool = False
     ) -> None:
         """Take in the earliest time, or the guess, that somebody wrote down."""
--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -58,11 +58,11 @@
         # would send on older weights until after their time.
         weights = WeightVersions(12.0)
         weights.name("m", 2, 100.0)
-        weights.learn_age("m", 2, 104.0, guessed=True)
+        weights.record_publish_time("m", 2, 104.0, guessed=True)
         self.assertEqual(weights.find_since("m"), 100.0)
         # One that starts knows nothing better.
         fresh = WeightVersions(12.0)
-        fresh.learn_age("m", 2, 104.0, guessed=True)
+        fresh.record_publish_time("m", 2, 104.0, guessed=True)
         fresh.name("m", 2, UNKNOWN)
         self.assertEqual(fresh.find_since("m"), 104.0)
 
@@ -72,7 +72,7 @@
         weights = WeightVersions(12.0)
         for number in range(1, 1001):
             weights.name("m", number, number * 60.0)
-            weights.learn_age("m", number, number * 60.0)
+            weights.record_publish_time("m", number, number * 60.0)
             weights.find_oldest_allowed(number * 60.0 + 30.0, "m")
         self.assertLessEqual(weights.count_versions("m"), 3)
         self.assertEqual(weights.find_oldest_allowed(60_030.0, "m"), 1000)
@@ -83,11 +83,11 @@
         # All gateways lose power ten seconds after new weights were named. One that
         # starts finds the version, and knows from the store since when it is named.
         weights = WeightVersions(12.0)
-        weights.learn_age("m", 3, 90.0)
+        weights.record_publish_time("m", 3, 90.0)
         weights.name("m", 3, UNKNOWN)
         self.assertEqual(weights.find_oldest_allowed(100.0, "m"), 3)
         fresh = WeightVersions(12.0)
-        fresh.learn_age("m", 3, 98.0)
+        fresh.record_publish_time("m", 3, 98.0)
         fresh.name("m", 3, UNKNOWN)
         self.assertEqual(fresh.find_oldest_allowed(100.0, "m"), 0)
 
@@ -96,9 +96,9 @@
         # The store shows version 3 alone, but the time of version 2 ends first: what
         # has neither may not serve until version 3's time is over.
         weights = WeightVersions(12.0)
-        weights.learn_age("m", 3, 104.0)
-        weights.learn_age("m", 2, 100.0)
-        weights.learn_age("other", 2, 0.0)
+        weights.record_publish_time("m", 3, 104.0)
+        weights.record_publish_time("m", 2, 100.0)
+        weights.record_publish_time("other", 2, 0.0)
         weights.name("m", 3, UNKNOWN)
         self.assertEqual(weights.find_oldest_allowed(106.0, "m"), 0)
         self.assertEqual(weights.find_oldest_allowed(112.0, "m"), 2)
@@ -132,14 +132,14 @@
         weights = WeightVersions(12.0)
         weights.name("m", 2, 80.0)
         self.assertEqual(weights.find_oldest_allowed(100.0, "m"), 2)
-        weights.learn_age("m", 2, 95.0)
+        weights.record_publish_time("m", 2, 95.0)
         self.assertEqual(weights.find_oldest_allowed(100.0, "m"), 0)
         self.assertEqual(weights.find_oldest_allowed(104.5, "m"), 2)
 
     def test_a_vaguer_time_changes_nothing(self) -> None:
         weights = WeightVersions(12.0)
         weights.name("m", 2, 100.0)
-        weights.learn_age("m", 2, 97.0)
+        weights.record_publish_time("m", 2, 97.0)
         self.assertEqual(weights.find_since("m"), 100.0)
 
     def test_an_older_version_is_not_named_again(self) -> None:
--- a/libraries/proxy/src/bamboopier_proxy/weight_ages.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_ages.py
@@ -192,7 +192,7 @@
 
     def _learn(self, entry: _Entry) -> None:
         since = read_clock() - entry.age
-        self._weights.learn_age(
+        self._weights.record_publish_time(
             entry.model, entry.version, since, guessed=entry.guessed
         )
         log.info(
