--- a/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
@@ -77,7 +77,7 @@
         self._ages.setdefault(model, {})[version] = NamingTime(since, guessed)
         self._join(model)
 
-    def has_unknown_age(self) -> bool:
+    def has_unknown_publish_time(self) -> bool:
         """Say whether nothing is known of when one of the newest was named."""
         return any(self.find_since(model) == float("-inf") for model in self._heard)
 
--- a/libraries/proxy/src/bamboopier_proxy/weight_ages.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_ages.py
@@ -162,7 +162,7 @@
         """
         await loaded.wait()
         await asyncio.sleep(SETTLE_SECONDS)
-        if self._weights.has_unknown_age():
+        if self._weights.has_unknown_publish_time():
             await self.learn()
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
