--- a/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
@@ -86,7 +86,7 @@
         heard = self._heard.get(model, {}).get(version)
         return heard is not None and heard.guessed
 
-    def is_written(self, model: str, version: int) -> bool:
+    def is_recorded(self, model: str, version: int) -> bool:
         """Say whether somebody wrote down when a version was named."""
         return version in self._ages.get(model, {})
 
--- a/libraries/proxy/src/bamboopier_proxy/weight_ages.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_ages.py
@@ -173,7 +173,7 @@
     async def _learn_of(self, model: str, version: int) -> None:
         """Read until somebody has had the time to write a version down."""
         await self.learn()
-        if not self._weights.is_written(model, version):
+        if not self._weights.is_recorded(model, version):
             await asyncio.sleep(SETTLE_SECONDS)
             await self.learn()
 
