--- a/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
@@ -51,7 +51,7 @@
         # Both together.
         self._named: dict[str, dict[int, float]] = {}
 
-    def set_allowed(self, seconds: float) -> None:
+    def set_grace(self, seconds: float) -> None:
         """Take another time for which older versions may serve."""
         self._allowed = seconds
 
--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -112,7 +112,7 @@
             watch = SettingsWatch(
                 settings,
                 read_settings,
-                lambda changed: weights.set_allowed(changed.version_seconds),
+                lambda changed: weights.set_grace(changed.version_seconds),
             )
             await stack.enter_async_context(keep_running(watch.run()))
             # An agent follows no configuration, only the weights that are named.
