--- a/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NamingTime:
+class PublishTime:
     """When a version was named, as somebody knows it."""
 
     # It was not named before this, or that is a guess.
@@ -45,9 +45,9 @@
     def __init__(self, allowed_seconds: float) -> None:
         self._allowed = allowed_seconds
         # The versions of each model that this process heard of.
-        self._heard: dict[str, dict[int, NamingTime]] = {}
+        self._heard: dict[str, dict[int, PublishTime]] = {}
         # The earliest times at which they may have been named, as others wrote them.
-        self._ages: dict[str, dict[int, NamingTime]] = {}
+        self._ages: dict[str, dict[int, PublishTime]] = {}
         # Both together.
         self._named: dict[str, dict[int, float]] = {}
 
@@ -66,7 +66,7 @@
         """
         if version <= self.find_newest(model):
             return False
-        self._heard.setdefault(model, {})[version] = NamingTime(since, guessed)
+        self._heard.setdefault(model, {})[version] = PublishTime(since, guessed)
         self._join(model)
         return True
 
@@ -74,7 +74,7 @@
         self, model: str, version: int, since: float, *, guessed: bool = False
     ) -> None:
         """Take in the earliest time, or the guess, that somebody wrote down."""
-        self._ages.setdefault(model, {})[version] = NamingTime(since, guessed)
+        self._ages.setdefault(model, {})[version] = PublishTime(since, guessed)
         self._join(model)
 
     def has_unknown_publish_time(self) -> bool:
@@ -151,7 +151,7 @@
         self._named[model] = named
 
 
-def _choose_time(known: NamingTime | None, written: NamingTime) -> float:
+def _choose_time(known: PublishTime | None, written: PublishTime) -> float:
     """Return the earliest time of a naming by what is known here and was written.
 
     A guess may be too late: taken for more than a time that is known, it would let
