--- a/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
@@ -79,7 +79,7 @@
 
     def has_unknown_publish_time(self) -> bool:
         """Say whether nothing is known of when one of the newest was named."""
-        return any(self.find_since(model) == float("-inf") for model in self._heard)
+        return any(self.find_published_at(model) == float("-inf") for model in self._heard)
 
     def is_guessed(self, model: str, version: int) -> bool:
         """Say whether the time of a version is a guess."""
@@ -94,7 +94,7 @@
         """Return the newest version; 0 when none was named."""
         return max(self._heard.get(model, ()), default=0)
 
-    def find_since(self, model: str) -> float:
+    def find_published_at(self, model: str) -> float:
         """Return the earliest time at which the newest version may have been named.
 
         Minus infinity when none was named, or when nobody knows.
--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -59,12 +59,12 @@
         weights = WeightVersions(12.0)
         weights.name("m", 2, 100.0)
         weights.record_publish_time("m", 2, 104.0, guessed=True)
-        self.assertEqual(weights.find_since("m"), 100.0)
+        self.assertEqual(weights.find_published_at("m"), 100.0)
         # One that starts knows nothing better.
         fresh = WeightVersions(12.0)
         fresh.record_publish_time("m", 2, 104.0, guessed=True)
         fresh.name("m", 2, UNKNOWN)
-        self.assertEqual(fresh.find_since("m"), 104.0)
+        self.assertEqual(fresh.find_published_at("m"), 104.0)
 
     def test_versions_that_may_serve_no_more_are_forgotten(self) -> None:
         # Weights are named all day long for years, and every request looks through the
@@ -111,10 +111,10 @@
 
     def test_the_age_of_the_newest_version_is_told(self) -> None:
         weights = WeightVersions(12.0)
-        self.assertEqual(weights.find_since("m"), float("-inf"))
+        self.assertEqual(weights.find_published_at("m"), float("-inf"))
         weights.name("m", 2, 100.0)
         weights.name("m", 3, 104.0)
-        self.assertEqual(weights.find_since("m"), 104.0)
+        self.assertEqual(weights.find_published_at("m"), 104.0)
 
     def test_a_version_heard_of_late_gives_older_ones_no_more_time(self) -> None:
         # A gateway stood still for 3.3 s from 100.0 on, and hears of version 2 then. It
@@ -140,7 +140,7 @@
         weights = WeightVersions(12.0)
         weights.name("m", 2, 100.0)
         weights.record_publish_time("m", 2, 97.0)
-        self.assertEqual(weights.find_since("m"), 100.0)
+        self.assertEqual(weights.find_published_at("m"), 100.0)
 
     def test_an_older_version_is_not_named_again(self) -> None:
         weights = WeightVersions(12.0)
--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -178,7 +178,7 @@
         named = decoded.ok_value
         if not self._weights.name(named.model, named.version, since, guessed=guessed):
             return
-        age = read_clock() - self._weights.find_since(named.model)
+        age = read_clock() - self._weights.find_published_at(named.model)
         log.info(
             "weights named",
             model=named.model,
--- a/libraries/proxy/src/bamboopier_proxy/send_planner.py
+++ b/libraries/proxy/src/bamboopier_proxy/send_planner.py
@@ -56,7 +56,7 @@
         """
         if call.prompt is None:
             return None
-        age = now - self._weights.find_since(call.prompt.model)
+        age = now - self._weights.find_published_at(call.prompt.model)
         return round(age, 3) if age < float("inf") else None
 
     def make_marks(self, now: float, call: Call, sent: InFlightRequest) -> SendMarks:
--- a/libraries/proxy/src/bamboopier_proxy/weight_roller.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_roller.py
@@ -139,7 +139,7 @@
         heard, its target would load a turn or more after the others, and keep older
         weights until their time is over. What others wrote may be read after that.
         """
-        since = self._weights.find_since(wanted[0])
+        since = self._weights.find_published_at(wanted[0])
         return since if math.isfinite(since) else self._wanted_since
 
     def _has_turn(self, wanted: tuple[str, int]) -> bool:
--- a/libraries/proxy/tests/test_weight_ages.py
+++ b/libraries/proxy/tests/test_weight_ages.py
@@ -73,7 +73,7 @@
     async def test_who_knows_little_reads_what_others_wrote(self) -> None:
         self.let_others_have_written(age=1.0)
         await self.name(NOW - 9.0)
-        since = self.weights.find_since("m")
+        since = self.weights.find_published_at("m")
         self.assertAlmostEqual(since, NOW - 1.0 - ENTRY_ERROR_SECONDS)
 
     async def test_a_guess_that_cannot_be_written_is_corrected_by_what_others_wrote(
@@ -90,7 +90,7 @@
         with mock.patch("bamboopier_proxy.weight_ages.RETRY_SECONDS", 0.01):
             self.ages.note_named("m", 2, NOW)
             await self.ages.finish()
-        self.assertLessEqual(self.weights.find_since("m"), NOW - 10.0)
+        self.assertLessEqual(self.weights.find_published_at("m"), NOW - 10.0)
 
     async def test_what_is_guessed_is_written_as_a_guess(self) -> None:
         self.store.write.return_value = Ok(5)
@@ -104,7 +104,7 @@
         self.let_others_have_written(age=1.0)
         await self.name(NOW)
         self.store.list.assert_not_called()
-        self.assertEqual(self.weights.find_since("m"), NOW)
+        self.assertEqual(self.weights.find_published_at("m"), NOW)
 
     async def test_who_knows_little_learns_of_each_version_named_meanwhile(
         self,
@@ -208,7 +208,7 @@
         # callers get older ones until 12.4 s after the naming.
         self.let_others_have_written(age=9.0 - 2 * CLOCK_ERROR_SECONDS)
         await self.name(NOW - 9.2)
-        self.assertLessEqual(self.weights.find_since("m"), NOW - 9.0)
+        self.assertLessEqual(self.weights.find_published_at("m"), NOW - 9.0)
 
 
 class SharedAgesTests(unittest.IsolatedAsyncioTestCase):
--- a/libraries/proxy/tests/test_weights_observer.py
+++ b/libraries/proxy/tests/test_weights_observer.py
@@ -65,7 +65,7 @@
 
     def test_what_a_watch_tells_was_named_just_now(self) -> None:
         self.tell(2)
-        self.assertEqual(self.weights.find_since("m"), 100.0)
+        self.assertEqual(self.weights.find_published_at("m"), 100.0)
         self.changed.assert_called_once_with(NamedWeights("m", 2), 100.0)
 
     def test_what_was_told_during_a_pause_may_be_as_old_as_that(self) -> None:
@@ -73,13 +73,13 @@
         # reads then, and says nothing of when the version was named.
         self.now = 103.3
         self.tell(2)
-        self.assertEqual(self.weights.find_since("m"), 100.0)
+        self.assertEqual(self.weights.find_published_at("m"), 100.0)
         self.assertEqual(self.log.info.call_args.kwargs["age_seconds"], 3.3)
 
     def test_a_list_after_a_silent_watch_goes_back_to_its_start(self) -> None:
         self.list(1, NEVER)
         self.list(2, 98.5)
-        self.assertEqual(self.weights.find_since("m"), 98.5)
+        self.assertEqual(self.weights.find_published_at("m"), 98.5)
         self.changed.assert_called_once_with(NamedWeights("m", 2), 98.5)
 
     def test_the_first_list_says_nothing_of_when(self) -> None:
@@ -92,7 +92,7 @@
         self.tell(2)
         self.now = 108.0
         self.list(2, 106.0)
-        self.assertEqual(self.weights.find_since("m"), 100.0)
+        self.assertEqual(self.weights.find_published_at("m"), 100.0)
 
 
 class FollowedWeightsTests(unittest.IsolatedAsyncioTestCase):
