--- a/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
@@ -20,7 +20,7 @@
 # Seconds before that end from which a request that has not begun is taken back: its
 # target may be suspended, or full, for longer than the time above covers. They cover a
 # look at what waits, the way to the target, and a first answer that is on its way.
-WAIT_END_SECONDS = 0.5
+WAIT_MARGIN_SECONDS = 0.5
 
 
 # Versions whose time is over that are kept: the newest of them is the bound, and the
@@ -108,7 +108,7 @@
 
     def find_oldest_waiting(self, now: float, model: str) -> int:
         """Return the oldest version for which a request may still wait at a target."""
-        return self._find_oldest(now, model, WAIT_END_SECONDS)
+        return self._find_oldest(now, model, WAIT_MARGIN_SECONDS)
 
     def _find_oldest(self, now: float, model: str, left: float) -> int:
         versions = self._named.get(model)
--- a/libraries/proxy/tests/test_begin_watch.py
+++ b/libraries/proxy/tests/test_begin_watch.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from bamboopier_decisions.forwarding.weight_versions import (
-    WAIT_END_SECONDS,
+    WAIT_MARGIN_SECONDS,
     WeightVersions,
 )
 from bamboopier_proxy.begin_watch import BeginWatch, Wait
@@ -15,7 +15,7 @@
 ALLOWED_SECONDS = 12.0
 NAMED = 100.0
 # The time of older weights is nearly over.
-END = NAMED + ALLOWED_SECONDS - WAIT_END_SECONDS
+END = NAMED + ALLOWED_SECONDS - WAIT_MARGIN_SECONDS
 
 
 class BeginWatchTests(unittest.TestCase):
