--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
@@ -20,7 +20,7 @@
 
 # Seconds after a store's last answer for which beliefs hold: two questions and the
 # pause between them, so that one answer that is late changes nothing.
-TRUST_SECONDS = 1.6
+UPDATE_VALID_SECONDS = 1.6
 # Seconds after a store's start was first seen before anything is written there. It is
 # longer than the trust in an answer, so that fetches from before the start have ended.
 SETTLE_SECONDS = 2.5
@@ -167,7 +167,7 @@
 
     def trusts(self, now: float) -> bool:
         """Say whether beliefs still hold."""
-        return now - self._heard < TRUST_SECONDS
+        return now - self._heard < UPDATE_VALID_SECONDS
 
     def can_save(self, now: float, tokens: int) -> bool:
         """Say whether a part of so many tokens may be written."""
@@ -213,7 +213,7 @@
 
     def find_fetch_deadline_ms(self, now: float) -> int:
         """Return until when a fetch may go on, on the engines' clock."""
-        left = self._heard + TRUST_SECONDS - now
+        left = self._heard + UPDATE_VALID_SECONDS - now
         age = now - self._heard
         # The answer named the clock at its making, which is not before it was asked.
         return self.clock_ms + int((age + left) * 1000) if self.clock_ms else 0
--- a/libraries/decisions/tests/forwarding/test_part_store_index.py
+++ b/libraries/decisions/tests/forwarding/test_part_store_index.py
@@ -6,7 +6,7 @@
 
 from bamboopier_decisions.forwarding.part_store_index import (
     SETTLE_SECONDS,
-    TRUST_SECONDS,
+    UPDATE_VALID_SECONDS,
     PartStoreIndex,
     PartChange,
     PartUpdate,
@@ -61,7 +61,7 @@
         # cannot have started anew and been written to; then nothing is fetched.
         hear(self.kept, 0.0, 7)
         hear(self.kept, 10.0, 7, *PARTS)
-        before, after = 9.99 + TRUST_SECONDS, 10.01 + TRUST_SECONDS
+        before, after = 9.99 + UPDATE_VALID_SECONDS, 10.01 + UPDATE_VALID_SECONDS
         self.assertEqual(self.kept.count_fetched(before, SCOPE, PARTS), 9112)
         self.assertEqual(self.kept.count_fetched(after, SCOPE, PARTS), 0)
         self.assertIsNone(self.kept.plan(after, SCOPE, PARTS, 1))
@@ -91,8 +91,8 @@
         store = self.kept.find("10.0.0.1:1")
         assert store is not None
         store.take(10.0, 11.0, PartUpdate(7, 500_000, ()))
-        self.assertTrue(store.trusts(9.99 + TRUST_SECONDS))
-        self.assertFalse(store.trusts(10.01 + TRUST_SECONDS))
+        self.assertTrue(store.trusts(9.99 + UPDATE_VALID_SECONDS))
+        self.assertFalse(store.trusts(10.01 + UPDATE_VALID_SECONDS))
         store.take(13.0, 14.0, PartUpdate(7, 503_000, ()))
         self.assertFalse(store.can_save(10.99 + SETTLE_SECONDS, 500))
         self.assertTrue(store.can_save(11.01 + SETTLE_SECONDS, 500))
--- a/libraries/proxy/tests/test_part_relay.py
+++ b/libraries/proxy/tests/test_part_relay.py
@@ -12,7 +12,7 @@
 
 from bamboopier_decisions.forwarding.part_store_index import (
     SETTLE_SECONDS,
-    TRUST_SECONDS,
+    UPDATE_VALID_SECONDS,
     PartStoreIndex,
     PartChange,
     PartUpdate,
@@ -110,7 +110,7 @@
         self.now += 1.0
         await self.ask()
         self.assertTrue(self.has("p"))
-        self.now += TRUST_SECONDS - 1.0
+        self.now += UPDATE_VALID_SECONDS - 1.0
         self.assertFalse(self.has("p"))
 
     async def test_a_store_that_restarts_is_believed_to_be_empty(self) -> None:
