--- a/libraries/decisions/tests/forwarding/builders.py
+++ b/libraries/decisions/tests/forwarding/builders.py
@@ -85,7 +85,7 @@
         "services": (WeightedService(VANS),),
         "max_targets": 2,
         "public": False,
-        "carries_prompt": False,
+        "has_prompt": False,
     }
     return Route(**{**fields, **changes})
 
--- a/libraries/proxy/tests/test_waiting_room.py
+++ b/libraries/proxy/tests/test_waiting_room.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.fleet import InFlightRequest
 
-PLACE = cast("Sent", object())
+PLACE = cast("InFlightRequest", object())
 
 
 class WaitingRoomTests(unittest.IsolatedAsyncioTestCase):
