--- a/libraries/decisions/src/bamboopier_decisions/forwarding/configuration_freshness.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/configuration_freshness.py
@@ -18,27 +18,27 @@
     All times are on a clock that also counts while the machine is suspended.
     """
 
-    __slots__ = ("_limit", "proved_at")
+    __slots__ = ("_limit", "confirmed_at")
 
     def __init__(self, limit: float | None) -> None:
         # Seconds after which a key may have been taken away; None for no such bound.
         self._limit = limit
-        self.proved_at = float("-inf")
+        self.confirmed_at = float("-inf")
 
     def set_limit(self, limit: float | None) -> None:
         """Take another bound."""
         self._limit = limit
 
-    def prove(self, asked_at: float) -> None:
+    def confirm(self, asked_at: float) -> None:
         """Take in that the configuration was current at ``asked_at``."""
-        self.proved_at = max(self.proved_at, asked_at)
+        self.confirmed_at = max(self.confirmed_at, asked_at)
 
     def find_age(self, now: float) -> float:
         """Return the seconds since the last proof."""
-        return now - self.proved_at
+        return now - self.confirmed_at
 
     def covers(self, now: float) -> bool:
         """Say whether a request with a key may be passed on at ``now``."""
         if self._limit is None:
-            return self.proved_at > float("-inf")
+            return self.confirmed_at > float("-inf")
         return self.find_age(now) < self._limit - SEND_MARGIN
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -123,20 +123,20 @@
         # been taken away at 10.1, so at 15 the proof is five seconds old.
         currency = ConfigurationFreshness(5.0)
         self.assertFalse(currency.covers(1.0))
-        currency.prove(10.0)
+        currency.confirm(10.0)
         self.assertTrue(currency.covers(14.0))
         self.assertFalse(currency.covers(15.0 - SEND_MARGIN))
 
     def test_an_older_proof_takes_nothing_back(self) -> None:
         currency = ConfigurationFreshness(5.0)
-        currency.prove(10.0)
-        currency.prove(3.0)
+        currency.confirm(10.0)
+        currency.confirm(3.0)
         self.assertTrue(currency.covers(14.0))
 
     def test_without_a_bound_one_proof_is_enough(self) -> None:
         currency = ConfigurationFreshness(None)
         self.assertFalse(currency.covers(1.0))
-        currency.prove(0.0)
+        currency.confirm(0.0)
         self.assertTrue(currency.covers(1e6))
 
 
--- a/libraries/proxy/src/bamboopier_proxy/knowledge.py
+++ b/libraries/proxy/src/bamboopier_proxy/knowledge.py
@@ -47,7 +47,7 @@
                 in_force=self.version,
             )
             return
-        self.currency.prove(asked_at)
+        self.currency.confirm(asked_at)
         if declared.version == self.version and self.table is not None:
             return
         self.table = RouteTable(declared)
@@ -64,4 +64,4 @@
     def confirm(self, version: int, asked_at: float) -> None:
         """Take in that ``version`` was still current at ``asked_at``."""
         if version == self.version and self.table is not None:
-            self.currency.prove(asked_at)
+            self.currency.confirm(asked_at)
--- a/libraries/proxy/tests/test_configuration_intake.py
+++ b/libraries/proxy/tests/test_configuration_intake.py
@@ -40,7 +40,7 @@
     def test_the_same_revision_proves_again(self) -> None:
         self.take(10, b"3", 100.0)
         self.assertTrue(self.take(10, b"3", 104.0))
-        self.assertEqual(self.knowledge.currency.proved_at, 104.0)
+        self.assertEqual(self.knowledge.currency.confirmed_at, 104.0)
 
     def test_an_older_revision_from_another_gateway_proves_nothing(self) -> None:
         # Another gateway's answer was held up on its way: it has the version before,
@@ -48,7 +48,7 @@
         self.take(11, b"4", 100.0)
         self.assertFalse(self.take(10, b"3", 104.0))
         self.assertEqual(self.knowledge.version, 4)
-        self.assertEqual(self.knowledge.currency.proved_at, 100.0)
+        self.assertEqual(self.knowledge.currency.confirmed_at, 100.0)
 
     def test_what_cannot_be_decoded_is_not_handed_on(self) -> None:
         # A broken value lies in the store. What is in force stays, is no longer proved
@@ -56,7 +56,7 @@
         self.take(10, b"3", 100.0)
         self.assertTrue(self.take(11, b"broken", 104.0))
         self.assertEqual(self.knowledge.version, 3)
-        self.assertEqual(self.knowledge.currency.proved_at, 100.0)
+        self.assertEqual(self.knowledge.currency.confirmed_at, 100.0)
         assert self.intake.stored is not None
         self.assertEqual(self.intake.stored.value, b"3")
 
