--- a/libraries/decisions/src/bamboopier_decisions/forwarding/configuration_freshness.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/configuration_freshness.py
@@ -37,7 +37,7 @@
         """Return the seconds since the last proof."""
         return now - self.confirmed_at
 
-    def covers(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         """Say whether a request with a key may be passed on at ``now``."""
         if self._limit is None:
             return self.confirmed_at > float("-inf")
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -122,22 +122,22 @@
         # The answer to a question of second 10 arrives at second 14. A key could have
         # been taken away at 10.1, so at 15 the proof is five seconds old.
         currency = ConfigurationFreshness(5.0)
-        self.assertFalse(currency.covers(1.0))
+        self.assertFalse(currency.is_fresh(1.0))
         currency.confirm(10.0)
-        self.assertTrue(currency.covers(14.0))
-        self.assertFalse(currency.covers(15.0 - SEND_MARGIN))
+        self.assertTrue(currency.is_fresh(14.0))
+        self.assertFalse(currency.is_fresh(15.0 - SEND_MARGIN))
 
     def test_an_older_proof_takes_nothing_back(self) -> None:
         currency = ConfigurationFreshness(5.0)
         currency.confirm(10.0)
         currency.confirm(3.0)
-        self.assertTrue(currency.covers(14.0))
+        self.assertTrue(currency.is_fresh(14.0))
 
     def test_without_a_bound_one_proof_is_enough(self) -> None:
         currency = ConfigurationFreshness(None)
-        self.assertFalse(currency.covers(1.0))
+        self.assertFalse(currency.is_fresh(1.0))
         currency.confirm(0.0)
-        self.assertTrue(currency.covers(1e6))
+        self.assertTrue(currency.is_fresh(1e6))
 
 
 class StandingTests(unittest.TestCase):
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -209,7 +209,7 @@
         """Refuse a request with a key once the key may have been taken away."""
         if call.workspace is None:
             return
-        if self._knowledge.currency.covers(now):
+        if self._knowledge.currency.is_fresh(now):
             return
         if call.may_have_run:
             message = "the configuration became too old to send this again"
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -92,7 +92,7 @@
         return (
             not ingress.stopping
             and followers.loaded
-            and state.knowledge.currency.covers(read_clock())
+            and state.knowledge.currency.is_fresh(read_clock())
         )
 
     metrics.dropped_lines.set_function(lambda: open_log_sink().dropped)
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -162,7 +162,7 @@
     ) -> Workspace | None:
         if not table.needs_key or route.public:
             return None
-        if not self._knowledge.currency.covers(now):
+        if not self._knowledge.currency.is_fresh(now):
             raise make_stale_refusal(self._knowledge, now)
         workspace = table.find_workspace(marks.key) if marks.key else None
         if workspace is None:
--- a/libraries/proxy/tests/test_knowledge.py
+++ b/libraries/proxy/tests/test_knowledge.py
@@ -25,16 +25,16 @@
         self.knowledge.take(declare(7), 10.0, 10.1)
         self.knowledge.take(declare(5), 14.0, 14.1)
         self.assertEqual((self.knowledge.version, self.applied), (7, [7]))
-        self.assertFalse(self.knowledge.currency.covers(15.0))
+        self.assertFalse(self.knowledge.currency.is_fresh(15.0))
 
     def test_only_the_version_in_force_is_confirmed(self) -> None:
         # Another gateway answers that its own, newer version is current. That says
         # nothing of the older one here: a key may be missing in the newer.
         self.knowledge.take(declare(7), 10.0, 10.1)
         self.knowledge.confirm(8, 14.0)
-        self.assertFalse(self.knowledge.currency.covers(15.0))
+        self.assertFalse(self.knowledge.currency.is_fresh(15.0))
         self.knowledge.confirm(7, 14.0)
-        self.assertTrue(self.knowledge.currency.covers(15.0))
+        self.assertTrue(self.knowledge.currency.is_fresh(15.0))
 
 
 if __name__ == "__main__":
