--- a/libraries/decisions/src/bamboopier_decisions/forwarding/configuration_freshness.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/configuration_freshness.py
@@ -25,7 +25,7 @@
         self._limit = limit
         self.confirmed_at = float("-inf")
 
-    def set_limit(self, limit: float | None) -> None:
+    def set_max_age(self, limit: float | None) -> None:
         """Take another bound."""
         self._limit = limit
 
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -52,7 +52,7 @@
 
     def take_settings(self, changed: ProxySettings) -> None:
         """Take the bounds of changed settings."""
-        self.knowledge.currency.set_limit(changed.key_seconds)
+        self.knowledge.currency.set_max_age(changed.key_seconds)
         self.weights.set_grace(changed.version_seconds)
         self.shares.set_bounds(changed.retries)
 
