--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
@@ -23,7 +23,7 @@
 UPDATE_VALID_SECONDS = 1.6
 # Seconds after a store's start was first seen before anything is written there. It is
 # longer than the trust in an answer, so that fetches from before the start have ended.
-SETTLE_SECONDS = 2.5
+SAVE_HOLD_OFF_SECONDS = 2.5
 # A store is taken for full at this share of its room: what does not fit is lost.
 FULL_SHARE = 0.97
 # Parts below this many tokens are read anew: a fetch waits some ms before it begins.
@@ -171,7 +171,7 @@
 
     def can_save(self, now: float, tokens: int) -> bool:
         """Say whether a part of so many tokens may be written."""
-        settled = now - self._since >= SETTLE_SECONDS
+        settled = now - self._since >= SAVE_HOLD_OFF_SECONDS
         room = self._held + tokens <= self.capacity * FULL_SHARE
         return settled and room and self.trusts(now)
 
--- a/libraries/decisions/tests/forwarding/test_part_store_index.py
+++ b/libraries/decisions/tests/forwarding/test_part_store_index.py
@@ -5,7 +5,7 @@
 import unittest
 
 from bamboopier_decisions.forwarding.part_store_index import (
-    SETTLE_SECONDS,
+    SAVE_HOLD_OFF_SECONDS,
     UPDATE_VALID_SECONDS,
     PartStoreIndex,
     PartChange,
@@ -82,7 +82,7 @@
             hear(other, now, 8)
             self.assertIsNone(other.plan(now, SCOPE, PARTS, 1))
             now += 0.1
-        self.assertLess(fetch_end, 10.0 + SETTLE_SECONDS)
+        self.assertLess(fetch_end, 10.0 + SAVE_HOLD_OFF_SECONDS)
 
     def test_an_answer_that_is_read_late_is_taken_on_the_safe_side(self) -> None:
         # The gateway is suspended with a question open. What it was told ends as if the
@@ -94,8 +94,8 @@
         self.assertTrue(store.trusts(9.99 + UPDATE_VALID_SECONDS))
         self.assertFalse(store.trusts(10.01 + UPDATE_VALID_SECONDS))
         store.take(13.0, 14.0, PartUpdate(7, 503_000, ()))
-        self.assertFalse(store.can_save(10.99 + SETTLE_SECONDS, 500))
-        self.assertTrue(store.can_save(11.01 + SETTLE_SECONDS, 500))
+        self.assertFalse(store.can_save(10.99 + SAVE_HOLD_OFF_SECONDS, 500))
+        self.assertTrue(store.can_save(11.01 + SAVE_HOLD_OFF_SECONDS, 500))
 
     def test_a_new_start_holds_nothing(self) -> None:
         hear(self.kept, 0.0, 7)
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -12,7 +12,7 @@
 
 from bamboopier_daemon.clock import read_clock
 from bamboopier_decisions.forwarding.part_store_index import (
-    SETTLE_SECONDS,
+    SAVE_HOLD_OFF_SECONDS,
     PartStoreIndex,
     PartUpdate,
 )
@@ -112,7 +112,7 @@
         assert store is not None
         self.assertEqual(store.epoch, 2)
         # The start was seen at 104.0 for the first time.
-        self.assertFalse(store.can_save(104.0 + SETTLE_SECONDS / 2, 1000))
+        self.assertFalse(store.can_save(104.0 + SAVE_HOLD_OFF_SECONDS / 2, 1000))
 
 
 class FollowerTests(unittest.IsolatedAsyncioTestCase):
--- a/libraries/proxy/tests/test_part_relay.py
+++ b/libraries/proxy/tests/test_part_relay.py
@@ -11,7 +11,7 @@
 from result import Ok, Result
 
 from bamboopier_decisions.forwarding.part_store_index import (
-    SETTLE_SECONDS,
+    SAVE_HOLD_OFF_SECONDS,
     UPDATE_VALID_SECONDS,
     PartStoreIndex,
     PartChange,
@@ -129,7 +129,7 @@
         store = self.other.find(ADDRESS)
         assert store is not None
         self.assertFalse(store.can_save(self.now, 500))
-        self.now += SETTLE_SECONDS
+        self.now += SAVE_HOLD_OFF_SECONDS
         self.hear(7)
         self.other.set_stores({})
         self.other.set_stores({ADDRESS: 1_000_000})
@@ -158,7 +158,7 @@
                 seen = self.now
                 self.pass_time(rest)
                 await self.ask()
-                for now in (seen + SETTLE_SECONDS - 1e-6, seen + SETTLE_SECONDS + 1):
+                for now in (seen + SAVE_HOLD_OFF_SECONDS - 1e-6, seen + SAVE_HOLD_OFF_SECONDS + 1):
                     # It still answers, under the same start.
                     other.take(now, now, PartUpdate(epoch, 5000, ()))
                     self.assertEqual(other.can_save(now, 500), now > seen + 3)
@@ -171,14 +171,14 @@
         seen = self.now
         await self.ask()
         self.caller.travel = functools.partial(self.pass_time, 0.001)
-        while self.now < seen + SETTLE_SECONDS - 0.1:
+        while self.now < seen + SAVE_HOLD_OFF_SECONDS - 0.1:
             self.hear(7)
             await self.ask()
             self.pass_time(0.1)
         store = self.other.find(ADDRESS)
         assert store is not None
-        self.assertFalse(store.can_save(seen + SETTLE_SECONDS - 1e-6, 500))
-        self.assertTrue(store.can_save(seen + SETTLE_SECONDS + 0.01, 500))
+        self.assertFalse(store.can_save(seen + SAVE_HOLD_OFF_SECONDS - 1e-6, 500))
+        self.assertTrue(store.can_save(seen + SAVE_HOLD_OFF_SECONDS + 0.01, 500))
 
     async def test_another_gateway_counts_in_its_own_way(self) -> None:
         # The gateway that was asked is gone; another one has seen the same changes in
@@ -266,10 +266,10 @@
         await self.ask(self.slow, SECOND)
         self.assertFalse(self.saves("new"))
         # From then on the store is known as from any answer of its new start.
-        while self.now < self.began + SETTLE_SECONDS:
+        while self.now < self.began + SAVE_HOLD_OFF_SECONDS:
             self.hear(self.slow, self.latest)
             await self.ask(self.slow, SECOND)
-            self.assertEqual(self.saves("new"), self.now >= self.began + SETTLE_SECONDS)
+            self.assertEqual(self.saves("new"), self.now >= self.began + SAVE_HOLD_OFF_SECONDS)
 
     async def test_a_start_later_than_the_known_one_is_taken(self) -> None:
         # The other one has heard more by now, and of one more start.
