--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -22,7 +22,7 @@
 
 # Seconds after the store's return in which an entry that is missing may only have
 # lapsed while the store was away: targets that live are listed again within two.
-RETURN_SECONDS = 2.2
+STORE_RECOVERY_SECONDS = 2.2
 # Targets without an entry whose limits are remembered.
 MAX_FORMER = 64
 # For ``store_recovered_at``: the store was not away.
@@ -150,7 +150,7 @@
         state = self._states.get(name)
         if state is None:
             return
-        until = store_recovered_at + RETURN_SECONDS
+        until = store_recovered_at + STORE_RECOVERY_SECONDS
         if now < until and not state.entry.leaving:
             self._missing.setdefault(name, until)
             return
--- a/libraries/decisions/tests/forwarding/test_fleet.py
+++ b/libraries/decisions/tests/forwarding/test_fleet.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from bamboopier_decisions.forwarding.fleet import RETURN_SECONDS
+from bamboopier_decisions.forwarding.fleet import STORE_RECOVERY_SECONDS
 
 from .builders import DESK, MODEL, make_entry, make_fleet, make_prompt
 
@@ -27,14 +27,14 @@
     def test_after_an_outage_a_missing_entry_keeps_two_seconds(self) -> None:
         self.fleet.replace(10.0, [make_entry("i-2")], store_recovered_at=10.0)
         self.assertEqual(self.list_names(10.1), ["i-1", "i-2"])
-        self.assertEqual(self.list_names(10.0 + RETURN_SECONDS), ["i-2"])
+        self.assertEqual(self.list_names(10.0 + STORE_RECOVERY_SECONDS), ["i-2"])
 
     def test_one_that_goes_later_keeps_no_longer_than_from_the_return(self) -> None:
         self.fleet.remove(11.5, "i-1", store_recovered_at=10.0)
         self.assertEqual(self.list_names(11.6), ["i-1", "i-2"])
-        self.assertEqual(self.list_names(10.0 + RETURN_SECONDS), ["i-2"])
-        self.fleet.remove(10.0 + RETURN_SECONDS, "i-2", store_recovered_at=10.0)
-        self.assertEqual(self.list_names(10.0 + RETURN_SECONDS), [])
+        self.assertEqual(self.list_names(10.0 + STORE_RECOVERY_SECONDS), ["i-2"])
+        self.fleet.remove(10.0 + STORE_RECOVERY_SECONDS, "i-2", store_recovered_at=10.0)
+        self.assertEqual(self.list_names(10.0 + STORE_RECOVERY_SECONDS), [])
 
     def test_an_entry_that_is_back_in_time_stays(self) -> None:
         self.fleet.replace(10.0, [make_entry("i-2")], store_recovered_at=10.0)
--- a/libraries/proxy/src/bamboopier_proxy/store_health.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_health.py
@@ -10,7 +10,7 @@
 
 from __future__ import annotations
 
-from bamboopier_decisions.forwarding.fleet import NEVER, RETURN_SECONDS
+from bamboopier_decisions.forwarding.fleet import NEVER, STORE_RECOVERY_SECONDS
 
 # Shorter gaps cannot make entries lapse: a target has three heartbeats before.
 LEAST_AWAY_SECONDS = 1.0
@@ -83,7 +83,7 @@
 
     def is_returning(self, now: float) -> bool:
         """Say whether missing entries may come back."""
-        return now - self.find_return(now) < RETURN_SECONDS
+        return now - self.find_return(now) < STORE_RECOVERY_SECONDS
 
     def _is_away(self, now: float) -> bool:
         # At the return a watch may tell of entries that lapsed before any other call
