--- a/libraries/decisions/src/bamboopier_decisions/forwarding/circuit_breaker.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/circuit_breaker.py
@@ -20,7 +20,7 @@
 UNREACHABLE_PAUSE = 0.3
 
 
-class Standing:
+class CircuitBreaker:
     """One target's recent answers."""
 
     __slots__ = ("_pause", "_probing", "_share", "_until")
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -170,7 +170,7 @@
         state.own.add(load)
         state.cold.note_sent(now)
         state.limit.note_sent(now)
-        state.standing.note_sent()
+        state.circuit_breaker.note_sent()
         return InFlightRequest(state, load, prompt)
 
     def record_prefilled(self, sent: InFlightRequest) -> None:
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -208,7 +208,7 @@
 
 
 def _may_try(now: float, fleet: Fleet, state: TargetState) -> bool:
-    if now < state.busy_until or not state.standing.may_try(now):
+    if now < state.busy_until or not state.circuit_breaker.may_try(now):
         return False
     rate = state.service.cold_per_second
     return rate <= 0 or state.cold.may_send(now, rate, fleet.gateways, fleet.place)
@@ -286,7 +286,7 @@
 
     def expect(state: TargetState) -> float:
         outside = 0.0 if state.entry.data_centre == data_centre else OUTSIDE_SECONDS
-        failing = state.standing.failure_rate * FAILING_SECONDS
+        failing = state.circuit_breaker.failure_rate * FAILING_SECONDS
         chance = random.random() * 1e-4
         if prompt is None:
             return state.requests / state.slots + outside + failing + chance
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -9,7 +9,7 @@
 from .cold_start_limit import ColdStartLimit, hash_phase
 from .part_cache_estimate import PartCacheEstimate
 from .rate_limit import RateLimit
-from .circuit_breaker import Standing
+from .circuit_breaker import CircuitBreaker
 
 if TYPE_CHECKING:
     from .specs import ServiceSpec, TargetEntry
@@ -52,7 +52,7 @@
         "pinned",
         "service",
         "short_answers_until",
-        "standing",
+        "circuit_breaker",
         "versions",
     )
 
@@ -62,7 +62,7 @@
         self.own = Load()
         self.others = Load()
         self.blind = GatewayHeadroom()
-        self.standing = Standing()
+        self.circuit_breaker = CircuitBreaker()
         self.cold = ColdStartLimit(hash_phase(entry.name))
         self.limit = RateLimit(hash_phase(entry.name))
         # Until then it turns requests away, by its own word.
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -11,7 +11,7 @@
     SharedRetryBudget,
     SharedRetryBudgets,
 )
-from bamboopier_decisions.forwarding.circuit_breaker import Standing
+from bamboopier_decisions.forwarding.circuit_breaker import CircuitBreaker
 
 BOUNDS = RetryBudgetLimits(ratio=0.2, slack=54, window_seconds=10.0)
 
@@ -140,9 +140,9 @@
         self.assertTrue(currency.is_fresh(1e6))
 
 
-class StandingTests(unittest.TestCase):
+class CircuitBreakerTests(unittest.TestCase):
     def test_a_target_that_fails_half_is_passed_over(self) -> None:
-        standing = Standing()
+        standing = CircuitBreaker()
         for step in range(30):
             now = step * 0.05
             if not standing.may_try(now):
@@ -155,7 +155,7 @@
         self.assertFalse(standing.may_try(now))
 
     def test_few_failures_change_nothing(self) -> None:
-        standing = Standing()
+        standing = CircuitBreaker()
         for step in range(200):
             now = step * 0.05
             self.assertTrue(standing.may_try(now))
@@ -166,7 +166,7 @@
                 standing.note_answer()
 
     def test_it_is_tried_again_with_one_request(self) -> None:
-        standing = Standing()
+        standing = CircuitBreaker()
         standing.record_unreachable(0.0)
         self.assertFalse(standing.may_try(0.1))
         self.assertTrue(standing.may_try(1.0))
@@ -176,7 +176,7 @@
         self.assertTrue(standing.may_try(1.0))
 
     def test_a_failed_try_doubles_the_pause(self) -> None:
-        standing = Standing()
+        standing = CircuitBreaker()
         standing.record_unreachable(0.0)
         standing.note_sent()
         standing.note_failure(1.0)
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -101,7 +101,7 @@
                 result = await self._send(call, sent, delivery)
                 self._judge(call, sent, result)
             except BaseException:
-                sent.state.standing.record_inconclusive()
+                sent.state.circuit_breaker.record_inconclusive()
                 raise
             finally:
                 self._fleet.end(sent)
@@ -229,23 +229,23 @@
         now = read_clock()
         match result.cause:
             case Cause.NONE if result.failure is not None:
-                state.standing.note_failure(now)
+                state.circuit_breaker.note_failure(now)
             case Cause.NONE:
-                state.standing.note_answer()
+                state.circuit_breaker.note_answer()
             case Cause.CONNECT:
-                state.standing.record_unreachable(now)
+                state.circuit_breaker.record_unreachable(now)
             case Cause.NOT_RUN:
                 state.busy_until = now + TURNED_AWAY_SECONDS
-                state.standing.record_inconclusive()
+                state.circuit_breaker.record_inconclusive()
             case Cause.MISDIRECTED:
-                state.standing.record_inconclusive()
+                state.circuit_breaker.record_inconclusive()
                 if result.other_target:
                     # This start of the target is over; its entry only says so later.
                     state.busy_until = now + REPLACED_SECONDS
             case Cause.CLOSED | Cause.LATE | Cause.OUTDATED:
-                state.standing.record_inconclusive()
+                state.circuit_breaker.record_inconclusive()
             case Cause.BROKEN | Cause.UNSEALED | Cause.TIMEOUT:
-                state.standing.note_failure(now)
+                state.circuit_breaker.note_failure(now)
                 if result.cause is Cause.BROKEN and not result.status:
                     self._breaks.note_break(call.fingerprint, state.entry.name)
 
--- a/libraries/proxy/tests/test_sends.py
+++ b/libraries/proxy/tests/test_sends.py
@@ -56,7 +56,7 @@
         error = await self.expect_refusal()
         self.assertIs(error.ran, Ran.NO)
         self.assertFalse(self.lab.breaks.note_break.called)
-        standing = self.lab.fleet.list_targets("desk", 0.0)[0].standing
+        standing = self.lab.fleet.list_targets("desk", 0.0)[0].circuit_breaker
         self.assertEqual(standing.failure_rate, 0.0)
 
     async def test_a_caller_is_not_told_to_return_before_there_is_room(self) -> None:
