--- a/libraries/decisions/src/bamboopier_decisions/forwarding/circuit_breaker.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/circuit_breaker.py
@@ -37,7 +37,7 @@
         """Return the moving share of failures, 0 to 1."""
         return self._share
 
-    def may_try(self, now: float) -> bool:
+    def allows_request(self, now: float) -> bool:
         """Say whether a request may be sent."""
         if now < self._until:
             return False
@@ -48,7 +48,7 @@
         if self._pause > 0:
             self._probing = True
 
-    def note_answer(self) -> None:
+    def record_success(self) -> None:
         """Take in a whole answer."""
         self._share *= 1 - SHARE_WEIGHT
         self._probing = False
@@ -60,7 +60,7 @@
         """Take in an end that says nothing of the target."""
         self._probing = False
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Take in a request that the target failed."""
         self._share += (1 - self._share) * SHARE_WEIGHT
         was_probing = self._probing
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -145,43 +145,43 @@
         standing = CircuitBreaker()
         for step in range(30):
             now = step * 0.05
-            if not standing.may_try(now):
+            if not standing.allows_request(now):
                 break
             standing.note_sent()
             if step % 2:
-                standing.note_failure(now)
+                standing.record_failure(now)
             else:
-                standing.note_answer()
-        self.assertFalse(standing.may_try(now))
+                standing.record_success()
+        self.assertFalse(standing.allows_request(now))
 
     def test_few_failures_change_nothing(self) -> None:
         standing = CircuitBreaker()
         for step in range(200):
             now = step * 0.05
-            self.assertTrue(standing.may_try(now))
+            self.assertTrue(standing.allows_request(now))
             standing.note_sent()
             if step % 10 == 0:
-                standing.note_failure(now)
+                standing.record_failure(now)
             else:
-                standing.note_answer()
+                standing.record_success()
 
     def test_it_is_tried_again_with_one_request(self) -> None:
         standing = CircuitBreaker()
         standing.record_unreachable(0.0)
-        self.assertFalse(standing.may_try(0.1))
-        self.assertTrue(standing.may_try(1.0))
+        self.assertFalse(standing.allows_request(0.1))
+        self.assertTrue(standing.allows_request(1.0))
         standing.note_sent()
-        self.assertFalse(standing.may_try(1.0))
-        standing.note_answer()
-        self.assertTrue(standing.may_try(1.0))
+        self.assertFalse(standing.allows_request(1.0))
+        standing.record_success()
+        self.assertTrue(standing.allows_request(1.0))
 
     def test_a_failed_try_doubles_the_pause(self) -> None:
         standing = CircuitBreaker()
         standing.record_unreachable(0.0)
         standing.note_sent()
-        standing.note_failure(1.0)
-        self.assertFalse(standing.may_try(1.55))
-        self.assertTrue(standing.may_try(1.7))
+        standing.record_failure(1.0)
+        self.assertFalse(standing.allows_request(1.55))
+        self.assertTrue(standing.allows_request(1.7))
 
 
 if __name__ == "__main__":
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -229,9 +229,9 @@
         now = read_clock()
         match result.cause:
             case Cause.NONE if result.failure is not None:
-                state.circuit_breaker.note_failure(now)
+                state.circuit_breaker.record_failure(now)
             case Cause.NONE:
-                state.circuit_breaker.note_answer()
+                state.circuit_breaker.record_success()
             case Cause.CONNECT:
                 state.circuit_breaker.record_unreachable(now)
             case Cause.NOT_RUN:
@@ -245,7 +245,7 @@
             case Cause.CLOSED | Cause.LATE | Cause.OUTDATED:
                 state.circuit_breaker.record_inconclusive()
             case Cause.BROKEN | Cause.UNSEALED | Cause.TIMEOUT:
-                state.circuit_breaker.note_failure(now)
+                state.circuit_breaker.record_failure(now)
                 if result.cause is Cause.BROKEN and not result.status:
                     self._breaks.note_break(call.fingerprint, state.entry.name)
 
