--- a/libraries/decisions/src/bamboopier_decisions/forwarding/circuit_breaker.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/circuit_breaker.py
@@ -43,7 +43,7 @@
             return False
         return not (self._pause > 0 and self._probing)
 
-    def note_sent(self) -> None:
+    def record_sent(self) -> None:
         """Take in that a request was sent."""
         if self._pause > 0:
             self._probing = True
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/cold_start_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/cold_start_limit.py
@@ -78,7 +78,7 @@
         phase = self._phase + place / gateways
         return not self._sent and self._is_in_slot(now, part * SLOT_SHARE, phase)
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Count a request."""
         if self.is_cold(now):
             self._sent.append(now)
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -166,11 +166,11 @@
             load.unread = state.count_unread(prompt)
             load.memory = state.pin(prompt)
             state.parts.add(prompt)
-            state.blind.note_sent(now, load.unread, load.memory)
+            state.blind.record_sent(now, load.unread, load.memory)
         state.own.add(load)
-        state.cold.note_sent(now)
-        state.limit.note_sent(now)
-        state.circuit_breaker.note_sent()
+        state.cold.record_sent(now)
+        state.limit.record_sent(now)
+        state.circuit_breaker.record_sent()
         return InFlightRequest(state, load, prompt)
 
     def record_prefilled(self, sent: InFlightRequest) -> None:
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/gateway_headroom.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/gateway_headroom.py
@@ -32,7 +32,7 @@
         self._unread = 0
         self._memory = 0
 
-    def note_sent(self, now: float, unread: int, memory: int) -> None:
+    def record_sent(self, now: float, unread: int, memory: int) -> None:
         """Count a request."""
         self._sent.append((now, unread, memory))
         self._unread += unread
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
@@ -135,7 +135,7 @@
         missing = max(0.0, 1.0 - self._saved)
         return now + missing / self.part
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Count a request."""
         if not self.in_force:
             return
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -70,7 +70,7 @@
             now = step * 0.01
             for ramp in ramps:
                 if ramp.may_send(now, 18.0, 5):
-                    ramp.note_sent(now)
+                    ramp.record_sent(now)
                     sent.append(now)
         for start in range(200):
             inside = [t for t in sent if start * 0.01 <= t < start * 0.01 + 1]
@@ -106,7 +106,7 @@
             now = step * 0.01
             for place, ramp in enumerate(ramps):
                 if ramp.may_send(now, rate, gateways, place):
-                    ramp.note_sent(now)
+                    ramp.record_sent(now)
                     sent.append(now)
         return sent
 
@@ -114,7 +114,7 @@
         ramp = ColdStartLimit()
         for _ in range(100):
             self.assertTrue(ramp.may_send(5.0, 18.0, 1))
-            ramp.note_sent(5.0)
+            ramp.record_sent(5.0)
 
 
 class ConfigurationFreshnessTests(unittest.TestCase):
@@ -147,7 +147,7 @@
             now = step * 0.05
             if not standing.allows_request(now):
                 break
-            standing.note_sent()
+            standing.record_sent()
             if step % 2:
                 standing.record_failure(now)
             else:
@@ -159,7 +159,7 @@
         for step in range(200):
             now = step * 0.05
             self.assertTrue(standing.allows_request(now))
-            standing.note_sent()
+            standing.record_sent()
             if step % 10 == 0:
                 standing.record_failure(now)
             else:
@@ -170,7 +170,7 @@
         standing.record_unreachable(0.0)
         self.assertFalse(standing.allows_request(0.1))
         self.assertTrue(standing.allows_request(1.0))
-        standing.note_sent()
+        standing.record_sent()
         self.assertFalse(standing.allows_request(1.0))
         standing.record_success()
         self.assertTrue(standing.allows_request(1.0))
@@ -178,7 +178,7 @@
     def test_a_failed_try_doubles_the_pause(self) -> None:
         standing = CircuitBreaker()
         standing.record_unreachable(0.0)
-        standing.note_sent()
+        standing.record_sent()
         standing.record_failure(1.0)
         self.assertFalse(standing.allows_request(1.55))
         self.assertTrue(standing.allows_request(1.7))
--- a/libraries/decisions/tests/forwarding/test_rate_limit.py
+++ b/libraries/decisions/tests/forwarding/test_rate_limit.py
@@ -45,7 +45,7 @@
             if rests or generator.random() > chance:
                 continue
             if limit.may_send(now, gateways, place_):
-                limit.note_sent(now)
+                limit.record_sent(now)
                 sent.append(now)
     return sent
 
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -126,7 +126,7 @@
                 place = gateway.state.fleet.place
                 count = gateway.counted
                 if gateway.ramp.may_send(now, COLD_PER_SECOND, count, place):
-                    gateway.ramp.note_sent(now)
+                    gateway.ramp.record_sent(now)
                     sent += 1
         return sent
 
