--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
@@ -88,7 +88,7 @@
         """Return when this gateway itself last learnt something from an answer."""
         return max(self._own_named_at, self._own_ended_at)
 
-    def note_named(self, now: float, per_second: float) -> bool:
+    def record_limit(self, now: float, per_second: float) -> bool:
         """Take in an answer that names a limit; say whether that is new."""
         self._own_named_at = now
         return self._take_named(now, now, per_second, now)
--- a/libraries/decisions/tests/forwarding/test_rate_limit.py
+++ b/libraries/decisions/tests/forwarding/test_rate_limit.py
@@ -88,7 +88,7 @@
 class BeliefTests(unittest.TestCase):
     def test_an_answer_that_names_none_ends_it(self) -> None:
         limit = RateLimit()
-        self.assertTrue(limit.note_named(10.0, 2.0))
+        self.assertTrue(limit.record_limit(10.0, 2.0))
         self.assertTrue(limit.record_no_limit(10.5))
         self.assertTrue(limit.may_send(10.6, 1000, None))
 
@@ -96,21 +96,21 @@
         # Guards against a slow answer from before the need that comes after the first
         # word of it.
         limit = RateLimit()
-        limit.note_named(10.0, 2.0)
+        limit.record_limit(10.0, 2.0)
         self.assertFalse(limit.record_no_limit(9.9))
         self.assertTrue(limit.in_force)
 
     def test_it_holds_without_an_end_while_nothing_is_heard(self) -> None:
         # Guards against a gateway that was cut off and forgot it.
         limit = RateLimit()
-        limit.note_named(10.0, 0.5)
+        limit.record_limit(10.0, 0.5)
         limit.may_send(10.0, 100, 3)
         self.assertTrue(limit.in_force)
         self.assertFalse(limit.may_send(10_000.0, 100, None))
 
     def test_news_of_the_end_are_weighed_by_when_they_were_true(self) -> None:
         limit = RateLimit()
-        limit.note_named(10.0, 2.0)
+        limit.record_limit(10.0, 2.0)
         self.assertFalse(limit.apply_update(11.0, LimitUpdate(2.0, 8.0, 9.0, 8.0)))
         self.assertTrue(limit.in_force)
         self.assertTrue(limit.apply_update(11.0, LimitUpdate(2.0, 9.0, 10.2, 8.0)))
@@ -126,7 +126,7 @@
     def test_a_target_that_takes_nothing_is_tried_now_and_then(self) -> None:
         # Guards against a target that is never asked again whether it takes some.
         limit = RateLimit()
-        limit.note_named(10.0, 0.0)
+        limit.record_limit(10.0, 0.0)
         self.assertFalse(limit.may_send(11.0, 1, 0))
         self.assertTrue(limit.may_send(20.0, 1, 0))
 
@@ -137,7 +137,7 @@
         fleet = make_fleet([make_entry("a")])
         state = fleet.find("a")
         assert state is not None
-        state.limit.note_named(1.0, 1.5)
+        state.limit.record_limit(1.0, 1.5)
         fleet.remove(2.0, "a")
         self.assertIsNone(fleet.find("a"))
         fleet.put(5.0, make_entry("a", born=born))
@@ -159,7 +159,7 @@
         for name in limited:
             state = fleet.find(name)
             assert state is not None
-            state.limit.note_named(0.0, 0.5)
+            state.limit.record_limit(0.0, 0.5)
         demand = Demand(VANS, 0, None)
         wanted = WeightVersionRange()
         return place(0.1, fleet, demand, set(), wanted, "z1", random.Random(1))
--- a/libraries/proxy/src/bamboopier_proxy/limit_notes.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_notes.py
@@ -28,7 +28,7 @@
     if said.limit_per_second is None:
         changed = state.limit.record_no_limit(sent_at)
     else:
-        changed = state.limit.note_named(read_clock(), said.limit_per_second)
+        changed = state.limit.record_limit(read_clock(), said.limit_per_second)
     if changed:
         _log_limit(state, request_id=request_id)
 
--- a/libraries/proxy/tests/test_limit_hints.py
+++ b/libraries/proxy/tests/test_limit_hints.py
@@ -58,7 +58,7 @@
 
     def test_a_limit_and_its_end_reach_the_others(self) -> None:
         other = make_fleet(["i-1"], self.now)
-        find_limit(self.told, "i-1").note_named(100.0, 1.5)
+        find_limit(self.told, "i-1").record_limit(100.0, 1.5)
         self.pass_on(other, 100.2)
         self.assertTrue(find_limit(other, "i-1").in_force)
         self.assertEqual(find_limit(other, "i-1").per_second, 1.5)
@@ -69,13 +69,13 @@
     def test_another_start_of_the_target_has_no_limit(self) -> None:
         # Guards against a target that restarted under its name and is left idle.
         other = make_fleet(["i-1"], self.now, born=2)
-        find_limit(self.told, "i-1").note_named(100.0, 1.5)
+        find_limit(self.told, "i-1").record_limit(100.0, 1.5)
         self.pass_on(other, 100.2)
         self.assertFalse(find_limit(other, "i-1").in_force)
 
     def test_only_what_answers_said_lately_is_told(self) -> None:
         other = make_fleet(["i-1"], self.now)
-        find_limit(self.told, "i-1").note_named(100.0, 1.5)
+        find_limit(self.told, "i-1").record_limit(100.0, 1.5)
         self.pass_on(other, 100.2)
         again = LimitHints(other, random.Random(3))
         self.assertEqual(again.list_hints(100.3), [])
@@ -85,7 +85,7 @@
         names = [f"i-{n:010x}" for n in range(50)]
         fleet = make_fleet(names, self.now)
         for name in names:
-            find_limit(fleet, name).note_named(100.0, 1.5)
+            find_limit(fleet, name).record_limit(100.0, 1.5)
         hints = LimitHints(fleet, random.Random(1)).list_hints(100.1)
         self.assertEqual(len(hints), MAX_TARGETS)
         hint = LoadHint("g-1", 1, 1, [], [], hints)
@@ -94,7 +94,7 @@
     def test_what_cannot_be_read_changes_nothing(self) -> None:
         state = self.told.find("i-1")
         assert state is not None
-        state.limit.note_named(99.0, 1.5)
+        state.limit.record_limit(99.0, 1.5)
         said = AnswerMarks("r", True, False, False, "i-1", 0, 0.0, names_limit=True)
         note_limit(state, 99.5, said, "r")
         self.assertTrue(state.limit.in_force)
