--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
@@ -39,7 +39,7 @@
 
     per_second: float
     # When the target last named it, as an answer came.
-    named_at: float
+    reported_at: float
     # When a request was last sent whose answer named none.
     ended_at: float
     # Since when it has been named without an end.
@@ -53,9 +53,9 @@
         "_ended_at",
         "_filled_at",
         "_gateways",
-        "_named_at",
+        "_reported_at",
         "_own_ended_at",
-        "_own_named_at",
+        "_own_reported_at",
         "_phase",
         "_saved",
         "_sent_turn",
@@ -67,10 +67,10 @@
         # Where the first gateway's turns lie, from 0 to 1; differs by target.
         self._phase = phase
         self.per_second = math.inf
-        self._named_at = self._ended_at = NEVER
+        self._reported_at = self._ended_at = NEVER
         # The same by answers to this gateway alone: only these are told to others, so
         # that nobody's word comes back to it as news.
-        self._own_named_at = self._own_ended_at = NEVER
+        self._own_reported_at = self._own_ended_at = NEVER
         self._since = NEVER
         self._saved = 0.0
         self._filled_at = NEVER
@@ -81,16 +81,16 @@
     @property
     def in_force(self) -> bool:
         """Say whether the target names a limit, as far as is known."""
-        return self._named_at > self._ended_at
+        return self._reported_at > self._ended_at
 
     @property
     def last_response_at(self) -> float:
         """Return when this gateway itself last learnt something from an answer."""
-        return max(self._own_named_at, self._own_ended_at)
+        return max(self._own_reported_at, self._own_ended_at)
 
     def record_limit(self, now: float, per_second: float) -> bool:
         """Take in an answer that names a limit; say whether that is new."""
-        self._own_named_at = now
+        self._own_reported_at = now
         return self._take_named(now, now, per_second, now)
 
     def record_no_limit(self, sent_at: float) -> bool:
@@ -98,7 +98,7 @@
 
         Returns whether that ends a limit.
         """
-        if self._named_at == NEVER:
+        if self._reported_at == NEVER:
             return False
         self._own_ended_at = max(self._own_ended_at, sent_at)
         return self._take_ended(sent_at)
@@ -106,14 +106,14 @@
     def apply_update(self, now: float, news: LimitUpdate) -> bool:
         """Take what another gateway was told; say whether it changes anything."""
         ended = self._take_ended(news.ended_at)
-        if news.named_at <= max(news.ended_at, self._named_at):
+        if news.reported_at <= max(news.ended_at, self._reported_at):
             return ended
-        return self._take_named(now, news.named_at, news.per_second, news.since)
+        return self._take_named(now, news.reported_at, news.per_second, news.since)
 
     def make_update(self) -> LimitUpdate:
         """Return what this gateway was told itself."""
         return LimitUpdate(
-            self.per_second, self._own_named_at, self._own_ended_at, self._since
+            self.per_second, self._own_reported_at, self._own_ended_at, self._since
         )
 
     def may_send(self, now: float, gateways: int, place: int | None) -> bool:
@@ -159,7 +159,7 @@
         return self._gateways > self._rate + SAVING_GATEWAYS
 
     def _take_named(
-        self, now: float, named_at: float, per_second: float, since: float
+        self, now: float, reported_at: float, per_second: float, since: float
     ) -> bool:
         is_new = not self.in_force or per_second != self.per_second
         if not self.in_force:
@@ -169,7 +169,7 @@
             self._sent_turn = None
         else:
             self._since = min(self._since, since)
-        self._named_at = max(self._named_at, named_at)
+        self._reported_at = max(self._reported_at, reported_at)
         self.per_second = per_second
         return is_new and self.in_force
 
--- a/libraries/proxy/src/bamboopier_proxy/limit_hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_hints.py
@@ -61,7 +61,7 @@
         state.entry.name,
         state.entry.born,
         news.per_second,
-        _write_age(now, news.named_at),
+        _write_age(now, news.reported_at),
         _write_age(now, news.ended_at),
         _write_age(now, news.since) or 0,
     )
--- a/tools/safeguards/bounds.py
+++ b/tools/safeguards/bounds.py
@@ -79,8 +79,8 @@
     Mutation(
         "an answer to an older request ends no limit",
         _RATE,
-        "return self._named_at > self._ended_at",
-        "return self._ended_at == NEVER < self._named_at",
+        "return self._reported_at > self._ended_at",
+        "return self._ended_at == NEVER < self._reported_at",
         "libraries/decisions",
         f"{_RATE_TEST}.BeliefTests.test_an_answer_to_an_older_request_does_not_end_it",
     ),
@@ -95,8 +95,8 @@
     Mutation(
         "only what answers said is told to others",
         _RATE,
-        "return max(self._own_named_at, self._own_ended_at)",
-        "return max(self._named_at, self._ended_at)",
+        "return max(self._own_reported_at, self._own_ended_at)",
+        "return max(self._reported_at, self._ended_at)",
         "libraries/decisions",
         f"{_RATE_TEST}.BeliefTests.test_what_others_told_is_not_told_again",
     ),
