--- a/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
@@ -55,7 +55,7 @@
         """Take another time for which older versions may serve."""
         self._allowed = seconds
 
-    def name(
+    def record_published(
         self, model: str, version: int, since: float, *, guessed: bool = False
     ) -> bool:
         """Take in a named version; True if it is newer than those known.
--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -36,8 +36,8 @@
 class VersionTests(unittest.TestCase):
     def test_older_weights_serve_until_shortly_before_the_limit(self) -> None:
         weights = WeightVersions(12.0)
-        weights.name("m", 1, UNKNOWN)
-        weights.name("m", 2, 100.0)
+        weights.record_published("m", 1, UNKNOWN)
+        weights.record_published("m", 2, 100.0)
         self.assertEqual(weights.find_newest("m"), 2)
         self.assertEqual(weights.find_oldest_allowed(100.1, "m"), 1)
         self.assertEqual(weights.find_oldest_allowed(112.0 - END_SECONDS, "m"), 2)
@@ -46,8 +46,8 @@
         # Two versions are named four seconds apart. When the time of the first is over,
         # engines that have it may still serve, those that have neither may not.
         weights = WeightVersions(12.0)
-        weights.name("m", 2, 100.0)
-        weights.name("m", 3, 104.0)
+        weights.record_published("m", 2, 100.0)
+        weights.record_published("m", 3, 104.0)
         self.assertEqual(weights.find_oldest_allowed(112.0, "m"), 2)
         self.assertEqual(weights.find_oldest_allowed(116.0, "m"), 3)
 
@@ -57,13 +57,13 @@
         # the second knows that they may be five seconds old. By the other's guess it
         # would send on older weights until after their time.
         weights = WeightVersions(12.0)
-        weights.name("m", 2, 100.0)
+        weights.record_published("m", 2, 100.0)
         weights.record_publish_time("m", 2, 104.0, guessed=True)
         self.assertEqual(weights.find_published_at("m"), 100.0)
         # One that starts knows nothing better.
         fresh = WeightVersions(12.0)
         fresh.record_publish_time("m", 2, 104.0, guessed=True)
-        fresh.name("m", 2, UNKNOWN)
+        fresh.record_published("m", 2, UNKNOWN)
         self.assertEqual(fresh.find_published_at("m"), 104.0)
 
     def test_versions_that_may_serve_no_more_are_forgotten(self) -> None:
@@ -71,7 +71,7 @@
         # versions known: it would wait longer each day.
         weights = WeightVersions(12.0)
         for number in range(1, 1001):
-            weights.name("m", number, number * 60.0)
+            weights.record_published("m", number, number * 60.0)
             weights.record_publish_time("m", number, number * 60.0)
             weights.find_oldest_allowed(number * 60.0 + 30.0, "m")
         self.assertLessEqual(weights.count_versions("m"), 3)
@@ -84,11 +84,11 @@
         # starts finds the version, and knows from the store since when it is named.
         weights = WeightVersions(12.0)
         weights.record_publish_time("m", 3, 90.0)
-        weights.name("m", 3, UNKNOWN)
+        weights.record_published("m", 3, UNKNOWN)
         self.assertEqual(weights.find_oldest_allowed(100.0, "m"), 3)
         fresh = WeightVersions(12.0)
         fresh.record_publish_time("m", 3, 98.0)
-        fresh.name("m", 3, UNKNOWN)
+        fresh.record_published("m", 3, UNKNOWN)
         self.assertEqual(fresh.find_oldest_allowed(100.0, "m"), 0)
 
     def test_a_start_does_not_forget_versions_named_in_between(self) -> None:
@@ -99,21 +99,21 @@
         weights.record_publish_time("m", 3, 104.0)
         weights.record_publish_time("m", 2, 100.0)
         weights.record_publish_time("other", 2, 0.0)
-        weights.name("m", 3, UNKNOWN)
+        weights.record_published("m", 3, UNKNOWN)
         self.assertEqual(weights.find_oldest_allowed(106.0, "m"), 0)
         self.assertEqual(weights.find_oldest_allowed(112.0, "m"), 2)
         self.assertEqual(weights.find_oldest_allowed(116.0, "m"), 3)
 
     def test_a_version_of_unknown_age_is_taken_for_old(self) -> None:
         weights = WeightVersions(12.0)
-        weights.name("m", 3, UNKNOWN)
+        weights.record_published("m", 3, UNKNOWN)
         self.assertEqual(weights.find_oldest_allowed(100.0, "m"), 3)
 
     def test_the_age_of_the_newest_version_is_told(self) -> None:
         weights = WeightVersions(12.0)
         self.assertEqual(weights.find_published_at("m"), float("-inf"))
-        weights.name("m", 2, 100.0)
-        weights.name("m", 3, 104.0)
+        weights.record_published("m", 2, 100.0)
+        weights.record_published("m", 3, 104.0)
         self.assertEqual(weights.find_published_at("m"), 104.0)
 
     def test_a_version_heard_of_late_gives_older_ones_no_more_time(self) -> None:
@@ -121,8 +121,8 @@
         # may have been named right at the start: an older one served 9.4 s from when
         # the gateway heard would begin work 12.7 s after that.
         weights = WeightVersions(12.0)
-        weights.name("m", 1, UNKNOWN)
-        weights.name("m", 2, 100.0)
+        weights.record_published("m", 1, UNKNOWN)
+        weights.record_published("m", 2, 100.0)
         self.assertEqual(weights.find_oldest_allowed(103.3, "m"), 1)
         self.assertEqual(weights.find_oldest_allowed(109.5, "m"), 2)
 
@@ -130,7 +130,7 @@
         # The store turned a gateway away from 80.0 to 100.0. Alone it would refuse
         # every engine that has not loaded yet; others wrote when they heard.
         weights = WeightVersions(12.0)
-        weights.name("m", 2, 80.0)
+        weights.record_published("m", 2, 80.0)
         self.assertEqual(weights.find_oldest_allowed(100.0, "m"), 2)
         weights.record_publish_time("m", 2, 95.0)
         self.assertEqual(weights.find_oldest_allowed(100.0, "m"), 0)
@@ -138,14 +138,14 @@
 
     def test_a_vaguer_time_changes_nothing(self) -> None:
         weights = WeightVersions(12.0)
-        weights.name("m", 2, 100.0)
+        weights.record_published("m", 2, 100.0)
         weights.record_publish_time("m", 2, 97.0)
         self.assertEqual(weights.find_published_at("m"), 100.0)
 
     def test_an_older_version_is_not_named_again(self) -> None:
         weights = WeightVersions(12.0)
-        self.assertTrue(weights.name("m", 3, 0.0))
-        self.assertFalse(weights.name("m", 2, 1.0))
+        self.assertTrue(weights.record_published("m", 3, 0.0))
+        self.assertFalse(weights.record_published("m", 2, 1.0))
 
 
 class OrderTests(unittest.TestCase):
--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -176,7 +176,7 @@
             log.warning("entry set aside", key=key, reason=decoded.err_value)
             return
         named = decoded.ok_value
-        if not self._weights.name(named.model, named.version, since, guessed=guessed):
+        if not self._weights.record_published(named.model, named.version, since, guessed=guessed):
             return
         age = read_clock() - self._weights.find_published_at(named.model)
         log.info(
--- a/libraries/proxy/tests/test_begin_watch.py
+++ b/libraries/proxy/tests/test_begin_watch.py
@@ -21,7 +21,7 @@
 class BeginWatchTests(unittest.TestCase):
     def setUp(self) -> None:
         self.weights = WeightVersions(ALLOWED_SECONDS)
-        self.weights.name(MODEL, 2, NAMED)
+        self.weights.record_published(MODEL, 2, NAMED)
         self.begins = BeginWatch(self.weights)
 
     def wait(self, version: int, *, prompt: bool = True) -> Wait:
@@ -61,7 +61,7 @@
     def test_weights_named_while_it_waits_count(self) -> None:
         # Newer weights are named after the request was sent, on what was newest then.
         wait = self.wait(version=2)
-        self.weights.name(MODEL, 3, END)
+        self.weights.record_published(MODEL, 3, END)
         self.begins.look(END + ALLOWED_SECONDS)
         self.assertTrue(self.is_reset(wait))
 
--- a/libraries/proxy/tests/test_sends.py
+++ b/libraries/proxy/tests/test_sends.py
@@ -88,7 +88,7 @@
         # a second more. The connection takes 0.9 s, and a caller was answered on
         # weights that were to serve no longer.
         now = self.lab.clock.now
-        self.lab.weights.name(MODEL, 2, now - VERSION_SECONDS + 2.6 + 0.5)
+        self.lab.weights.record_published(MODEL, 2, now - VERSION_SECONDS + 2.6 + 0.5)
         self.pass_seconds(0.9)
         error = await self.expect_refusal(keyed=False, prompt=True)
         self.assertIs(error.ran, Ran.NO)
--- a/libraries/proxy/tests/test_weight_ages.py
+++ b/libraries/proxy/tests/test_weight_ages.py
@@ -49,7 +49,7 @@
 
     async def name(self, since: float) -> None:
         """Hear of version 2, named at ``since`` at the earliest."""
-        self.weights.name("m", 2, since)
+        self.weights.record_published("m", 2, since)
         self.ages.note_named("m", 2, since)
         await self.ages.finish()
 
@@ -86,7 +86,7 @@
         self.let_others_have_written(age=10.0)
         unavailable = PlatformUnavailableError("busy")
         self.store.write.return_value = Err(unavailable)
-        self.weights.name("m", 2, NOW, guessed=True)
+        self.weights.record_published("m", 2, NOW, guessed=True)
         with mock.patch("bamboopier_proxy.weight_ages.RETRY_SECONDS", 0.01):
             self.ages.note_named("m", 2, NOW)
             await self.ages.finish()
@@ -94,7 +94,7 @@
 
     async def test_what_is_guessed_is_written_as_a_guess(self) -> None:
         self.store.write.return_value = Ok(5)
-        self.weights.name("m", 2, NOW, guessed=True)
+        self.weights.record_published("m", 2, NOW, guessed=True)
         self.ages.note_named("m", 2, NOW)
         await self.ages.finish()
         value = self.store.write.call_args.args[1]
@@ -123,8 +123,8 @@
         }
         self.store.write.return_value = Err(VersionConflictError("", ABSENT, 5))
         self.store.list.return_value = Ok(Listing(5, tuple(entries.values())))
-        self.weights.name("m", 1, float("-inf"))
-        self.weights.name("m", 3, NOW - 15.0)
+        self.weights.record_published("m", 1, float("-inf"))
+        self.weights.record_published("m", 3, NOW - 15.0)
         self.ages.note_named("m", 3, NOW - 15.0)
         await self.ages.finish()
         self.assertEqual(self.weights.find_oldest_allowed(NOW + 1.0, "m"), 2)
