--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
@@ -121,7 +121,7 @@
         """Return the tokens believed to lie there."""
         return self._held
 
-    def take(self, asked_at: float, read_at: float, news: PartUpdate) -> bool:
+    def apply_update(self, asked_at: float, read_at: float, news: PartUpdate) -> bool:
         """Take an answer asked for and read at these times; True for a new start.
 
         Failure answered: a gateway is suspended for seconds with a question open, in
--- a/libraries/decisions/tests/forwarding/test_part_store_index.py
+++ b/libraries/decisions/tests/forwarding/test_part_store_index.py
@@ -20,7 +20,7 @@
     """Let every store answer, and say that these parts lie whole in it."""
     changes = tuple(PartChange(SCOPE, name, tokens) for name, tokens in parts)
     for store in kept.stores:
-        store.take(now, now, PartUpdate(epoch, int(now * 1000) + 500_000, changes))
+        store.apply_update(now, now, PartUpdate(epoch, int(now * 1000) + 500_000, changes))
 
 
 class PartStoreIndexTests(unittest.TestCase):
@@ -90,10 +90,10 @@
         # store had answered last.
         store = self.kept.find("10.0.0.1:1")
         assert store is not None
-        store.take(10.0, 11.0, PartUpdate(7, 500_000, ()))
+        store.apply_update(10.0, 11.0, PartUpdate(7, 500_000, ()))
         self.assertTrue(store.trusts(9.99 + UPDATE_VALID_SECONDS))
         self.assertFalse(store.trusts(10.01 + UPDATE_VALID_SECONDS))
-        store.take(13.0, 14.0, PartUpdate(7, 503_000, ()))
+        store.apply_update(13.0, 14.0, PartUpdate(7, 503_000, ()))
         self.assertFalse(store.can_save(10.99 + SAVE_HOLD_OFF_SECONDS, 500))
         self.assertTrue(store.can_save(11.01 + SAVE_HOLD_OFF_SECONDS, 500))
 
@@ -121,13 +121,13 @@
 
     def test_a_store_that_never_told_its_clock_has_no_order_of_starts(self) -> None:
         store = self.kept.stores[0]
-        store.take(10.0, 10.0, PartUpdate(7, 0, ()))
+        store.apply_update(10.0, 10.0, PartUpdate(7, 0, ()))
         self.assertFalse(store.is_outdated(PartUpdate(3, 0, ())))
 
     def test_a_store_without_a_clock_is_not_fetched_from(self) -> None:
         changes = tuple(PartChange(SCOPE, name, tokens) for name, tokens in PARTS)
         for store in self.kept.stores:
-            store.take(10.0, 10.0, PartUpdate(7, 0, changes))
+            store.apply_update(10.0, 10.0, PartUpdate(7, 0, changes))
         self.assertIsNone(self.kept.plan(10.1, SCOPE, PARTS, 1))
 
     def test_a_full_store_gets_nothing_more(self) -> None:
--- a/libraries/proxy/src/bamboopier_proxy/part_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_follower.py
@@ -139,7 +139,7 @@
                 await asyncio.sleep(RETRY_SECONDS)
                 continue
             found = answer.ok_value
-            if store.take(asked, read_clock(), found.news):
+            if store.apply_update(asked, read_clock(), found.news):
                 log.info("store regained", store=address, epoch=found.news.epoch)
                 # What lay there before its start is gone; ask from its beginning.
                 position = 0 if answered else found.position
--- a/libraries/proxy/src/bamboopier_proxy/part_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_relay.py
@@ -130,7 +130,7 @@
         )
         if store.is_outdated(news):
             return
-        store.take(asked_at - found.heard_ms / 1000, read_at, news)
+        store.apply_update(asked_at - found.heard_ms / 1000, read_at, news)
         self._positions[found.address] = found.position
 
 
--- a/libraries/proxy/tests/test_part_relay.py
+++ b/libraries/proxy/tests/test_part_relay.py
@@ -79,7 +79,7 @@
         """Let the store answer the gateway that asks it."""
         store = self.direct.find(ADDRESS)
         assert store is not None
-        store.take(self.now, self.now, PartUpdate(epoch, 5000, changes))
+        store.apply_update(self.now, self.now, PartUpdate(epoch, 5000, changes))
 
     async def ask(self) -> None:
         found = await self.relay.ask(FIRST)
@@ -154,13 +154,13 @@
                 self.caller.travel = functools.partial(self.pass_time, way)
                 asked = self.now
                 self.pass_time(late)
-                direct.take(asked, self.now, PartUpdate(epoch, 5000, ()))
+                direct.apply_update(asked, self.now, PartUpdate(epoch, 5000, ()))
                 seen = self.now
                 self.pass_time(rest)
                 await self.ask()
                 for now in (seen + SAVE_HOLD_OFF_SECONDS - 1e-6, seen + SAVE_HOLD_OFF_SECONDS + 1):
                     # It still answers, under the same start.
-                    other.take(now, now, PartUpdate(epoch, 5000, ()))
+                    other.apply_update(now, now, PartUpdate(epoch, 5000, ()))
                     self.assertEqual(other.can_save(now, 500), now > seen + 3)
 
     async def test_a_start_is_known_from_what_is_heard_of_it_later(self) -> None:
@@ -232,7 +232,7 @@
         store = kept.find(ADDRESS)
         assert store is not None
         clock_ms = int(self.now * 1000)
-        store.take(self.now, self.now, PartUpdate(epoch, clock_ms, changes))
+        store.apply_update(self.now, self.now, PartUpdate(epoch, clock_ms, changes))
 
     async def ask(self, kept: PartStoreIndex, gateway: Endpoint) -> None:
         """Let the third gateway ask one of the two."""
