--- a/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
@@ -50,7 +50,7 @@
         """Count a caller's request."""
         self._requests.append(now)
 
-    def take(self, now: float, gateways: int) -> bool:
+    def try_spend(self, now: float, gateways: int) -> bool:
         """Spend one repeat, with the slack divided by ``gateways``; False if none."""
         _drop_before(self._requests, now - self._window)
         _drop_before(self._repeats, now - self._window)
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -26,10 +26,10 @@
         # failures. Its next failing request is not sent again.
         shares = SharedRetryBudgets(BOUNDS)
         share = shares.find("desk")
-        self.assertTrue(share.take(1.0, 1))
+        self.assertTrue(share.try_spend(1.0, 1))
         shares.set_bounds(RetryBudgetLimits(ratio=0.2, slack=0, window_seconds=10.0))
         self.assertIs(shares.find("desk"), share)
-        self.assertFalse(share.take(1.1, 1))
+        self.assertFalse(share.try_spend(1.1, 1))
 
     def test_gateways_together_stay_within_the_bound(self) -> None:
         # Every request of a service fails and each of four gateways would repeat it.
@@ -41,7 +41,7 @@
             now = step * 0.01
             share = gateways[step % 4]
             share.record_request(now)
-            if share.take(now, 4):
+            if share.try_spend(now, 4):
                 repeats.append(now)
         for start in range(20):
             inside = [t for t in repeats if start <= t < start + 10]
@@ -53,7 +53,7 @@
         spent = 0
         for shares in ([SharedRetryBudget(BOUNDS) for _ in range(5)],):
             for share in shares:
-                while share.take(1.0, 4):
+                while share.try_spend(1.0, 4):
                     spent += 1
         self.assertLessEqual(spent, 54)
 
