--- a/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
@@ -38,9 +38,9 @@
     def __init__(self, bounds: RetryBudgetLimits) -> None:
         self._requests: deque[float] = deque()
         self._repeats: deque[float] = deque()
-        self.set_bounds(bounds)
+        self.set_limits(bounds)
 
-    def set_bounds(self, bounds: RetryBudgetLimits) -> None:
+    def set_limits(self, bounds: RetryBudgetLimits) -> None:
         """Take other bounds; what was counted goes on counting."""
         self._ratio = bounds.ratio * RATIO_SHARE
         self._slack = bounds.slack * SLACK_SHARE
@@ -77,11 +77,11 @@
             share = self._shares[service] = SharedRetryBudget(self._bounds)
         return share
 
-    def set_bounds(self, bounds: RetryBudgetLimits) -> None:
+    def set_limits(self, bounds: RetryBudgetLimits) -> None:
         """Take other bounds, also for the services that are already known."""
         self._bounds = bounds
         for share in self._shares.values():
-            share.set_bounds(bounds)
+            share.set_limits(bounds)
 
 
 def _drop_before(times: deque[float], start: float) -> None:
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -27,7 +27,7 @@
         shares = SharedRetryBudgets(BOUNDS)
         share = shares.find("desk")
         self.assertTrue(share.try_spend(1.0, 1))
-        shares.set_bounds(RetryBudgetLimits(ratio=0.2, slack=0, window_seconds=10.0))
+        shares.set_limits(RetryBudgetLimits(ratio=0.2, slack=0, window_seconds=10.0))
         self.assertIs(shares.find("desk"), share)
         self.assertFalse(share.try_spend(1.1, 1))
 
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -54,7 +54,7 @@
         """Take the bounds of changed settings."""
         self.knowledge.currency.set_max_age(changed.key_seconds)
         self.weights.set_grace(changed.version_seconds)
-        self.shares.set_bounds(changed.retries)
+        self.shares.set_limits(changed.retries)
 
     def take_count(self, count: int, place: int) -> None:
         """Take how many gateways share the bounds, and which of them this one is."""
