--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
@@ -158,7 +158,7 @@
         """
         return news.epoch != self.epoch and news.clock_ms < self.clock_ms
 
-    def lose(self) -> None:
+    def invalidate(self) -> None:
         """Take in that a call failed: the store may be starting anew."""
         self._forget()
         self.epoch = 0
--- a/libraries/decisions/tests/forwarding/test_part_store_index.py
+++ b/libraries/decisions/tests/forwarding/test_part_store_index.py
@@ -113,7 +113,7 @@
         for lost in (False, True):
             with self.subTest(lost=lost):
                 if lost:
-                    store.lose()
+                    store.invalidate()
                 self.assertTrue(store.is_outdated(PartUpdate(7, 510_900, ())))
                 self.assertFalse(store.is_outdated(PartUpdate(5, 511_100, ())))
         hear(self.kept, 12.0, 3)
--- a/libraries/proxy/src/bamboopier_proxy/part_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_follower.py
@@ -131,7 +131,7 @@
             if store is None:
                 return
             if isinstance(answer, Err):
-                store.lose()
+                store.invalidate()
                 position = 0
                 if answered:
                     log.warning("store lost", store=address, reason=answer.err_value)
