--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
@@ -165,7 +165,7 @@
         self._since = float("inf")
         self._heard = float("-inf")
 
-    def trusts(self, now: float) -> bool:
+    def is_current(self, now: float) -> bool:
         """Say whether beliefs still hold."""
         return now - self._heard < UPDATE_VALID_SECONDS
 
@@ -173,7 +173,7 @@
         """Say whether a part of so many tokens may be written."""
         settled = now - self._since >= SAVE_HOLD_OFF_SECONDS
         room = self._held + tokens <= self.capacity * FULL_SHARE
-        return settled and room and self.trusts(now)
+        return settled and room and self.is_current(now)
 
     def has(self, scope: str, part: str, tokens: int) -> bool:
         """Say whether the whole part lies there."""
@@ -285,7 +285,7 @@
         tokens = 0
         for name, size in parts:
             store = self.choose_store(name)
-            if store is None or not store.trusts(now):
+            if store is None or not store.is_current(now):
                 break
             if not store.has(scope, name, size):
                 break
@@ -306,7 +306,7 @@
         for name, tokens in parts:
             store = self.choose_store(name)
             fetched = saved = ""
-            if store is not None and tokens >= LEAST_TOKENS and store.trusts(now):
+            if store is not None and tokens >= LEAST_TOKENS and store.is_current(now):
                 limit = store.find_fetch_deadline_ms(now)
                 if store.has(scope, name, tokens) and limit:
                     fetched = store.address
--- a/libraries/decisions/tests/forwarding/test_part_store_index.py
+++ b/libraries/decisions/tests/forwarding/test_part_store_index.py
@@ -91,8 +91,8 @@
         store = self.kept.find("10.0.0.1:1")
         assert store is not None
         store.apply_update(10.0, 11.0, PartUpdate(7, 500_000, ()))
-        self.assertTrue(store.trusts(9.99 + UPDATE_VALID_SECONDS))
-        self.assertFalse(store.trusts(10.01 + UPDATE_VALID_SECONDS))
+        self.assertTrue(store.is_current(9.99 + UPDATE_VALID_SECONDS))
+        self.assertFalse(store.is_current(10.01 + UPDATE_VALID_SECONDS))
         store.apply_update(13.0, 14.0, PartUpdate(7, 503_000, ()))
         self.assertFalse(store.can_save(10.99 + SAVE_HOLD_OFF_SECONDS, 500))
         self.assertTrue(store.can_save(11.01 + SAVE_HOLD_OFF_SECONDS, 500))
--- a/libraries/proxy/src/bamboopier_proxy/part_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_relay.py
@@ -80,7 +80,7 @@
         news = [
             _describe(now, store, known.get(store.address))
             for store in self._kept.stores
-            if store.trusts(now)
+            if store.is_current(now)
         ]
         return web.Response(body=msgspec.msgpack.encode(news))
 
