--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
@@ -175,7 +175,7 @@
         room = self._held + tokens <= self.capacity * FULL_SHARE
         return settled and room and self.is_current(now)
 
-    def has(self, scope: str, part: str, tokens: int) -> bool:
+    def contains(self, scope: str, part: str, tokens: int) -> bool:
         """Say whether the whole part lies there."""
         return self._parts.get((scope, part)) == tokens
 
@@ -287,7 +287,7 @@
             store = self.choose_store(name)
             if store is None or not store.is_current(now):
                 break
-            if not store.has(scope, name, size):
+            if not store.contains(scope, name, size):
                 break
             tokens += size
         return tokens
@@ -308,7 +308,7 @@
             fetched = saved = ""
             if store is not None and tokens >= LEAST_TOKENS and store.is_current(now):
                 limit = store.find_fetch_deadline_ms(now)
-                if store.has(scope, name, tokens) and limit:
+                if store.contains(scope, name, tokens) and limit:
                     fetched = store.address
                     limits.append(limit)
                 elif store.can_save(now, tokens) and not store.is_saving(
--- a/libraries/proxy/tests/test_part_relay.py
+++ b/libraries/proxy/tests/test_part_relay.py
@@ -91,7 +91,7 @@
     def has(self, part: str) -> bool:
         store = self.other.find(ADDRESS)
         assert store is not None
-        return store.is_current(self.now) and store.has(SCOPE, part, 500)
+        return store.is_current(self.now) and store.contains(SCOPE, part, 500)
 
     async def test_changes_are_handed_on_once(self) -> None:
         self.hear(7, *(PartChange(SCOPE, f"p{n}", 500) for n in range(100)))
