--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -134,7 +134,7 @@
         state = TargetState(entry, spec)
         former = self._former.pop(entry.name, None)
         if former is not None and _is_same_start(former.entry, entry):
-            state.limit = former.limit
+            state.rate_limit = former.limit
         if entry.cold_seconds > 0:
             state.cold.start(now, entry.cold_seconds)
         self._states[entry.name] = state
@@ -169,7 +169,7 @@
             state.blind.record_sent(now, load.unread, load.memory)
         state.own.add(load)
         state.cold.record_sent(now)
-        state.limit.record_sent(now)
+        state.rate_limit.record_sent(now)
         state.circuit_breaker.record_sent()
         return InFlightRequest(state, load, prompt)
 
@@ -198,9 +198,9 @@
         lapses, and comes back. Its limit forgotten, it would get a burst from all
         gateways before the first of them is answered.
         """
-        if not state.limit.in_force:
+        if not state.rate_limit.in_force:
             return
-        self._former[state.entry.name] = _Former(state.entry, state.limit)
+        self._former[state.entry.name] = _Former(state.entry, state.rate_limit)
         if len(self._former) > MAX_FORMER:
             del self._former[next(iter(self._former))]
 
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -220,7 +220,7 @@
     """Return the targets that get nothing now by their own limits, and until when."""
     limited = {}
     for state in states:
-        next_at = state.limit.find_next(now, fleet.gateways, fleet.place)
+        next_at = state.rate_limit.find_next(now, fleet.gateways, fleet.place)
         if next_at > now:
             limited[state] = next_at
     return limited
@@ -231,7 +231,7 @@
         len(limited),
         len(limited) == untried,
         min(limited.values(), default=math.inf),
-        sum(state.limit.part for state in limited),
+        sum(state.rate_limit.part for state in limited),
     )
 
 
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -45,7 +45,7 @@
         "busy_until",
         "cold",
         "entry",
-        "limit",
+        "rate_limit",
         "own",
         "others",
         "parts",
@@ -64,7 +64,7 @@
         self.blind = GatewayHeadroom()
         self.circuit_breaker = CircuitBreaker()
         self.cold = ColdStartLimit(hash_phase(entry.name))
-        self.limit = RateLimit(hash_phase(entry.name))
+        self.rate_limit = RateLimit(hash_phase(entry.name))
         # Until then it turns requests away, by its own word.
         self.busy_until = float("-inf")
         # Until then it gets short answers only: it is about to load new weights.
--- a/libraries/decisions/tests/forwarding/test_load_pattern.py
+++ b/libraries/decisions/tests/forwarding/test_load_pattern.py
@@ -92,7 +92,7 @@
         for name, per_second in (limits or {}).items():
             state = fleet.find(name)
             assert state is not None
-            state.limit.record_limit(0.0, per_second)
+            state.rate_limit.record_limit(0.0, per_second)
     outcome = Outcome(by_engine=dict.fromkeys(names, 0))
     events: list[tuple[float, int, str, Fleet, InFlightRequest]] = []
     told = 0.0
--- a/libraries/decisions/tests/forwarding/test_rate_limit.py
+++ b/libraries/decisions/tests/forwarding/test_rate_limit.py
@@ -137,13 +137,13 @@
         fleet = make_fleet([make_entry("a")])
         state = fleet.find("a")
         assert state is not None
-        state.limit.record_limit(1.0, 1.5)
+        state.rate_limit.record_limit(1.0, 1.5)
         fleet.remove(2.0, "a")
         self.assertIsNone(fleet.find("a"))
         fleet.put(5.0, make_entry("a", born=born))
         again = fleet.find("a")
         assert again is not None
-        return again.limit
+        return again.rate_limit
 
     def test_a_limit_outlives_an_entry_that_lapsed(self) -> None:
         # Guards against a burst for a target in need that was cut off from the store.
@@ -159,7 +159,7 @@
         for name in limited:
             state = fleet.find(name)
             assert state is not None
-            state.limit.record_limit(0.0, 0.5)
+            state.rate_limit.record_limit(0.0, 0.5)
         demand = Demand(VANS, 0, None)
         wanted = WeightVersionRange()
         return place(0.1, fleet, demand, set(), wanted, "z1", random.Random(1))
--- a/libraries/proxy/src/bamboopier_proxy/limit_hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_hints.py
@@ -41,7 +41,7 @@
         told = [
             state
             for state in states
-            if state is not None and now - state.limit.last_response_at < TELL_SECONDS
+            if state is not None and now - state.rate_limit.last_response_at < TELL_SECONDS
         ]
         if len(told) > MAX_TARGETS:
             told = self._random.sample(told, MAX_TARGETS)
@@ -56,7 +56,7 @@
 
 
 def _make_hint(now: float, state: TargetState) -> TargetLimitHint:
-    news = state.limit.make_update()
+    news = state.rate_limit.make_update()
     return TargetLimitHint(
         state.entry.name,
         state.entry.born,
--- a/libraries/proxy/src/bamboopier_proxy/limit_notes.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_notes.py
@@ -26,21 +26,21 @@
         log.warning("limit not read", target=state.entry.name, request_id=request_id)
         return
     if said.limit_per_second is None:
-        changed = state.limit.record_no_limit(sent_at)
+        changed = state.rate_limit.record_no_limit(sent_at)
     else:
-        changed = state.limit.record_limit(read_clock(), said.limit_per_second)
+        changed = state.rate_limit.record_limit(read_clock(), said.limit_per_second)
     if changed:
         _log_limit(state, request_id=request_id)
 
 
 def take_limit_news(state: TargetState, news: LimitUpdate, sender: str) -> None:
     """Take in what another gateway was told."""
-    if state.limit.apply_update(read_clock(), news):
+    if state.rate_limit.apply_update(read_clock(), news):
         _log_limit(state, sender=sender)
 
 
 def _log_limit(state: TargetState, **origin: str) -> None:
-    limit = state.limit
+    limit = state.rate_limit
     if limit.in_force:
         event, per_second = "limit of a target", limit.per_second
         log.info(event, target=state.entry.name, per_second=per_second, **origin)
--- a/libraries/proxy/src/bamboopier_proxy/limit_records.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_records.py
@@ -111,14 +111,14 @@
     async def _write_all(self) -> None:
         for name in self._fleet.names:
             state = self._fleet.find(name)
-            if state is not None and state.limit.in_force:
+            if state is not None and state.rate_limit.in_force:
                 await self._write(name, state)
         for name in [n for n in self._known if not self._is_needed(n)]:
             await self._remove(name)
 
     def _is_needed(self, name: str) -> bool:
         state = self._fleet.find(name)
-        is_needed = state is not None and state.limit.in_force
+        is_needed = state is not None and state.rate_limit.in_force
         return is_needed or name in self._waiting or not self._writes(name)
 
     def _writes(self, name: str) -> bool:
@@ -126,7 +126,7 @@
         return any(self._roster.is_own(gateway) for gateway in first)
 
     async def _write(self, name: str, state: TargetState) -> None:
-        entry = LimitEntry(state.entry.born, state.limit.per_second)
+        entry = LimitEntry(state.entry.born, state.rate_limit.per_second)
         known, version = self._known.get(name, (None, ABSENT))
         if known is not None and _is_alike(known, entry) or not self._writes(name):
             return
--- a/libraries/proxy/tests/test_limit_hints.py
+++ b/libraries/proxy/tests/test_limit_hints.py
@@ -35,7 +35,7 @@
     """Return what is known of a target's limit."""
     state = fleet.find(name)
     assert state is not None
-    return state.limit
+    return state.rate_limit
 
 
 class LimitHintTests(unittest.TestCase):
@@ -94,11 +94,11 @@
     def test_what_cannot_be_read_changes_nothing(self) -> None:
         state = self.told.find("i-1")
         assert state is not None
-        state.limit.record_limit(99.0, 1.5)
+        state.rate_limit.record_limit(99.0, 1.5)
         said = AnswerMarks("r", True, False, False, "i-1", 0, 0.0, names_limit=True)
         note_limit(state, 99.5, said, "r")
-        self.assertTrue(state.limit.in_force)
-        self.assertEqual(state.limit.per_second, 1.5)
+        self.assertTrue(state.rate_limit.in_force)
+        self.assertEqual(state.rate_limit.per_second, 1.5)
 
 
 if __name__ == "__main__":
--- a/libraries/proxy/tests/test_sends.py
+++ b/libraries/proxy/tests/test_sends.py
@@ -63,7 +63,7 @@
         # Guards against a caller that is refused a second time by a target in need: it
         # takes the next request in two seconds.
         state = self.lab.fleet.list_targets("desk", 0.0)[0]
-        state.limit.record_limit(self.lab.clock.now, 0.5)
+        state.rate_limit.record_limit(self.lab.clock.now, 0.5)
         with self.assertRaises(CallerError) as caught:
             await self.lab.forward()
         self.assertIs(caught.exception.ran, Ran.NO)
