--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -125,7 +125,7 @@
         if state is not None and _is_same_start(state.entry, entry):
             cold = entry.cold_seconds
             if cold > state.entry.cold_seconds:
-                state.cold.start(now, cold)
+                state.cold_start.start(now, cold)
             state.renew(entry)
             return
         spec = self._services.get(entry.service)
@@ -136,7 +136,7 @@
         if former is not None and _is_same_start(former.entry, entry):
             state.rate_limit = former.limit
         if entry.cold_seconds > 0:
-            state.cold.start(now, entry.cold_seconds)
+            state.cold_start.start(now, entry.cold_seconds)
         self._states[entry.name] = state
         self._arrange()
 
@@ -168,7 +168,7 @@
             state.parts.add(prompt)
             state.blind.record_sent(now, load.unread, load.memory)
         state.own.add(load)
-        state.cold.record_sent(now)
+        state.cold_start.record_sent(now)
         state.rate_limit.record_sent(now)
         state.circuit_breaker.record_sent()
         return InFlightRequest(state, load, prompt)
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -211,7 +211,7 @@
     if now < state.busy_until or not state.circuit_breaker.allows_request(now):
         return False
     rate = state.service.cold_per_second
-    return rate <= 0 or state.cold.may_send(now, rate, fleet.gateways, fleet.place)
+    return rate <= 0 or state.cold_start.may_send(now, rate, fleet.gateways, fleet.place)
 
 
 def _find_limited(
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -43,7 +43,7 @@
     __slots__ = (
         "blind",
         "busy_until",
-        "cold",
+        "cold_start",
         "entry",
         "rate_limit",
         "own",
@@ -63,7 +63,7 @@
         self.others = Load()
         self.blind = GatewayHeadroom()
         self.circuit_breaker = CircuitBreaker()
-        self.cold = ColdStartLimit(hash_phase(entry.name))
+        self.cold_start = ColdStartLimit(hash_phase(entry.name))
         self.rate_limit = RateLimit(hash_phase(entry.name))
         # Until then it turns requests away, by its own word.
         self.busy_until = float("-inf")
--- a/libraries/decisions/tests/forwarding/test_fleet.py
+++ b/libraries/decisions/tests/forwarding/test_fleet.py
@@ -56,7 +56,7 @@
         again = self.fleet.find("i-1")
         assert again is not None
         self.assertEqual(again.parts.count_cached(make_prompt("s1")), 0)
-        self.assertTrue(again.cold.is_cold(7.9))
+        self.assertTrue(again.cold_start.is_cold(7.9))
         self.assertFalse(self.fleet.is_open(state, 5.0))
 
     def test_a_closed_data_centre_gets_nothing(self) -> None:
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -258,4 +258,4 @@
         if call.prompt is not None and said.weight_version and not said.misdirected:
             state.record_version(call.prompt.model, said.weight_version)
         if said.cold_seconds > 0:
-            state.cold.start(read_clock(), said.cold_seconds)
+            state.cold_start.start(read_clock(), said.cold_seconds)
