--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -167,7 +167,7 @@
             load.memory = state.pin(prompt)
             state.parts.add(prompt)
             state.blind.record_sent(now, load.unread, load.memory)
-        state.own.add(load)
+        state.own_load.add(load)
         state.cold_start.record_sent(now)
         state.rate_limit.record_sent(now)
         state.circuit_breaker.record_sent()
@@ -175,12 +175,12 @@
 
     def record_prefilled(self, sent: InFlightRequest) -> None:
         """Take in that the prompt has been read: the first event came."""
-        sent.state.own.unread -= sent.load.unread
+        sent.state.own_load.unread -= sent.load.unread
         sent.load.unread = 0
 
     def end(self, sent: InFlightRequest) -> None:
         """Take in that the request is over."""
-        own = sent.state.own
+        own = sent.state.own_load
         own.requests -= sent.load.requests
         if sent.prompt is not None:
             own.memory -= sent.state.unpin(sent.prompt)
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -46,7 +46,7 @@
         "cold_start",
         "entry",
         "rate_limit",
-        "own",
+        "own_load",
         "others",
         "parts",
         "pinned",
@@ -59,7 +59,7 @@
     def __init__(self, entry: TargetEntry, service: ServiceSpec) -> None:
         self.entry = entry
         self.service = service
-        self.own = Load()
+        self.own_load = Load()
         self.others = Load()
         self.blind = GatewayHeadroom()
         self.circuit_breaker = CircuitBreaker()
@@ -84,17 +84,17 @@
     @property
     def requests(self) -> int:
         """Return the requests under way, other gateways' included."""
-        return self.own.requests + self.others.requests
+        return self.own_load.requests + self.others.requests
 
     @property
     def memory(self) -> int:
         """Return the tokens of memory that requests under way need."""
-        return self.own.memory + self.others.memory
+        return self.own_load.memory + self.others.memory
 
     @property
     def unread(self) -> int:
         """Return the prompt tokens not yet read."""
-        return self.own.unread + self.others.unread
+        return self.own_load.unread + self.others.unread
 
     def renew(self, entry: TargetEntry) -> None:
         """Take a newer entry of the same start."""
--- a/libraries/decisions/tests/forwarding/test_load_pattern.py
+++ b/libraries/decisions/tests/forwarding/test_load_pattern.py
@@ -134,7 +134,7 @@
             for name in names:
                 state = other.find(name)
                 assert state is not None
-                own = state.own
+                own = state.own_load
                 load = loads.setdefault(name, Load())
                 load.add(Load(own.requests, own.memory, own.unread))
         fleet.set_other_loads(loads)
--- a/libraries/proxy/src/bamboopier_proxy/gossip.py
+++ b/libraries/proxy/src/bamboopier_proxy/gossip.py
@@ -152,10 +152,10 @@
 
     def _list_loads(self) -> list[TargetLoadHint]:
         states = (self._fleet.find(name) for name in self._fleet.names)
-        busy = [s for s in states if s is not None and s.own.requests]
-        busy.sort(key=lambda s: -s.own.requests)
+        busy = [s for s in states if s is not None and s.own_load.requests]
+        busy.sort(key=lambda s: -s.own_load.requests)
         return [
-            TargetLoadHint(s.entry.name, s.own.requests, s.own.memory, s.own.unread)
+            TargetLoadHint(s.entry.name, s.own_load.requests, s.own_load.memory, s.own_load.unread)
             for s in busy[:MAX_TARGETS]
         ]
 
