--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -126,7 +126,7 @@
             cold = entry.cold_seconds
             if cold > state.entry.cold_seconds:
                 state.cold_start.start(now, cold)
-            state.renew(entry)
+            state.update_entry(entry)
             return
         spec = self._services.get(entry.service)
         if spec is None:
@@ -163,10 +163,10 @@
         """Count a request that is sent now."""
         load = Load(requests=1)
         if prompt is not None:
-            load.unread = state.count_unread(prompt)
+            load.unread = state.count_prefill(prompt)
             load.memory = state.pin(prompt)
-            state.parts.add(prompt)
-            state.blind.record_sent(now, load.unread, load.memory)
+            state.cached_parts.add(prompt)
+            state.headroom.record_sent(now, load.unread, load.memory)
         state.own_load.add(load)
         state.cold_start.record_sent(now)
         state.rate_limit.record_sent(now)
@@ -189,7 +189,7 @@
     def set_other_loads(self, loads: Mapping[str, Load]) -> None:
         """Take what the other gateways have under way at each target."""
         for name, state in self._states.items():
-            state.others = loads.get(name) or Load()
+            state.other_load = loads.get(name) or Load()
 
     def _remember(self, state: TargetState) -> None:
         """Keep what a target that is no longer listed says that it takes.
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -189,10 +189,10 @@
     if unread_room < 0:
         return False
     gateways = fleet.gateways
-    unread = state.count_unread(prompt)
-    return state.blind.allows_prefill(
+    unread = state.count_prefill(prompt)
+    return state.headroom.allows_prefill(
         now, unread, unread_room, gateways
-    ) and state.blind.allows_memory(now, memory, memory_room, gateways)
+    ) and state.headroom.allows_memory(now, memory, memory_room, gateways)
 
 
 def _fits(state: TargetState, demand: Demand) -> bool:
@@ -290,7 +290,7 @@
         chance = random.random() * 1e-4
         if prompt is None:
             return state.requests / state.slots + outside + failing + chance
-        cached = state.parts.count_cached(prompt)
+        cached = state.cached_parts.count_cached(prompt)
         shared = sum(part.tokens for part in prompt.shared_parts)
         again = shared - max(cached, demand.fetched)
         if state.entry.name == owner:
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -41,14 +41,14 @@
     """One target: its entry, own load, load told by other gateways, and standing."""
 
     __slots__ = (
-        "blind",
+        "headroom",
         "busy_until",
         "cold_start",
         "entry",
         "rate_limit",
         "own_load",
-        "others",
-        "parts",
+        "other_load",
+        "cached_parts",
         "pinned",
         "service",
         "short_answers_until",
@@ -60,8 +60,8 @@
         self.entry = entry
         self.service = service
         self.own_load = Load()
-        self.others = Load()
-        self.blind = GatewayHeadroom()
+        self.other_load = Load()
+        self.headroom = GatewayHeadroom()
         self.circuit_breaker = CircuitBreaker()
         self.cold_start = ColdStartLimit(hash_phase(entry.name))
         self.rate_limit = RateLimit(hash_phase(entry.name))
@@ -71,7 +71,7 @@
         self.short_answers_until = float("-inf")
         self.versions = dict(entry.versions)
         memory = service.engine.memory_tokens if service.engine else 0
-        self.parts = PartCacheEstimate(int(memory * CACHE_SHARE))
+        self.cached_parts = PartCacheEstimate(int(memory * CACHE_SHARE))
         # Requests of this gateway under way that need each shared part: while there
         # is one, the engine cannot evict it.
         self.pinned: Counter[str] = Counter()
@@ -84,19 +84,19 @@
     @property
     def requests(self) -> int:
         """Return the requests under way, other gateways' included."""
-        return self.own_load.requests + self.others.requests
+        return self.own_load.requests + self.other_load.requests
 
     @property
     def memory(self) -> int:
         """Return the tokens of memory that requests under way need."""
-        return self.own_load.memory + self.others.memory
+        return self.own_load.memory + self.other_load.memory
 
     @property
     def unread(self) -> int:
         """Return the prompt tokens not yet read."""
-        return self.own_load.unread + self.others.unread
+        return self.own_load.unread + self.other_load.unread
 
-    def renew(self, entry: TargetEntry) -> None:
+    def update_entry(self, entry: TargetEntry) -> None:
         """Take a newer entry of the same start."""
         self.entry = entry
         for model, version in entry.versions.items():
@@ -108,7 +108,7 @@
         if version > known:
             self.versions[model] = version
             if known:
-                self.parts.clear()
+                self.cached_parts.clear()
 
     def count_memory(self, prompt: Prompt) -> int:
         """Return the tokens of memory that ``prompt`` needs beside what is pinned.
@@ -132,6 +132,6 @@
                 del self.pinned[part.name]
         return self.count_memory(prompt)
 
-    def count_unread(self, prompt: Prompt) -> int:
+    def count_prefill(self, prompt: Prompt) -> int:
         """Return the tokens of ``prompt`` that it probably has to read."""
-        return max(1, prompt.tokens_in - self.parts.count_cached(prompt))
+        return max(1, prompt.tokens_in - self.cached_parts.count_cached(prompt))
--- a/libraries/decisions/tests/forwarding/test_fleet.py
+++ b/libraries/decisions/tests/forwarding/test_fleet.py
@@ -51,11 +51,11 @@
         # cold, so it gets a few requests a second.
         state = self.fleet.find("i-1")
         assert state is not None
-        state.parts.add(make_prompt("s1"))
+        state.cached_parts.add(make_prompt("s1"))
         self.fleet.put(5.0, make_entry("i-1", born=2, cold_seconds=3.0))
         again = self.fleet.find("i-1")
         assert again is not None
-        self.assertEqual(again.parts.count_cached(make_prompt("s1")), 0)
+        self.assertEqual(again.cached_parts.count_cached(make_prompt("s1")), 0)
         self.assertTrue(again.cold_start.is_cold(7.9))
         self.assertFalse(self.fleet.is_open(state, 5.0))
 
@@ -67,9 +67,9 @@
     def test_new_weights_empty_the_cache(self) -> None:
         state = self.fleet.find("i-1")
         assert state is not None
-        state.parts.add(make_prompt("s1"))
+        state.cached_parts.add(make_prompt("s1"))
         state.record_version(MODEL, 2)
-        self.assertEqual(state.parts.count_cached(make_prompt("s1")), 0)
+        self.assertEqual(state.cached_parts.count_cached(make_prompt("s1")), 0)
 
     def test_memory_of_shared_parts_is_counted_once(self) -> None:
         state = self.fleet.find("i-1")
