--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -163,10 +163,10 @@
         """Count a request that is sent now."""
         load = Load(requests=1)
         if prompt is not None:
-            load.unread = state.count_prefill(prompt)
+            load.pending_prefill = state.count_prefill(prompt)
             load.memory = state.pin(prompt)
             state.cached_parts.add(prompt)
-            state.headroom.record_sent(now, load.unread, load.memory)
+            state.headroom.record_sent(now, load.pending_prefill, load.memory)
         state.own_load.add(load)
         state.cold_start.record_sent(now)
         state.rate_limit.record_sent(now)
@@ -175,8 +175,8 @@
 
     def record_prefilled(self, sent: InFlightRequest) -> None:
         """Take in that the prompt has been read: the first event came."""
-        sent.state.own_load.unread -= sent.load.unread
-        sent.load.unread = 0
+        sent.state.own_load.pending_prefill -= sent.load.pending_prefill
+        sent.load.pending_prefill = 0
 
     def end(self, sent: InFlightRequest) -> None:
         """Take in that the request is over."""
@@ -184,7 +184,7 @@
         own.requests -= sent.load.requests
         if sent.prompt is not None:
             own.memory -= sent.state.unpin(sent.prompt)
-        own.unread -= sent.load.unread
+        own.pending_prefill -= sent.load.pending_prefill
 
     def set_other_loads(self, loads: Mapping[str, Load]) -> None:
         """Take what the other gateways have under way at each target."""
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -185,7 +185,7 @@
     memory_room = engine.memory_tokens * demand.memory_share - state.memory
     if memory > memory_room:
         return False
-    unread_room = demand.unread_seconds * READ_RATE - state.unread
+    unread_room = demand.unread_seconds * READ_RATE - state.pending_prefill
     if unread_room < 0:
         return False
     gateways = fleet.gateways
@@ -297,7 +297,7 @@
             again = int(again * (1 - OWNER_CHANCE))
         moved = max(0, demand.fetched - cached) * MOVED_SHARE
         own = prompt.tokens_in - shared
-        waiting = (state.unread + own + moved + again * AGAIN_WEIGHT) / READ_RATE
+        waiting = (state.pending_prefill + own + moved + again * AGAIN_WEIGHT) / READ_RATE
         running = state.requests * RUNNING_SECONDS
         old = OLD_SECONDS if state.versions.get(prompt.model, 0) < newest else 0.0
         if is_long and state.entry.name in near:
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -23,18 +23,18 @@
 class Load:
     """Work of one target: requests, tokens of memory, and tokens still to be read."""
 
-    __slots__ = ("memory", "requests", "unread")
+    __slots__ = ("memory", "requests", "pending_prefill")
 
-    def __init__(self, requests: int = 0, memory: int = 0, unread: int = 0) -> None:
+    def __init__(self, requests: int = 0, memory: int = 0, pending_prefill: int = 0) -> None:
         self.requests = requests
         self.memory = memory
-        self.unread = unread
+        self.pending_prefill = pending_prefill
 
     def add(self, other: Load) -> None:
         """Add another load."""
         self.requests += other.requests
         self.memory += other.memory
-        self.unread += other.unread
+        self.pending_prefill += other.pending_prefill
 
 
 class TargetState:
@@ -92,9 +92,9 @@
         return self.own_load.memory + self.other_load.memory
 
     @property
-    def unread(self) -> int:
+    def pending_prefill(self) -> int:
         """Return the prompt tokens not yet read."""
-        return self.own_load.unread + self.other_load.unread
+        return self.own_load.pending_prefill + self.other_load.pending_prefill
 
     def update_entry(self, entry: TargetEntry) -> None:
         """Take a newer entry of the same start."""
--- a/libraries/decisions/tests/forwarding/test_load_pattern.py
+++ b/libraries/decisions/tests/forwarding/test_load_pattern.py
@@ -136,7 +136,7 @@
                 assert state is not None
                 own = state.own_load
                 load = loads.setdefault(name, Load())
-                load.add(Load(own.requests, own.memory, own.unread))
+                load.add(Load(own.requests, own.memory, own.pending_prefill))
         fleet.set_other_loads(loads)
 
 
--- a/libraries/proxy/src/bamboopier_proxy/gossip.py
+++ b/libraries/proxy/src/bamboopier_proxy/gossip.py
@@ -155,7 +155,7 @@
         busy = [s for s in states if s is not None and s.own_load.requests]
         busy.sort(key=lambda s: -s.own_load.requests)
         return [
-            TargetLoadHint(s.entry.name, s.own_load.requests, s.own_load.memory, s.own_load.unread)
+            TargetLoadHint(s.entry.name, s.own_load.requests, s.own_load.memory, s.own_load.pending_prefill)
             for s in busy[:MAX_TARGETS]
         ]
 
@@ -252,5 +252,5 @@
                 continue
             for told in hint.loads:
                 load = loads.setdefault(told.target, Load())
-                load.add(Load(told.requests, told.memory, told.unread))
+                load.add(Load(told.requests, told.memory, told.pending_prefill))
         self._fleet.set_other_loads(loads)
--- a/libraries/proxy/src/bamboopier_proxy/hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/hints.py
@@ -19,7 +19,7 @@
     target: str
     requests: int
     memory: int
-    unread: int
+    pending_prefill: int
 
 
 class BreakHint(msgspec.Struct, array_like=True):
--- a/libraries/proxy/src/bamboopier_proxy/send_log.py
+++ b/libraries/proxy/src/bamboopier_proxy/send_log.py
@@ -54,7 +54,7 @@
             newest_age=self._planner.find_newest_age(sent_at, call),
             fetched_parts=parts.fetched_parts if parts else 0,
             requests=state.requests,
-            unread=state.unread,
+            unread=state.pending_prefill,
             memory=state.memory,
             tokens_in=call.prompt.tokens_in if call.prompt else 0,
             tokens_out=call.prompt.tokens_out if call.prompt else 0,
