--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -105,7 +105,7 @@
 
     count: int
     # No other target is known that the request has not been sent to.
-    only: bool
+    covers_all: bool
     # When the first of them takes one again.
     next_at: float
     # Requests a second that all of them take from this gateway.
--- a/libraries/decisions/tests/forwarding/test_rate_limit.py
+++ b/libraries/decisions/tests/forwarding/test_rate_limit.py
@@ -169,12 +169,12 @@
             placement = self.place({"a"})
             assert placement.state is not None
             self.assertEqual(placement.state.entry.name, "b")
-            self.assertFalse(placement.limited.only)
+            self.assertFalse(placement.limited.covers_all)
 
     def test_it_is_known_when_the_next_is_taken_where_all_are_limited(self) -> None:
         placement = self.place({"a", "b"})
         self.assertIsNone(placement.state)
-        self.assertTrue(placement.limited.only)
+        self.assertTrue(placement.limited.covers_all)
         self.assertAlmostEqual(placement.limited.next_at, 2.0)
         self.assertAlmostEqual(placement.limited.part, 1.0)
 
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -171,7 +171,7 @@
         go first.
         """
         limited = placement.limited
-        if limited.count == 0 or not limited.only:
+        if limited.count == 0 or not limited.covers_all:
             return
         before = self._room.count_before(call.service, call.priority)
         turn = limited.next_at + before / max(limited.part, LEAST_PART)
@@ -201,7 +201,7 @@
         if call.may_have_run:
             return CallerError(ErrorCode.OUTCOME_UNKNOWN, code.value, Ran.UNKNOWN)
         limited = placement.limited
-        room_in = limited.next_at - now if limited.only and limited.count else 0.0
+        room_in = limited.next_at - now if limited.covers_all and limited.count else 0.0
         wait = draw_retry_after(call.timeout - now, self._random, room_in)
         return CallerError(code, "no target has room", Ran.NO, wait)
 
