--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limited:
+class RateLimitedTargets:
     """Targets whose own limits leave no room for this gateway's next request."""
 
     count: int
@@ -123,7 +123,7 @@
         known: int,
         open_: int,
         usable: int,
-        limited: Limited,
+        limited: RateLimitedTargets,
     ) -> None:
         # The chosen target; None when all usable ones are full, or none is usable.
         self.state = state
@@ -226,8 +226,8 @@
     return limited
 
 
-def _describe_limited(limited: dict[TargetState, float], untried: int) -> Limited:
-    return Limited(
+def _describe_limited(limited: dict[TargetState, float], untried: int) -> RateLimitedTargets:
+    return RateLimitedTargets(
         len(limited),
         len(limited) == untried,
         min(limited.values(), default=math.inf),
