--- a/libraries/decisions/src/bamboopier_decisions/forwarding/cold_start_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/cold_start_limit.py
@@ -70,13 +70,13 @@
         start = now - WINDOW_SECONDS - WINDOW_MARGIN
         while self._sent and self._sent[0] < start:
             self._sent.popleft()
-        part = per_second / max(1, gateways)
-        if part >= 1:
-            return len(self._sent) < int(part)
+        gateway_rate = per_second / max(1, gateways)
+        if gateway_rate >= 1:
+            return len(self._sent) < int(gateway_rate)
         if place is None:
             return False
         phase = self._phase + place / gateways
-        return not self._sent and self._is_in_slot(now, part * SLOT_SHARE, phase)
+        return not self._sent and self._is_in_slot(now, gateway_rate * SLOT_SHARE, phase)
 
     def record_sent(self, now: float) -> None:
         """Count a request."""
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -109,7 +109,7 @@
     # When the first of them takes one again.
     next_at: float
     # Requests a second that all of them take from this gateway.
-    part: float
+    gateway_rate: float
 
 
 class Placement:
@@ -231,7 +231,7 @@
         len(limited),
         len(limited) == untried,
         min(limited.values(), default=math.inf),
-        sum(state.rate_limit.part for state in limited),
+        sum(state.rate_limit.gateway_rate for state in limited),
     )
 
 
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
@@ -133,7 +133,7 @@
             return self._find_turn(now, place)
         self._fill(now)
         missing = max(0.0, 1.0 - self._saved)
-        return now + missing / self.part
+        return now + missing / self.gateway_rate
 
     def record_sent(self, now: float) -> None:
         """Count a request."""
@@ -146,7 +146,7 @@
             self._saved -= 1.0
 
     @property
-    def part(self) -> float:
+    def gateway_rate(self) -> float:
         """Return the requests a second that are this gateway's."""
         return self._rate / self._gateways
 
@@ -179,8 +179,8 @@
         return was_in_force and not self.in_force
 
     def _fill(self, now: float) -> None:
-        most = max(LEAST_SAVED, self.part * SAVED_SECONDS)
-        filled = self._saved + (now - self._filled_at) * self.part
+        most = max(LEAST_SAVED, self.gateway_rate * SAVED_SECONDS)
+        filled = self._saved + (now - self._filled_at) * self.gateway_rate
         self._saved = min(most, filled)
         self._filled_at = now
 
--- a/libraries/decisions/tests/forwarding/test_rate_limit.py
+++ b/libraries/decisions/tests/forwarding/test_rate_limit.py
@@ -176,7 +176,7 @@
         self.assertIsNone(placement.state)
         self.assertTrue(placement.limited.covers_all)
         self.assertAlmostEqual(placement.limited.next_at, 2.0)
-        self.assertAlmostEqual(placement.limited.part, 1.0)
+        self.assertAlmostEqual(placement.limited.gateway_rate, 1.0)
 
     def test_nothing_is_said_of_targets_without_a_limit(self) -> None:
         placement = self.place(set())
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -174,7 +174,7 @@
         if limited.count == 0 or not limited.covers_all:
             return
         before = self._room.count_before(call.service, call.priority)
-        turn = limited.next_at + before / max(limited.part, LEAST_PART)
+        turn = limited.next_at + before / max(limited.gateway_rate, LEAST_PART)
         if turn > latest:
             raise self._refuse(call, ErrorCode.OVERLOADED, placement)
 
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -107,7 +107,7 @@
     Mutation(
         "a cold target gets less than one a second from each of many gateways",
         f"{FORWARDING}/cold_start_limit.py",
-        " and self._is_in_slot(now, part * SLOT_SHARE, phase)\n",
+        " and self._is_in_slot(now, gateway_rate * SLOT_SHARE, phase)\n",
         "\n",
         "libraries/decisions",
         "tests.forwarding.test_bounds.ColdStartLimitTests"
