--- a/libraries/decisions/src/bamboopier_decisions/forwarding/weight_load_drain.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/weight_load_drain.py
@@ -21,14 +21,14 @@
 class WeightLoadDrain:
     """One target on its way to an order."""
 
-    __slots__ = ("_runs", "_since", "over")
+    __slots__ = ("_runs", "_since", "is_complete")
 
     def __init__(self, now: float) -> None:
         self._since = now
         # The runs that the order would have to wait for; None until they are known.
         self._runs: frozenset[str] | None = None
         # The order may be given.
-        self.over = False
+        self.is_complete = False
 
     def find_age(self, now: float) -> float:
         """Return the seconds since the drain began."""
@@ -43,4 +43,4 @@
         if age < HEARD_SECONDS:
             return
         self._runs = runs if self._runs is None else self._runs & runs
-        self.over = self.over or not self._runs or age >= LONGEST_SECONDS
+        self.is_complete = self.is_complete or not self._runs or age >= LONGEST_SECONDS
--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -183,23 +183,23 @@
     def test_the_order_waits_until_the_long_streams_end(self) -> None:
         self.drain.record_running(10.0 + HEARD_SECONDS, frozenset({"long", "short"}))
         self.drain.record_running(10.5, frozenset({"long", "new"}))
-        self.assertFalse(self.drain.over)
+        self.assertFalse(self.drain.is_complete)
         self.drain.record_running(11.0, frozenset({"new", "newer"}))
-        self.assertTrue(self.drain.over)
+        self.assertTrue(self.drain.is_complete)
 
     def test_what_gateways_sent_before_they_heard_is_waited_for(self) -> None:
         # The target looks idle when its drain begins, and a long request is on its way.
         self.drain.record_running(10.0, frozenset())
-        self.assertFalse(self.drain.over)
+        self.assertFalse(self.drain.is_complete)
         self.drain.record_running(10.0 + HEARD_SECONDS, frozenset({"late"}))
-        self.assertFalse(self.drain.over)
+        self.assertFalse(self.drain.is_complete)
 
     def test_a_stream_that_does_not_end_holds_the_order_up_for_a_while_only(
         self,
     ) -> None:
         self.drain.record_running(11.0, frozenset({"long"}))
         self.drain.record_running(10.0 + LONGEST_SECONDS, frozenset({"long"}))
-        self.assertTrue(self.drain.over)
+        self.assertTrue(self.drain.is_complete)
 
     def test_a_drained_target_gets_short_answers_only(self) -> None:
         # Two engines; one is about to load. Long answers go to the other even when
--- a/libraries/proxy/src/bamboopier_proxy/weight_roller.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_roller.py
@@ -98,7 +98,7 @@
                 continue
 
     def _draw_pause(self, behind: bool) -> float:
-        if self._drain is not None and not self._drain.over:
+        if self._drain is not None and not self._drain.is_complete:
             return LOOK_SECONDS
         seconds = SLOT_SECONDS if behind else REVIEW_SECONDS
         return seconds * self._random.uniform(0.7, 1.0)
@@ -167,7 +167,7 @@
         if self._drain.find_age(now) < HOPE_SECONDS:
             self._announcer.announce_drain(self._target, wanted[0])
         self._drain.record_running(now, report.runs)
-        return self._drain.over
+        return self._drain.is_complete
 
     async def _refresh_directory(self) -> bool:
         """Read the targets' list unless that was done a moment ago."""
