--- a/libraries/decisions/src/bamboopier_decisions/forwarding/specs.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/specs.py
@@ -47,7 +47,7 @@
     # The longest time a caller is kept waiting for its final answer.
     timeout: float
     # Within this time to the first byte an answer has its full worth.
-    aim: float
+    latency_objective: float
     # 0 is the most urgent.
     priority: int
     services: tuple[WeightedService, ...]
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/wait_queue.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/wait_queue.py
@@ -26,9 +26,9 @@
 RETURN_SHARE = 0.3
 
 
-def find_max_wait(aim: float, left: float) -> float:
+def find_max_wait(latency_objective: float, left: float) -> float:
     """Return the seconds a request may wait for room."""
-    return max(0.0, min(aim * AIM_SHARE, left * LEFT_SHARE))
+    return max(0.0, min(latency_objective * AIM_SHARE, left * LEFT_SHARE))
 
 
 def draw_retry_after(left: float, random: random.Random, room_in: float = 0.0) -> float:
--- a/libraries/decisions/tests/forwarding/builders.py
+++ b/libraries/decisions/tests/forwarding/builders.py
@@ -80,7 +80,7 @@
         "repeat": RetrySafety.SAFE,
         "streams": False,
         "timeout": 3.0,
-        "aim": 0.4,
+        "latency_objective": 0.4,
         "priority": 1,
         "services": (WeightedService(VANS),),
         "max_targets": 2,
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -145,7 +145,7 @@
         if placement.known == 0:
             raise self._refuse(call, ErrorCode.NO_TARGET, placement)
         started = read_clock()
-        seconds = find_max_wait(call.route.aim, call.timeout - started)
+        seconds = find_max_wait(call.route.latency_objective, call.timeout - started)
         self._check_limits(call, placement, started + seconds)
 
         def find() -> InFlightRequest | None:
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -144,7 +144,7 @@
         repeat=RetrySafety.ONCE,
         streams=False,
         timeout=TIMEOUT_SECONDS,
-        aim=0.4,
+        latency_objective=0.4,
         priority=1,
         services=(WeightedService(SERVICE),),
         max_targets=2,
