--- a/libraries/decisions/src/bamboopier_decisions/forwarding/route_table.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/route_table.py
@@ -17,24 +17,24 @@
     looks up one prefix for each slash of its path, whatever the number of routes.
     """
 
-    __slots__ = ("_by_host", "_by_key", "declared")
+    __slots__ = ("_by_host", "_by_key", "configuration")
 
-    def __init__(self, declared: DeclaredConfiguration) -> None:
-        self.declared = declared
+    def __init__(self, configuration: DeclaredConfiguration) -> None:
+        self.configuration = configuration
         self._by_host: dict[str, dict[str, Route]] = {}
-        for route in declared.routes:
+        for route in configuration.routes:
             prefixes = self._by_host.setdefault(route.host, {})
             prefixes.setdefault(route.prefix, route)
         self._by_key: dict[str, Workspace] = {
             key: workspace
-            for workspace in declared.workspaces or ()
+            for workspace in configuration.workspaces or ()
             for key in workspace.keys
         }
 
     @property
     def needs_key(self) -> bool:
         """Say whether routes that are not public ask for a key."""
-        return self.declared.workspaces is not None
+        return self.configuration.workspaces is not None
 
     def find_route(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix of ``path`` (without query)."""
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -69,7 +69,7 @@
     def read_limits(self) -> CallerLimits:
         """Return what callers may send."""
         table = self.knowledge.table
-        return table.declared.limits if table is not None else CallerLimits()
+        return table.configuration.limits if table is not None else CallerLimits()
 
     def _apply(self, declared: DeclaredConfiguration) -> None:
         self._services = tuple(declared.services)
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -139,7 +139,7 @@
             raise CallerError(ErrorCode.NOT_FOUND, "no route for this host and path")
         trace.route = route.name
         workspace = self._authenticate(table, route, marks, arrived)
-        limit = table.declared.limits.body_bytes
+        limit = table.configuration.limits.body_bytes
         body = await read_body(request, limit, BODY_SECONDS)
         call = self._make_call(
             request, marks, table, route, workspace, host, body, arrived
@@ -200,7 +200,7 @@
             arrived=arrived,
             deadline=deadline,
             timeout=min(deadline, arrived + route.timeout),
-            version=table.declared.version,
+            version=table.configuration.version,
             fingerprint=make_fingerprint(
                 request.method,
                 request.raw_path,
--- a/libraries/proxy/src/bamboopier_proxy/knowledge.py
+++ b/libraries/proxy/src/bamboopier_proxy/knowledge.py
@@ -30,7 +30,7 @@
     @property
     def version(self) -> int:
         """Return the version in force; 0 before the first."""
-        return self.table.declared.version if self.table is not None else 0
+        return self.table.configuration.version if self.table is not None else 0
 
     def take(
         self, declared: DeclaredConfiguration, asked_at: float, now: float, size: int = 0
