--- a/libraries/decisions/src/bamboopier_decisions/forwarding/cold_start_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/cold_start_limit.py
@@ -58,11 +58,11 @@
         return now < self._until
 
     def may_send(
-        self, now: float, per_second: float, gateways: int, place: int | None = 0
+        self, now: float, per_second: float, gateways: int, gateway_index: int | None = 0
     ) -> bool:
         """Say whether this gateway's part of ``per_second`` allows one more.
 
-        It is the one at ``place``, from 0, in the order of the gateways' names. While
+        It is the one at ``gateway_index``, from 0, in the order of the gateways' names. While
         that is not known it has no slot.
         """
         if not self.is_cold(now):
@@ -73,9 +73,9 @@
         gateway_rate = per_second / max(1, gateways)
         if gateway_rate >= 1:
             return len(self._sent) < int(gateway_rate)
-        if place is None:
+        if gateway_index is None:
             return False
-        phase = self._phase + place / gateways
+        phase = self._phase + gateway_index / gateways
         return not self._sent and self._is_in_slot(now, gateway_rate * SLOT_SHARE, phase)
 
     def record_sent(self, now: float) -> None:
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -63,8 +63,8 @@
         self._former: dict[str, _Former] = {}
         self._closed_data_centres: frozenset[str] = frozenset()
         # The gateways that share the targets, and this one's place among their names.
-        self.gateways = 1
-        self.place: int | None = 0
+        self.gateway_count = 1
+        self.gateway_index: int | None = 0
 
     @property
     def names(self) -> list[str]:
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -188,7 +188,7 @@
     unread_room = demand.unread_seconds * READ_RATE - state.pending_prefill
     if unread_room < 0:
         return False
-    gateways = fleet.gateways
+    gateways = fleet.gateway_count
     unread = state.count_prefill(prompt)
     return state.headroom.allows_prefill(
         now, unread, unread_room, gateways
@@ -211,7 +211,7 @@
     if now < state.busy_until or not state.circuit_breaker.allows_request(now):
         return False
     rate = state.service.cold_per_second
-    return rate <= 0 or state.cold_start.may_send(now, rate, fleet.gateways, fleet.place)
+    return rate <= 0 or state.cold_start.may_send(now, rate, fleet.gateway_count, fleet.gateway_index)
 
 
 def _find_limited(
@@ -220,7 +220,7 @@
     """Return the targets that get nothing now by their own limits, and until when."""
     limited = {}
     for state in states:
-        next_at = state.rate_limit.find_next(now, fleet.gateways, fleet.place)
+        next_at = state.rate_limit.find_next(now, fleet.gateway_count, fleet.gateway_index)
         if next_at > now:
             limited[state] = next_at
     return limited
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
@@ -116,21 +116,21 @@
             self.per_second, self._own_reported_at, self._own_ended_at, self._since
         )
 
-    def may_send(self, now: float, gateways: int, place: int | None) -> bool:
+    def may_send(self, now: float, gateways: int, gateway_index: int | None) -> bool:
         """Say whether this gateway's part allows one more request.
 
-        It is the one at ``place``, from 0, in the order of the gateways' names; while
+        It is the one at ``gateway_index``, from 0, in the order of the gateways' names; while
         that is not known it has no turn.
         """
-        return self.find_next(now, gateways, place) <= now
+        return self.find_next(now, gateways, gateway_index) <= now
 
-    def find_next(self, now: float, gateways: int, place: int | None) -> float:
+    def find_next(self, now: float, gateways: int, gateway_index: int | None) -> float:
         """Return when this gateway may send the next request; infinity for never."""
         if not self.in_force:
             return now
         self._gateways = max(1, gateways)
         if self._takes_turns:
-            return self._find_turn(now, place)
+            return self._find_turn(now, gateway_index)
         self._fill(now)
         missing = max(0.0, 1.0 - self._saved)
         return now + missing / self.gateway_rate
@@ -187,11 +187,11 @@
     def _count_turns(self, now: float) -> int:
         return math.floor((now - self._since) * self._rate)
 
-    def _find_turn(self, now: float, place: int | None) -> float:
-        if place is None:
+    def _find_turn(self, now: float, gateway_index: int | None) -> float:
+        if gateway_index is None:
             return math.inf
         turn = self._count_turns(now)
-        own = (place + int(self._phase * self._gateways)) % self._gateways
+        own = (gateway_index + int(self._phase * self._gateways)) % self._gateways
         ahead = (own - turn) % self._gateways
         if ahead == 0 and turn == self._sent_turn:
             ahead = self._gateways
--- a/libraries/decisions/tests/forwarding/test_load_pattern.py
+++ b/libraries/decisions/tests/forwarding/test_load_pattern.py
@@ -88,7 +88,7 @@
     world = {name: Engine() for name in names}
     fleets = [make_fleet([make_entry(n) for n in names]) for _ in range(gateways)]
     for number, fleet in enumerate(fleets):
-        fleet.gateways, fleet.place = gateways, number
+        fleet.gateway_count, fleet.gateway_index = gateways, number
         for name, per_second in (limits or {}).items():
             state = fleet.find(name)
             assert state is not None
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -260,7 +260,7 @@
         """Say whether another send follows; if not, the caller has its answer."""
         if self._may_send_again(call, result, delivery, runs):
             free = result.cause in (Cause.CONNECT, Cause.CLOSED)
-            if free or share.try_spend(read_clock(), self._fleet.gateways):
+            if free or share.try_spend(read_clock(), self._fleet.gateway_count):
                 return True
         if delivery.begun:
             delivery.cut()
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -40,7 +40,7 @@
     ) -> None:
         self.pauses = pauses
         self.fleet = Fleet()
-        self.fleet.gateways, self.fleet.place = UNCOUNTED_GATEWAYS, None
+        self.fleet.gateway_count, self.fleet.gateway_index = UNCOUNTED_GATEWAYS, None
         self.kept = PartStoreIndex()
         self.weights = WeightVersions(settings.version_seconds)
         self.shares = SharedRetryBudgets(settings.retries)
@@ -58,7 +58,7 @@
 
     def take_count(self, count: int, place: int) -> None:
         """Take how many gateways share the bounds, and which of them this one is."""
-        self.fleet.gateways, self.fleet.place = count, place
+        self.fleet.gateway_count, self.fleet.gateway_index = count, place
         log.info("gateways counted", gateways=count, place=place)
 
     def wake_all(self) -> None:
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -57,7 +57,7 @@
     @property
     def counted(self) -> int:
         """Return how many gateways this one divides shared limits by."""
-        return self.state.fleet.gateways
+        return self.state.fleet.gateway_count
 
 
 class GatewayCountTests(unittest.IsolatedAsyncioTestCase):
@@ -123,7 +123,7 @@
         for step in range(int(seconds * 100)):
             for gateway in self.gateways:
                 now = self.now + step * 0.01
-                place = gateway.state.fleet.place
+                place = gateway.state.fleet.gateway_index
                 count = gateway.counted
                 if gateway.ramp.may_send(now, COLD_PER_SECOND, count, place):
                     gateway.ramp.record_sent(now)
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -116,7 +116,7 @@
     Mutation(
         "gateways that do not know how many they are take the smallest part",
         f"{PROXY}/gateway_state.py",
-        "        self.fleet.gateways, self.fleet.place = UNCOUNTED_GATEWAYS, None\n",
+        "        self.fleet.gateway_count, self.fleet.gateway_index = UNCOUNTED_GATEWAYS, None\n",
         "",
         "libraries/proxy",
         f"{PEERS}.test_a_gateway_that_has_not_read_the_list_spares_cold_targets",
