--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -136,7 +136,7 @@
         self.limited = limited
 
 
-def place(
+def choose_target(
     now: float,
     fleet: Fleet,
     demand: Demand,
--- a/libraries/decisions/tests/forwarding/test_load_pattern.py
+++ b/libraries/decisions/tests/forwarding/test_load_pattern.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from bamboopier_decisions.forwarding.placement import Demand, WeightVersionRange, place
+from bamboopier_decisions.forwarding.placement import Demand, WeightVersionRange, choose_target
 from bamboopier_decisions.forwarding.target_state import Load
 
 from .builders import DESK, make_entry, make_fleet, make_prompt
@@ -109,7 +109,7 @@
         fleet = fleets[number % gateways]
         demand = Demand(DESK, 1, prompt)
         wanted = WeightVersionRange()
-        found = place(now, fleet, demand, set(), wanted, "z1", generator).state
+        found = choose_target(now, fleet, demand, set(), wanted, "z1", generator).state
         if found is None:
             outcome.refused += 1
             continue
--- a/libraries/decisions/tests/forwarding/test_rate_limit.py
+++ b/libraries/decisions/tests/forwarding/test_rate_limit.py
@@ -11,7 +11,7 @@
     Demand,
     Placement,
     WeightVersionRange,
-    place,
+    choose_target,
 )
 from bamboopier_decisions.forwarding.rate_limit import NEVER, LimitUpdate, RateLimit
 
@@ -162,7 +162,7 @@
             state.rate_limit.record_limit(0.0, 0.5)
         demand = Demand(VANS, 0, None)
         wanted = WeightVersionRange()
-        return place(0.1, fleet, demand, set(), wanted, "z1", random.Random(1))
+        return choose_target(0.1, fleet, demand, set(), wanted, "z1", random.Random(1))
 
     def test_what_is_over_it_goes_elsewhere(self) -> None:
         for _ in range(10):
--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -11,7 +11,7 @@
     LONGEST_SECONDS,
     WeightLoadDrain,
 )
-from bamboopier_decisions.forwarding.placement import Demand, WeightVersionRange, place
+from bamboopier_decisions.forwarding.placement import Demand, WeightVersionRange, choose_target
 from bamboopier_decisions.forwarding.rollout_order import (
     WAVE_SECONDS,
     count_concurrent_loads,
@@ -223,7 +223,7 @@
         for number in range(10):
             prompt = make_prompt(f"s{number}", max_output=max_output)
             demand = Demand(DESK, 1, prompt)
-            found = place(10.0, fleet, demand, set(), weights, "z1", generator).state
+            found = choose_target(10.0, fleet, demand, set(), weights, "z1", generator).state
             assert found is not None
             names.add(found.entry.name)
         return names
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -9,7 +9,7 @@
 
 from bamboopier_daemon.clock import read_clock
 from bamboopier_decisions.forwarding.specs import RetrySafety
-from bamboopier_decisions.forwarding.placement import place
+from bamboopier_decisions.forwarding.placement import choose_target
 from bamboopier_decisions.forwarding.wait_queue import draw_retry_after, find_max_wait
 
 from .exchange import Cause
@@ -181,7 +181,7 @@
     def _place(self, call: Call, demand: Demand, tried: set[str]) -> Placement:
         now = read_clock()
         wanted = self._planner.find_wanted(now, call)
-        return place(
+        return choose_target(
             now, self._fleet, demand, tried, wanted, self._data_centre, self._random
         )
 
