--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -220,7 +220,7 @@
 
 def _is_same_start(known: TargetEntry, entry: TargetEntry) -> bool:
     return (
-        known.born == entry.born
+        known.started_ms == entry.started_ms
         and known.host == entry.host
         and known.port == entry.port
         and known.service == entry.service
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/specs.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/specs.py
@@ -139,7 +139,7 @@
     name: str
     # Milliseconds since 1970 of its start: a later start under the same name is
     # another incarnation that knows nothing of the one before.
-    born: int
+    started_ms: int
     service: str
     host: str
     port: int
--- a/libraries/decisions/tests/forwarding/builders.py
+++ b/libraries/decisions/tests/forwarding/builders.py
@@ -30,7 +30,7 @@
     """Return a target's entry."""
     fields: dict[str, Any] = {
         "name": name,
-        "born": 1,
+        "started_ms": 1,
         "service": service,
         "host": "10.0.0.1",
         "port": 80,
--- a/libraries/decisions/tests/forwarding/test_fleet.py
+++ b/libraries/decisions/tests/forwarding/test_fleet.py
@@ -52,7 +52,7 @@
         state = self.fleet.find("i-1")
         assert state is not None
         state.cached_parts.add(make_prompt("s1"))
-        self.fleet.put(5.0, make_entry("i-1", born=2, cold_seconds=3.0))
+        self.fleet.put(5.0, make_entry("i-1", started_ms=2, cold_seconds=3.0))
         again = self.fleet.find("i-1")
         assert again is not None
         self.assertEqual(again.cached_parts.count_cached(make_prompt("s1")), 0)
--- a/libraries/decisions/tests/forwarding/test_rate_limit.py
+++ b/libraries/decisions/tests/forwarding/test_rate_limit.py
@@ -140,7 +140,7 @@
         state.rate_limit.record_limit(1.0, 1.5)
         fleet.remove(2.0, "a")
         self.assertIsNone(fleet.find("a"))
-        fleet.put(5.0, make_entry("a", born=born))
+        fleet.put(5.0, make_entry("a", started_ms=born))
         again = fleet.find("a")
         assert again is not None
         return again.rate_limit
--- a/libraries/proxy/src/bamboopier_proxy/limit_hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_hints.py
@@ -51,7 +51,7 @@
         """Take what another gateway was told."""
         for hint in hints:
             state = self._fleet.find(hint.target)
-            if state is not None and state.entry.born == hint.born:
+            if state is not None and state.entry.started_ms == hint.born:
                 take_limit_news(state, _make_news(now, hint), sender)
 
 
@@ -59,7 +59,7 @@
     news = state.rate_limit.make_update()
     return TargetLimitHint(
         state.entry.name,
-        state.entry.born,
+        state.entry.started_ms,
         news.per_second,
         _write_age(now, news.reported_at),
         _write_age(now, news.ended_at),
--- a/libraries/proxy/src/bamboopier_proxy/limit_records.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_records.py
@@ -104,7 +104,7 @@
             if state is None:
                 continue
             del self._waiting[name]
-            if state.entry.born == entry.born:
+            if state.entry.started_ms == entry.born:
                 news = LimitUpdate(entry.per_second, now, NEVER, now)
                 take_limit_news(state, news, "store")
 
@@ -126,7 +126,7 @@
         return any(self._roster.is_own(gateway) for gateway in first)
 
     async def _write(self, name: str, state: TargetState) -> None:
-        entry = LimitEntry(state.entry.born, state.rate_limit.per_second)
+        entry = LimitEntry(state.entry.started_ms, state.rate_limit.per_second)
         known, version = self._known.get(name, (None, ABSENT))
         if known is not None and _is_alike(known, entry) or not self._writes(name):
             return
--- a/libraries/proxy/src/bamboopier_proxy/target_directory.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_directory.py
@@ -54,4 +54,4 @@
     def find_name(self, host: str, port: int) -> str:
         """Return the name of the target at an address; empty when there is none."""
         found = [e for e in self._entries if e.host == host and e.port == port]
-        return max(found, key=lambda e: e.born).name if found else ""
+        return max(found, key=lambda e: e.started_ms).name if found else ""
--- a/libraries/proxy/src/bamboopier_proxy/target_pool.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_pool.py
@@ -61,7 +61,7 @@
 
         ``fresh`` asks for one that was used a moment ago, or a new one.
         """
-        key = (entry.name, entry.born)
+        key = (entry.name, entry.started_ms)
         now = read_clock()
         idle = self._idle.get(key, [])
         while idle:
@@ -77,7 +77,7 @@
 
     def give_back(self, entry: TargetEntry, connection: TargetConnection) -> None:
         """Keep a connection after a whole answer, or drop it."""
-        key = (entry.name, entry.born)
+        key = (entry.name, entry.started_ms)
         if connection.release():
             self._idle.setdefault(key, []).append(connection)
         else:
@@ -88,11 +88,11 @@
     ) -> None:
         """Keep a connection on which nothing was sent."""
         connection.idle_since = read_clock()
-        self._idle.setdefault((entry.name, entry.born), []).append(connection)
+        self._idle.setdefault((entry.name, entry.started_ms), []).append(connection)
 
     def drop(self, entry: TargetEntry, connection: TargetConnection) -> None:
         """End a connection whose answer is not wanted, or not whole."""
-        self._forget((entry.name, entry.born), connection)
+        self._forget((entry.name, entry.started_ms), connection)
 
     def sweep(self) -> None:
         """End connections that stood idle too long."""
--- a/libraries/proxy/tests/test_limit_hints.py
+++ b/libraries/proxy/tests/test_limit_hints.py
@@ -25,7 +25,7 @@
     fleet.set_services(make_declared().services)
     for name in names:
         entry = make_entry()
-        changed = {"name": name, "born": born}
+        changed = {"name": name, "started_ms": born}
         fields = {f: getattr(entry, f) for f in entry.__slots__}
         fleet.put(now, type(entry)(**{**fields, **changed}))
     return fleet
--- a/tools/safeguards/bounds.py
+++ b/tools/safeguards/bounds.py
@@ -103,7 +103,7 @@
     Mutation(
         "another start of a target has no limit",
         "libraries/proxy/src/bamboopier_proxy/limit_hints.py",
-        " and state.entry.born == hint.born",
+        " and state.entry.started_ms == hint.born",
         "",
         "libraries/proxy",
         "tests.test_limit_hints",
