--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -24,7 +24,7 @@
 # lapsed while the store was away: targets that live are listed again within two.
 STORE_RECOVERY_SECONDS = 2.2
 # Targets without an entry whose limits are remembered.
-MAX_FORMER = 64
+MAX_FORMER_TARGETS = 64
 # For ``store_recovered_at``: the store was not away.
 NEVER = float("-inf")
 
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Former:
+class _FormerTarget:
     """A target without an entry that had said what it takes."""
 
     entry: TargetEntry
@@ -60,8 +60,8 @@
         # they are still used.
         self._missing: dict[str, float] = {}
         # By name, the oldest first.
-        self._former: dict[str, _Former] = {}
-        self._closed_data_centres: frozenset[str] = frozenset()
+        self._former: dict[str, _FormerTarget] = {}
+        self._drained_data_centres: frozenset[str] = frozenset()
         # The gateways that share the targets, and this one's place among their names.
         self.gateway_count = 1
         self.gateway_index: int | None = 0
@@ -77,8 +77,8 @@
 
     def list_targets(self, service: str, now: float) -> list[TargetState]:
         """Return the targets of a service that new requests may go to."""
-        self._drop_gone(now)
-        closed = self._closed_data_centres
+        self._remove_expired(now)
+        closed = self._drained_data_centres
         return [
             state
             for state in self._by_service.get(service, ())
@@ -87,16 +87,16 @@
 
     def is_open(self, state: TargetState, now: float) -> bool:
         """Say whether ``state`` is still to be used, right before a send."""
-        self._drop_gone(now)
+        self._remove_expired(now)
         return (
             self._states.get(state.entry.name) is state
             and not state.entry.leaving
-            and state.entry.data_centre not in self._closed_data_centres
+            and state.entry.data_centre not in self._drained_data_centres
         )
 
     def drain_data_centres(self, names: Iterable[str]) -> None:
         """Send nothing to the targets of these data centres."""
-        self._closed_data_centres = frozenset(names)
+        self._drained_data_centres = frozenset(names)
 
     def set_services(self, services: Mapping[str, ServiceSpec]) -> None:
         """Take the operator's services."""
@@ -105,7 +105,7 @@
             found = services.get(state.entry.service)
             if found is not None:
                 state.service = found
-        self._arrange()
+        self._index_by_service()
 
     def replace(
         self, now: float, entries: Iterable[TargetEntry], store_recovered_at: float = NEVER
@@ -116,13 +116,13 @@
             self.put(now, entry)
         for name in [n for n in self._states if n not in listed]:
             self.remove(now, name, store_recovered_at)
-        self._arrange()
+        self._index_by_service()
 
     def put(self, now: float, entry: TargetEntry) -> None:
         """Take one new or changed entry."""
         self._missing.pop(entry.name, None)
         state = self._states.get(entry.name)
-        if state is not None and _is_same_start(state.entry, entry):
+        if state is not None and _is_same_instance(state.entry, entry):
             cold = entry.cold_seconds
             if cold > state.entry.cold_seconds:
                 state.cold_start.start(now, cold)
@@ -133,12 +133,12 @@
             spec = _make_unknown_service(entry.service)
         state = TargetState(entry, spec)
         former = self._former.pop(entry.name, None)
-        if former is not None and _is_same_start(former.entry, entry):
+        if former is not None and _is_same_instance(former.entry, entry):
             state.rate_limit = former.limit
         if entry.cold_seconds > 0:
             state.cold_start.start(now, entry.cold_seconds)
         self._states[entry.name] = state
-        self._arrange()
+        self._index_by_service()
 
     def remove(self, now: float, name: str, store_recovered_at: float = NEVER) -> None:
         """Take in that an entry is gone.
@@ -156,8 +156,8 @@
             return
         self._missing.pop(name, None)
         del self._states[name]
-        self._remember(state)
-        self._arrange()
+        self._remember_rate_limit(state)
+        self._index_by_service()
 
     def begin(self, now: float, state: TargetState, prompt: Prompt | None) -> InFlightRequest:
         """Count a request that is sent now."""
@@ -191,7 +191,7 @@
         for name, state in self._states.items():
             state.other_load = loads.get(name) or Load()
 
-    def _remember(self, state: TargetState) -> None:
+    def _remember_rate_limit(self, state: TargetState) -> None:
         """Keep what a target that is no longer listed says that it takes.
 
         Failure answered: a target in need is cut off from the store, so its entry
@@ -200,17 +200,17 @@
         """
         if not state.rate_limit.in_force:
             return
-        self._former[state.entry.name] = _Former(state.entry, state.rate_limit)
-        if len(self._former) > MAX_FORMER:
+        self._former[state.entry.name] = _FormerTarget(state.entry, state.rate_limit)
+        if len(self._former) > MAX_FORMER_TARGETS:
             del self._former[next(iter(self._former))]
 
-    def _drop_gone(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         if not self._missing:
             return
         for name in [n for n, until in self._missing.items() if now >= until]:
             self.remove(now, name)
 
-    def _arrange(self) -> None:
+    def _index_by_service(self) -> None:
         by_service: dict[str, list[TargetState]] = {}
         for name in sorted(self._states):
             state = self._states[name]
@@ -218,7 +218,7 @@
         self._by_service = by_service
 
 
-def _is_same_start(known: TargetEntry, entry: TargetEntry) -> bool:
+def _is_same_instance(known: TargetEntry, entry: TargetEntry) -> bool:
     return (
         known.started_ms == entry.started_ms
         and known.host == entry.host
