--- a/libraries/decisions/src/bamboopier_decisions/forwarding/gateway_headroom.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/gateway_headroom.py
@@ -16,54 +16,54 @@
 # Seconds until the others' hints show what they sent: between the mean and the longest
 # age of a hint. At 0.3 s, returning prompts leave their owner too often: 4.37 M tokens
 # of 40 sessions are read, 4.04 M at 0.2 s, replayed.
-BLIND_SECONDS = 0.2
+HINT_DELAY_SECONDS = 0.2
 # Gateways get uneven shares of the callers: each may take so many even parts.
-UNEVEN = 2.0
+MAX_SKEW = 2.0
 
 
 class GatewayHeadroom:
     """What this gateway has sent to one target within the last moments."""
 
-    __slots__ = ("_memory", "_sent", "_unread")
+    __slots__ = ("_memory", "_sent", "_prefill")
 
     def __init__(self) -> None:
         # Time, unread tokens and tokens of memory of each request.
         self._sent: deque[tuple[float, int, int]] = deque()
-        self._unread = 0
+        self._prefill = 0
         self._memory = 0
 
-    def record_sent(self, now: float, unread: int, memory: int) -> None:
+    def record_sent(self, now: float, prefill: int, memory: int) -> None:
         """Count a request."""
-        self._sent.append((now, unread, memory))
-        self._unread += unread
+        self._sent.append((now, prefill, memory))
+        self._prefill += prefill
         self._memory += memory
 
     def allows_prefill(
-        self, now: float, tokens: int, room: float, gateways: int
+        self, now: float, tokens: int, headroom: float, gateway_count: int
     ) -> bool:
         """Say whether ``tokens`` more may be sent to be read.
 
-        ``room`` are the tokens that fit beside what is known to be under way.
+        ``headroom`` are the tokens that fit beside what is known to be under way.
         """
-        self._forget(now)
-        return _allows(self._unread, tokens, room, gateways)
+        self._expire(now)
+        return _allows(self._prefill, tokens, headroom, gateway_count)
 
     def allows_memory(
-        self, now: float, tokens: int, room: float, gateways: int
+        self, now: float, tokens: int, headroom: float, gateway_count: int
     ) -> bool:
         """Say whether a request that needs ``tokens`` of memory may be sent."""
-        self._forget(now)
-        return _allows(self._memory, tokens, room, gateways)
+        self._expire(now)
+        return _allows(self._memory, tokens, headroom, gateway_count)
 
-    def _forget(self, now: float) -> None:
-        while self._sent and now - self._sent[0][0] >= BLIND_SECONDS:
-            _, unread, memory = self._sent.popleft()
-            self._unread -= unread
+    def _expire(self, now: float) -> None:
+        while self._sent and now - self._sent[0][0] >= HINT_DELAY_SECONDS:
+            _, prefill, memory = self._sent.popleft()
+            self._prefill -= prefill
             self._memory -= memory
 
 
-def _allows(sent: int, tokens: int, room: float, gateways: int) -> bool:
-    if sent == 0 or gateways <= 1:
+def _allows(sent: int, tokens: int, headroom: float, gateway_count: int) -> bool:
+    if sent == 0 or gateway_count <= 1:
         return True
-    before = room + sent
-    return sent + tokens <= before * min(1.0, UNEVEN / gateways)
+    before = headroom + sent
+    return sent + tokens <= before * min(1.0, MAX_SKEW / gateway_count)
