--- a/libraries/decisions/src/bamboopier_decisions/forwarding/cold_start_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/cold_start_limit.py
@@ -21,10 +21,10 @@
 WINDOW_MARGIN = 0.1
 # Seconds for which a slot is open: some callers come in it, and few slots touch the
 # same second beside those that begin in it.
-SLOT_SECONDS = 0.1
+TIME_SLOT_SECONDS = 0.1
 # Share of a target's rate that slots give out: gateways hear of its start some time
 # apart, and do not always agree on how many they are.
-SLOT_SHARE = 0.8
+TIME_SLOT_SHARE = 0.8
 
 
 def hash_phase(target: str) -> float:
@@ -39,26 +39,26 @@
 class ColdStartLimit:
     """Counts what was sent to one target while it is cold."""
 
-    __slots__ = ("_phase", "_sent", "_since", "_until")
+    __slots__ = ("_phase", "_sent", "_started_at", "_ends_at")
 
     def __init__(self, phase: float = 0.0) -> None:
         self._phase = phase
-        self._since = float("-inf")
-        self._until = float("-inf")
+        self._started_at = float("-inf")
+        self._ends_at = float("-inf")
         self._sent: deque[float] = deque()
 
     def start(self, now: float, seconds: float) -> None:
         """Take in that the target is cold for ``seconds`` more."""
         if not self.is_cold(now):
-            self._since = now
-        self._until = max(self._until, now + seconds)
+            self._started_at = now
+        self._ends_at = max(self._ends_at, now + seconds)
 
     def is_cold(self, now: float) -> bool:
         """Say whether the target is cold."""
-        return now < self._until
+        return now < self._ends_at
 
     def may_send(
-        self, now: float, per_second: float, gateways: int, gateway_index: int | None = 0
+        self, now: float, per_second: float, gateway_count: int, gateway_index: int | None = 0
     ) -> bool:
         """Say whether this gateway's part of ``per_second`` allows one more.
 
@@ -70,19 +70,19 @@
         start = now - WINDOW_SECONDS - WINDOW_MARGIN
         while self._sent and self._sent[0] < start:
             self._sent.popleft()
-        gateway_rate = per_second / max(1, gateways)
+        gateway_rate = per_second / max(1, gateway_count)
         if gateway_rate >= 1:
             return len(self._sent) < int(gateway_rate)
         if gateway_index is None:
             return False
-        phase = self._phase + gateway_index / gateways
-        return not self._sent and self._is_in_slot(now, gateway_rate * SLOT_SHARE, phase)
+        phase = self._phase + gateway_index / gateway_count
+        return not self._sent and self._is_in_time_slot(now, gateway_rate * TIME_SLOT_SHARE, phase)
 
     def record_sent(self, now: float) -> None:
         """Count a request."""
         if self.is_cold(now):
             self._sent.append(now)
 
-    def _is_in_slot(self, now: float, per_second: float, phase: float) -> bool:
-        slots = (now - self._since) * per_second - phase
-        return slots % 1.0 < SLOT_SECONDS * per_second
+    def _is_in_time_slot(self, now: float, per_second: float, phase: float) -> bool:
+        time_slots = (now - self._started_at) * per_second - phase
+        return time_slots % 1.0 < TIME_SLOT_SECONDS * per_second
