--- a/libraries/decisions/src/bamboopier_decisions/forwarding/configuration_freshness.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/configuration_freshness.py
@@ -18,20 +18,20 @@
     All times are on a clock that also counts while the machine is suspended.
     """
 
-    __slots__ = ("_limit", "confirmed_at")
+    __slots__ = ("_max_age", "confirmed_at")
 
-    def __init__(self, limit: float | None) -> None:
+    def __init__(self, max_age: float | None) -> None:
         # Seconds after which a key may have been taken away; None for no such bound.
-        self._limit = limit
+        self._max_age = max_age
         self.confirmed_at = float("-inf")
 
-    def set_max_age(self, limit: float | None) -> None:
+    def set_max_age(self, max_age: float | None) -> None:
         """Take another bound."""
-        self._limit = limit
+        self._max_age = max_age
 
-    def confirm(self, asked_at: float) -> None:
-        """Take in that the configuration was current at ``asked_at``."""
-        self.confirmed_at = max(self.confirmed_at, asked_at)
+    def confirm(self, sent_at: float) -> None:
+        """Take in that the configuration was current at ``sent_at``."""
+        self.confirmed_at = max(self.confirmed_at, sent_at)
 
     def find_age(self, now: float) -> float:
         """Return the seconds since the last proof."""
@@ -39,6 +39,6 @@
 
     def is_fresh(self, now: float) -> bool:
         """Say whether a request with a key may be passed on at ``now``."""
-        if self._limit is None:
+        if self._max_age is None:
             return self.confirmed_at > float("-inf")
-        return self.find_age(now) < self._limit - SEND_MARGIN
+        return self.find_age(now) < self._max_age - SEND_MARGIN
