--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -105,7 +105,7 @@
         f"{PEERS}.test_gateways_that_were_cut_off_find_each_other_again",
     ),
     Mutation(
-        "a cold target gets less than one a second from each of many gateway_count",
+        "a cold target gets less than one a second from each of many gateways",
         f"{FORWARDING}/cold_start_limit.py",
         " and self._is_in_time_slot(now, gateway_rate * TIME_SLOT_SHARE, phase)\n",
         "\n",
