--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
@@ -25,13 +25,13 @@
 # longer than the trust in an answer, so that fetches from before the start have ended.
 SAVE_HOLD_OFF_SECONDS = 2.5
 # A store is taken for full at this share of its room: what does not fit is lost.
-FULL_SHARE = 0.97
+MAX_FILL_SHARE = 0.97
 # Parts below this many tokens are read anew: a fetch waits some ms before it begins.
-LEAST_TOKENS = 100
+MIN_FETCH_TOKENS = 100
 # Changes of a store that are kept to be handed on; who is behind further gets all.
-KEPT_CHANGES = 2000
+MAX_CHANGES = 2000
 # A save that does not show within so many seconds may be tried again.
-SAVE_SECONDS = 2.0
+SAVE_RETRY_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
     clock_ms: int
     changes: tuple[PartChange, ...]
     # ``changes`` are all parts there, not those since the last answer.
-    whole: bool = False
+    is_snapshot: bool = False
     # Seconds for which this start was known to whoever handed the answer on.
     epoch_known_seconds: float = 0.0
 
@@ -79,11 +79,11 @@
 
     __slots__ = (
         "_changes",
-        "_heard",
-        "_held",
+        "_confirmed_at",
+        "_stored_tokens",
         "_parts",
         "_saving",
-        "_since",
+        "_epoch_seen_at",
         "address",
         "capacity",
         "clock_ms",
@@ -99,17 +99,17 @@
         self.epoch = 0
         # When this start was first seen, never too early, and when it answered last,
         # never too late: in doubt saves begin later, and trust ends sooner.
-        self._since = float("inf")
-        self._heard = float("-inf")
+        self._epoch_seen_at = float("inf")
+        self._confirmed_at = float("-inf")
         # Of the last answer, also of a start that is no longer believed in.
         self.clock_ms = 0
         # Changes counted since this start was first seen here, and the last of them.
         self.position = 0
-        self._changes: deque[PartChange] = deque(maxlen=KEPT_CHANGES)
+        self._changes: deque[PartChange] = deque(maxlen=MAX_CHANGES)
         self._parts: dict[tuple[str, str], int] = {}
         # Parts sent there, and when.
         self._saving: dict[tuple[str, str], float] = {}
-        self._held = 0
+        self._stored_tokens = 0
 
     @property
     def parts(self) -> int:
@@ -117,11 +117,11 @@
         return len(self._parts)
 
     @property
-    def held(self) -> int:
+    def stored_tokens(self) -> int:
         """Return the tokens believed to lie there."""
-        return self._held
+        return self._stored_tokens
 
-    def apply_update(self, asked_at: float, read_at: float, news: PartUpdate) -> bool:
+    def apply_update(self, sent_at: float, read_at: float, update: PartUpdate) -> bool:
         """Take an answer asked for and read at these times; True for a new start.
 
         Failure answered: a gateway is suspended for seconds with a question open, in
@@ -130,21 +130,21 @@
         they could read half a part. It began before the answer was read, so that what
         counts from then on waits long enough.
         """
-        restarted = news.epoch != self.epoch
+        restarted = update.epoch != self.epoch
         if restarted:
             self._forget()
-            self.epoch = news.epoch
-            self._since = read_at
-        elif news.whole:
+            self.epoch = update.epoch
+            self._epoch_seen_at = read_at
+        elif update.is_snapshot:
             self._forget()
-        self._since = min(self._since, read_at - news.epoch_known_seconds)
-        self._heard = max(self._heard, asked_at)
-        self.clock_ms = news.clock_ms
-        for change in news.changes:
+        self._epoch_seen_at = min(self._epoch_seen_at, read_at - update.epoch_known_seconds)
+        self._confirmed_at = max(self._confirmed_at, sent_at)
+        self.clock_ms = update.clock_ms
+        for change in update.changes:
             self._apply(change)
         return restarted
 
-    def is_outdated(self, news: PartUpdate) -> bool:
+    def is_outdated(self, update: PartUpdate) -> bool:
         """Say whether news that were handed on are of a start before the known one.
 
         Failure answered: a gateway heard of a store's new start, and then asks one that
@@ -156,24 +156,24 @@
         earlier time and another epoch is of a start before. If that clock jumps back, a
         start is taken later by as much, and prompts are read anew meanwhile.
         """
-        return news.epoch != self.epoch and news.clock_ms < self.clock_ms
+        return update.epoch != self.epoch and update.clock_ms < self.clock_ms
 
     def invalidate(self) -> None:
         """Take in that a call failed: the store may be starting anew."""
         self._forget()
         self.epoch = 0
-        self._since = float("inf")
-        self._heard = float("-inf")
+        self._epoch_seen_at = float("inf")
+        self._confirmed_at = float("-inf")
 
     def is_current(self, now: float) -> bool:
         """Say whether beliefs still hold."""
-        return now - self._heard < UPDATE_VALID_SECONDS
+        return now - self._confirmed_at < UPDATE_VALID_SECONDS
 
     def can_save(self, now: float, tokens: int) -> bool:
         """Say whether a part of so many tokens may be written."""
-        settled = now - self._since >= SAVE_HOLD_OFF_SECONDS
-        room = self._held + tokens <= self.capacity * FULL_SHARE
-        return settled and room and self.is_current(now)
+        settled = now - self._epoch_seen_at >= SAVE_HOLD_OFF_SECONDS
+        has_headroom = self._stored_tokens + tokens <= self.capacity * MAX_FILL_SHARE
+        return settled and has_headroom and self.is_current(now)
 
     def contains(self, scope: str, part: str, tokens: int) -> bool:
         """Say whether the whole part lies there."""
@@ -182,15 +182,15 @@
     def is_saving(self, now: float, scope: str, part: str) -> bool:
         """Say whether the part was sent there a moment ago."""
         sent = self._saving.get((scope, part))
-        return sent is not None and now - sent < SAVE_SECONDS
+        return sent is not None and now - sent < SAVE_RETRY_SECONDS
 
-    def note_saving(self, now: float, scope: str, part: str) -> None:
+    def record_save(self, now: float, scope: str, part: str) -> None:
         """Take in that an engine is told to write the part."""
         self._saving[scope, part] = now
 
     def find_age(self, now: float) -> float:
         """Return the seconds since the store answered last."""
-        return now - self._heard
+        return now - self._confirmed_at
 
     @property
     def epoch_known_seconds(self) -> float:
@@ -198,7 +198,7 @@
 
         It is below 0 as long as only the answer that told of the start is known.
         """
-        return self._heard - self._since
+        return self._confirmed_at - self._epoch_seen_at
 
     def list_changes(self, position: int) -> list[PartChange] | None:
         """Return the changes after ``position``; None when they are not known."""
@@ -213,8 +213,8 @@
 
     def find_fetch_deadline_ms(self, now: float) -> int:
         """Return until when a fetch may go on, on the engines' clock."""
-        left = self._heard + UPDATE_VALID_SECONDS - now
-        age = now - self._heard
+        left = self._confirmed_at + UPDATE_VALID_SECONDS - now
+        age = now - self._confirmed_at
         # The answer named the clock at its making, which is not before it was asked.
         return self.clock_ms + int((age + left) * 1000) if self.clock_ms else 0
 
@@ -222,7 +222,7 @@
         self.position += 1
         self._changes.append(change)
         key = (change.scope, change.part)
-        self._held += change.tokens - self._parts.get(key, 0)
+        self._stored_tokens += change.tokens - self._parts.get(key, 0)
         if change.tokens:
             self._parts[key] = change.tokens
             self._saving.pop(key, None)
@@ -233,7 +233,7 @@
         self._parts.clear()
         self._saving.clear()
         self._changes.clear()
-        self._held = 0
+        self._stored_tokens = 0
 
 
 class PartStoreIndex:
@@ -306,7 +306,7 @@
         for name, tokens in parts:
             store = self.choose_store(name)
             fetched = saved = ""
-            if store is not None and tokens >= LEAST_TOKENS and store.is_current(now):
+            if store is not None and tokens >= MIN_FETCH_TOKENS and store.is_current(now):
                 limit = store.find_fetch_deadline_ms(now)
                 if store.contains(scope, name, tokens) and limit:
                     fetched = store.address
@@ -315,11 +315,11 @@
                     now, scope, name
                 ):
                     saved = store.address
-                    store.note_saving(now, scope, name)
+                    store.record_save(now, scope, name)
             fetch.append(fetched)
             save.append(saved)
         if not any(fetch) and not any(save):
             return None
-        own = ("",) * others
+        unshared = ("",) * others
         until = min(limits, default=0)
-        return PartPlan((*fetch, *own), (*save, *own), until)
+        return PartPlan((*fetch, *unshared), (*save, *unshared), until)
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -140,7 +140,7 @@
     Mutation(
         "a start that is later by the stores' clock is taken when it is handed on",
         f"{FORWARDING}/part_store_index.py",
-        " and news.clock_ms < self.clock_ms\n",
+        " and update.clock_ms < self.clock_ms\n",
         "\n",
         "libraries/proxy",
         f"{STARTS}.test_a_start_later_than_the_known_one_is_taken",
