--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from bamboopier_decisions.forwarding.weight_load_drain import (
-    HEARD_SECONDS,
-    LONGEST_SECONDS,
+    PROPAGATION_SECONDS,
+    MAX_DRAIN_SECONDS,
     WeightLoadDrain,
 )
 from bamboopier_decisions.forwarding.placement import Demand, WeightVersionRange, choose_target
@@ -181,7 +181,7 @@
         self.drain = WeightLoadDrain(10.0)
 
     def test_the_order_waits_until_the_long_streams_end(self) -> None:
-        self.drain.record_running(10.0 + HEARD_SECONDS, frozenset({"long", "short"}))
+        self.drain.record_running(10.0 + PROPAGATION_SECONDS, frozenset({"long", "short"}))
         self.drain.record_running(10.5, frozenset({"long", "new"}))
         self.assertFalse(self.drain.is_complete)
         self.drain.record_running(11.0, frozenset({"new", "newer"}))
@@ -191,14 +191,14 @@
         # The target looks idle when its drain begins, and a long request is on its way.
         self.drain.record_running(10.0, frozenset())
         self.assertFalse(self.drain.is_complete)
-        self.drain.record_running(10.0 + HEARD_SECONDS, frozenset({"late"}))
+        self.drain.record_running(10.0 + PROPAGATION_SECONDS, frozenset({"late"}))
         self.assertFalse(self.drain.is_complete)
 
     def test_a_stream_that_does_not_end_holds_the_order_up_for_a_while_only(
         self,
     ) -> None:
         self.drain.record_running(11.0, frozenset({"long"}))
-        self.drain.record_running(10.0 + LONGEST_SECONDS, frozenset({"long"}))
+        self.drain.record_running(10.0 + MAX_DRAIN_SECONDS, frozenset({"long"}))
         self.assertTrue(self.drain.is_complete)
 
     def test_a_drained_target_gets_short_answers_only(self) -> None:
