--- a/libraries/decisions/src/bamboopier_decisions/forwarding/pause_tracker.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/pause_tracker.py
@@ -25,8 +25,8 @@
 class Pause:
     """One time for which the process paused."""
 
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
 
     @property
     def caught_up_at(self) -> float:
@@ -35,29 +35,29 @@
         A peer whose segments were not acknowledged repeats them at doubled intervals:
         the last comes no later after the pause than the pause was long.
         """
-        return self.ended + (self.ended - self.began) + CATCH_UP_SECONDS
+        return self.ended_at + (self.ended_at - self.started_at) + CATCH_UP_SECONDS
 
 
 class PauseTracker:
     """The last two times at which one process paused, and how long it ran."""
 
-    __slots__ = ("_before", "_last", "_paused", "_ticked")
+    __slots__ = ("_previous", "_last", "_paused_seconds", "_ticked_at")
 
     def __init__(self, now: float) -> None:
-        self._ticked = now
+        self._ticked_at = now
         self._last: Pause | None = None
-        self._before: Pause | None = None
+        self._previous: Pause | None = None
         # Seconds of all pauses.
-        self._paused = 0.0
+        self._paused_seconds = 0.0
 
     def record_tick(self, now: float) -> float:
         """Take in that the process runs; return the seconds it stood still, or 0."""
-        began, self._ticked = self._ticked, now
-        gap = now - began
+        started_at, self._ticked_at = self._ticked_at, now
+        gap = now - started_at
         if gap < PAUSE_SECONDS:
             return 0.0
-        self._before, self._last = self._last, Pause(began, now)
-        self._paused += gap
+        self._previous, self._last = self._last, Pause(started_at, now)
+        self._paused_seconds += gap
         return gap
 
     def read_running_clock(self, now: float) -> float:
@@ -67,24 +67,24 @@
         out. It can be too short by up to ``PAUSE_SECONDS``: the clock runs on until a
         pause shows, and then goes back.
         """
-        gap = now - self._ticked
+        gap = now - self._ticked_at
         # It may run again, and this is read before the tick that is due.
         pending = gap if gap >= PAUSE_SECONDS else 0.0
-        return now - self._paused - pending
+        return now - self._paused_seconds - pending
 
     def find_earliest_arrival(self, now: float) -> float:
         """Return since when something that is read now may have waited.
 
         That is ``now`` unless the process paused a moment ago.
         """
-        last, before = self._last, self._before
-        if now - self._ticked >= PAUSE_SECONDS:
+        last, previous = self._last, self._previous
+        if now - self._ticked_at >= PAUSE_SECONDS:
             # It runs again, and this is read before the tick that is due.
-            last, before = Pause(self._ticked, now), self._last
+            last, previous = Pause(self._ticked_at, now), self._last
         if last is None or now >= last.caught_up_at:
             return now
-        if before is not None and last.began < before.caught_up_at:
+        if previous is not None and last.started_at < previous.caught_up_at:
             # What waited in the pause before may have been unread when this one began.
             # No further back: a slow process would take all news for ever older ones.
-            return before.began
-        return last.began
+            return previous.started_at
+        return last.started_at
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -83,15 +83,15 @@
     Mutation(
         "a pause that has not been noted yet is no silence of the others",
         PAUSES,
-        "        return now - self._paused - pending\n",
-        "        return now - self._paused\n",
+        "        return now - self._paused_seconds - pending\n",
+        "        return now - self._paused_seconds\n",
         "libraries/proxy",
         f"{PEERS}.test_gateways_that_wake_together_share_what_a_cold_target_bears",
     ),
     Mutation(
         "a pause that was noted is no silence of the others",
         PAUSES,
-        "        self._paused += gap\n",
+        "        self._paused_seconds += gap\n",
         "        pass\n",
         "libraries/proxy",
         f"{PEERS}.test_a_pause_known_before_the_list_is_looked_at_is_no_silence",
