--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -24,42 +24,42 @@
     from .target_state import TargetState
 
 # Prompt tokens an engine reads in a second; the operators' sheet gives 112 a ms.
-READ_RATE = 112_000.0
+PREFILL_RATE = 112_000.0
 # Seconds that one running request adds to the time of a first token: it shares each
 # step of the batch. A step of 128 requests takes 6 ms longer than one of a single.
-RUNNING_SECONDS = 0.0008
+SECONDS_PER_RUNNING_REQUEST = 0.0008
 # Chance that the first owner of a prompt's beginning has it cached when this gateway
 # has not sent it there itself: the others choose the same owner.
-OWNER_CHANCE = 0.8
+OWNER_HIT_PROBABILITY = 0.8
 # What a token fetched from a store counts as, in tokens read: 8,600 take 25 ms, not
 # 77 ms, and the engine reads other prompts meanwhile.
-MOVED_SHARE = 0.15
+FETCHED_TOKEN_COST = 0.15
 # What a shared token counts as that is read here though another engine has read it:
 # beside its own time it takes that of the prompts behind it. Of 3, 6 and 12 this reads
 # least again: 0.93 M tokens of 40 returning sessions in 30 s (1.37 M at 3), replayed.
-AGAIN_WEIGHT = 6.0
+REPEATED_PREFILL_WEIGHT = 6.0
 # Seconds for leaving the data centre: the way there and back, and its price in bytes.
-OUTSIDE_SECONDS = 0.004
+REMOTE_PENALTY_SECONDS = 0.004
 # Seconds a target's failing requests count as; a target that fails a tenth of its
 # requests is as bad as one that is this much slower by a tenth.
-FAILING_SECONDS = 2.0
+FAILURE_PENALTY_SECONDS = 2.0
 # Seconds that older weights count as: an answer made on them is worth a fifth less.
-OLD_SECONDS = 0.1
+OLD_WEIGHTS_PENALTY_SECONDS = 0.1
 # An answer is long from this many expected tokens: it holds up a target that is to load
 # new weights for half a second and more.
-LONG_OUTPUT = 100
+LONG_OUTPUT_TOKENS = 100
 # Seconds that such a target counts as slower for a long answer: what the load waits.
-NEAR_SECONDS = 0.5
+LOADING_SOON_PENALTY_SECONDS = 0.5
 # Share of an engine's memory above which a request is not sent, by its priority, 0 the
 # most urgent. Long prompts of low priority would else fill the memory, and short urgent
 # ones wait behind them: an engine that is full puts runs back and reads them again.
-MEMORY_SHARES = (1.05, 0.98, 0.9)
+MAX_MEMORY_SHARES = (1.05, 0.98, 0.9)
 # Seconds of unread prompts above which no more are sent, by priority: what is less
 # urgent leaves room, and what is sent gets its first token within its aim.
-UNREAD_SECONDS = (0.6, 0.45, 0.4)
+PREFILL_BACKLOG_SECONDS = (0.6, 0.45, 0.4)
 # Requests under way at a plain target, as a share of its slots, above which it is full.
 # Its own queue covers the time in which a gateway hears of a free slot.
-PLAIN_SHARE = 2.0
+PLAIN_LOAD_FACTOR = 2.0
 
 
 class Demand:
@@ -77,18 +77,18 @@
         self.fetched = fetched
 
     @property
-    def unread_seconds(self) -> float:
+    def max_backlog_seconds(self) -> float:
         """Return the backlog up to which the request is sent."""
-        return UNREAD_SECONDS[self._rank]
+        return PREFILL_BACKLOG_SECONDS[self._priority_index]
 
     @property
-    def memory_share(self) -> float:
+    def max_memory_share(self) -> float:
         """Return the share of an engine's memory up to which the request is sent."""
-        return MEMORY_SHARES[self._rank]
+        return MAX_MEMORY_SHARES[self._priority_index]
 
     @property
-    def _rank(self) -> int:
-        return min(max(self.priority, 0), len(UNREAD_SECONDS) - 1)
+    def _priority_index(self) -> int:
+        return min(max(self.priority, 0), len(PREFILL_BACKLOG_SECONDS) - 1)
 
 
 @dataclass(frozen=True, slots=True)
@@ -151,48 +151,48 @@
     """
     listed = fleet.list_targets(demand.service, now)
     known = [state for state in listed if _fits(state, demand)]
-    willing = [
+    candidates = [
         state
         for state in known
         if state.entry.name not in tried
-        and _may_try(now, fleet, state)
+        and _can_try(now, fleet, state)
         and _serves(state, demand, weights.oldest)
     ]
-    limited = _find_limited(now, fleet, willing)
-    usable = [state for state in willing if state not in limited]
+    limited = _find_limited(now, fleet, candidates)
+    usable = [state for state in candidates if state not in limited]
     if _is_long(demand):
-        usable = _leave_draining(now, usable)
-    room = [state for state in usable if has_room(now, fleet, state, demand)]
-    near = _find_near(known, demand, weights.newest)
+        usable = _exclude_draining(now, usable)
+    with_capacity = [state for state in usable if has_capacity(now, fleet, state, demand)]
+    loading_soon = _find_loading_soon(known, demand, weights.newest)
     owner = _find_owner(usable, demand)
-    best = _choose(room, demand, owner, near, data_centre, random) if room else None
+    best = _choose(with_capacity, demand, owner, loading_soon, data_centre, random) if with_capacity else None
     untried = sum(state.entry.name not in tried for state in known)
     described = _describe_limited(limited, untried)
-    return Placement(best, len(known), len(room), len(usable), described)
+    return Placement(best, len(known), len(with_capacity), len(usable), described)
 
 
-def has_room(now: float, fleet: Fleet, state: TargetState, demand: Demand) -> bool:
+def has_capacity(now: float, fleet: Fleet, state: TargetState, demand: Demand) -> bool:
     """Say whether a target takes one more such request without a long wait."""
     engine = state.service.engine
     prompt = demand.prompt
     if engine is None or prompt is None:
-        return state.requests < state.slots * PLAIN_SHARE
+        return state.requests < state.slots * PLAIN_LOAD_FACTOR
     if state.requests == 0:
         return True
     if state.requests >= state.slots:
         return False
     memory = state.count_memory(prompt)
-    memory_room = engine.memory_tokens * demand.memory_share - state.memory
-    if memory > memory_room:
+    memory_headroom = engine.memory_tokens * demand.max_memory_share - state.memory
+    if memory > memory_headroom:
         return False
-    unread_room = demand.unread_seconds * READ_RATE - state.pending_prefill
-    if unread_room < 0:
+    prefill_headroom = demand.max_backlog_seconds * PREFILL_RATE - state.pending_prefill
+    if prefill_headroom < 0:
         return False
-    gateways = fleet.gateway_count
-    unread = state.count_prefill(prompt)
+    gateway_count = fleet.gateway_count
+    prefill = state.count_prefill(prompt)
     return state.headroom.allows_prefill(
-        now, unread, unread_room, gateways
-    ) and state.headroom.allows_memory(now, memory, memory_room, gateways)
+        now, prefill, prefill_headroom, gateway_count
+    ) and state.headroom.allows_memory(now, memory, memory_headroom, gateway_count)
 
 
 def _fits(state: TargetState, demand: Demand) -> bool:
@@ -207,7 +207,7 @@
     return demand.prompt.tokens_in <= engine.memory_tokens
 
 
-def _may_try(now: float, fleet: Fleet, state: TargetState) -> bool:
+def _can_try(now: float, fleet: Fleet, state: TargetState) -> bool:
     if now < state.busy_until or not state.circuit_breaker.allows_request(now):
         return False
     rate = state.service.cold_per_second
@@ -243,15 +243,15 @@
 
 def _is_long(demand: Demand) -> bool:
     prompt = demand.prompt
-    return prompt is not None and prompt.tokens_out >= LONG_OUTPUT
+    return prompt is not None and prompt.tokens_out >= LONG_OUTPUT_TOKENS
 
 
-def _leave_draining(now: float, states: list[TargetState]) -> list[TargetState]:
+def _exclude_draining(now: float, states: list[TargetState]) -> list[TargetState]:
     """Return the targets that take long answers; all if none of them does."""
     return [state for state in states if now >= state.short_answers_until] or states
 
 
-def _find_near(known: list[TargetState], demand: Demand, newest: int) -> frozenset[str]:
+def _find_loading_soon(known: list[TargetState], demand: Demand, newest: int) -> frozenset[str]:
     """Return the targets that load new weights soon."""
     if demand.prompt is None or not newest:
         return frozenset()
@@ -274,7 +274,7 @@
     states: list[TargetState],
     demand: Demand,
     owner: str,
-    near: Set[str],
+    loading_soon: Set[str],
     data_centre: str,
     random: random.Random,
 ) -> TargetState:
@@ -284,24 +284,24 @@
     if prompt is not None:
         newest = max(state.versions.get(prompt.model, 0) for state in states)
 
-    def expect(state: TargetState) -> float:
-        outside = 0.0 if state.entry.data_centre == data_centre else OUTSIDE_SECONDS
-        failing = state.circuit_breaker.failure_rate * FAILING_SECONDS
-        chance = random.random() * 1e-4
+    def estimate_seconds(state: TargetState) -> float:
+        remote = 0.0 if state.entry.data_centre == data_centre else REMOTE_PENALTY_SECONDS
+        failing = state.circuit_breaker.failure_rate * FAILURE_PENALTY_SECONDS
+        jitter = random.random() * 1e-4
         if prompt is None:
-            return state.requests / state.slots + outside + failing + chance
+            return state.requests / state.slots + remote + failing + jitter
         cached = state.cached_parts.count_cached(prompt)
         shared = sum(part.tokens for part in prompt.shared_parts)
-        again = shared - max(cached, demand.fetched)
+        repeated = shared - max(cached, demand.fetched)
         if state.entry.name == owner:
-            again = int(again * (1 - OWNER_CHANCE))
-        moved = max(0, demand.fetched - cached) * MOVED_SHARE
+            repeated = int(repeated * (1 - OWNER_HIT_PROBABILITY))
+        fetched_cost = max(0, demand.fetched - cached) * FETCHED_TOKEN_COST
         own = prompt.tokens_in - shared
-        waiting = (state.pending_prefill + own + moved + again * AGAIN_WEIGHT) / READ_RATE
-        running = state.requests * RUNNING_SECONDS
-        old = OLD_SECONDS if state.versions.get(prompt.model, 0) < newest else 0.0
-        if is_long and state.entry.name in near:
-            old += NEAR_SECONDS
-        return waiting + running + outside + failing + old + chance
-
-    return min(states, key=expect)
+        backlog = (state.pending_prefill + own + fetched_cost + repeated * REPEATED_PREFILL_WEIGHT) / PREFILL_RATE
+        running = state.requests * SECONDS_PER_RUNNING_REQUEST
+        outdated = OLD_WEIGHTS_PENALTY_SECONDS if state.versions.get(prompt.model, 0) < newest else 0.0
+        if is_long and state.entry.name in loading_soon:
+            outdated += LOADING_SOON_PENALTY_SECONDS
+        return backlog + running + remote + failing + outdated + jitter
+
+    return min(states, key=estimate_seconds)
--- a/libraries/decisions/tests/forwarding/test_load_pattern.py
+++ b/libraries/decisions/tests/forwarding/test_load_pattern.py
@@ -25,7 +25,7 @@
     from bamboopier_decisions.forwarding.fleet import Fleet, InFlightRequest
     from bamboopier_decisions.forwarding.prompt import Prompt
 
-READ_RATE = 112_000.0
+PREFILL_RATE = 112_000.0
 CACHE_TOKENS = 100_000
 HINT_SECONDS = 0.25
 # Seconds from the first to the last token of an answer.
@@ -52,9 +52,9 @@
             self.cache.move_to_end(part.name)
         while sum(self.cache.values()) > CACHE_TOKENS:
             self.cache.popitem(last=False)
-        unread = prompt.tokens_in - cached
-        self.read += unread
-        self.free_at = max(now, self.free_at) + unread / READ_RATE
+        prefill = prompt.tokens_in - cached
+        self.read += prefill
+        self.free_at = max(now, self.free_at) + prefill / PREFILL_RATE
         return self.free_at
 
 
@@ -76,7 +76,7 @@
 def replay(
     arrivals: list[tuple[float, Prompt]],
     engines: int,
-    gateways: int,
+    gateway_count: int,
     limits: Mapping[str, float] | None = None,
 ) -> Outcome:
     """Send each request through the gateways in turn.
@@ -86,9 +86,9 @@
     generator = random.Random(7)
     names = [f"i-{n}" for n in range(engines)]
     world = {name: Engine() for name in names}
-    fleets = [make_fleet([make_entry(n) for n in names]) for _ in range(gateways)]
+    fleets = [make_fleet([make_entry(n) for n in names]) for _ in range(gateway_count)]
     for number, fleet in enumerate(fleets):
-        fleet.gateway_count, fleet.gateway_index = gateways, number
+        fleet.gateway_count, fleet.gateway_index = gateway_count, number
         for name, per_second in (limits or {}).items():
             state = fleet.find(name)
             assert state is not None
@@ -106,7 +106,7 @@
         if now - told >= HINT_SECONDS:
             told = now
             share_loads(fleets, names)
-        fleet = fleets[number % gateways]
+        fleet = fleets[number % gateway_count]
         demand = Demand(DESK, 1, prompt)
         wanted = WeightVersionRange()
         found = choose_target(now, fleet, demand, set(), wanted, "z1", generator).state
@@ -159,7 +159,7 @@
         # They fit the caches together, so most prompts need only their own part. Where
         # the owner of a session is not preferred, ten times the first reads are read.
         arrivals = draw_arrivals(30.0, 30.0, 40)
-        outcome = replay(arrivals, engines=6, gateways=4)
+        outcome = replay(arrivals, engines=6, gateway_count=4)
         own = sum(prompt.parts[-1].tokens for _, prompt in arrivals)
         first_reads = 40 * 8600 + 6 * 512
         self.assertLess(outcome.read, own + 4 * first_reads)
@@ -173,7 +173,7 @@
             (when, make_prompt("hot") if generator.random() < 0.9 else prompt)
             for when, prompt in draw_arrivals(80.0, 20.0, 40)
         ]
-        outcome = replay(arrivals, engines=6, gateways=4)
+        outcome = replay(arrivals, engines=6, gateway_count=4)
         busiest = max(outcome.by_engine.values())
         self.assertLess(busiest, 0.5 * len(arrivals))
         self.assertGreater(outcome.share_within(0.6), 0.95)
@@ -185,7 +185,7 @@
         # for what is over that, and no caller notices.
         arrivals = draw_arrivals(38.0, 30.0, 400)
         limits = {"i-0": 2.0, "i-1": 2.0}
-        outcome = replay(arrivals, engines=8, gateways=4, limits=limits)
+        outcome = replay(arrivals, engines=8, gateway_count=4, limits=limits)
         self.assertEqual(outcome.refused, 0)
         self.assertGreater(outcome.share_within(0.6), 0.99)
         for name, per_second in limits.items():
@@ -202,10 +202,10 @@
             (when, make_prompt(f"new-{number}"))
             for number, (when, _) in enumerate(draw_arrivals(112.0, 20.0, 10))
         ]
-        outcome = replay(arrivals, engines=6, gateways=4)
+        outcome = replay(arrivals, engines=6, gateway_count=4)
         firsts = sorted(outcome.firsts)
         self.assertLess(firsts[int(len(firsts) * 0.95)], 1.2)
-        capacity = 6 * READ_RATE / 11_912 * 20
+        capacity = 6 * PREFILL_RATE / 11_912 * 20
         self.assertGreater(len(firsts), 0.85 * capacity)
 
     def test_gateways_do_not_fill_an_empty_engine_together(self) -> None:
@@ -215,13 +215,13 @@
         generator = random.Random(5)
         moments = sorted(generator.uniform(0.0, 0.2) for _ in range(60))
         arrivals = [(at, make_prompt(f"new-{n}")) for n, at in enumerate(moments)]
-        outcome = replay(arrivals, engines=1, gateways=5)
+        outcome = replay(arrivals, engines=1, gateway_count=5)
         self.assertLess(max(outcome.firsts), 0.9)
         self.assertGreaterEqual(len(outcome.firsts), 5)
 
     def test_no_request_is_refused_while_engines_have_room(self) -> None:
         arrivals = draw_arrivals(20.0, 30.0, 400)
-        outcome = replay(arrivals, engines=6, gateways=4)
+        outcome = replay(arrivals, engines=6, gateway_count=4)
         self.assertEqual(outcome.refused, 0)
 
 
