--- a/libraries/decisions/src/bamboopier_decisions/forwarding/prompt.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/prompt.py
@@ -6,10 +6,10 @@
 
 # Callers' estimates are right at the median and often far off: most answers stay below
 # this multiple.
-HINT_FACTOR = 1.5
+ESTIMATE_FACTOR = 1.5
 # Share of the allowed output that an answer takes where its caller gives no estimate;
 # limits are set for the longest answer, and means lie at a third of them.
-UNHINTED_SHARE = 0.35
+DEFAULT_OUTPUT_SHARE = 0.35
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,8 +36,8 @@
     def tokens_out(self) -> int:
         """Return the tokens of output to expect."""
         if self.estimated_output:
-            return min(self.max_output, int(self.estimated_output * HINT_FACTOR))
-        return int(self.max_output * UNHINTED_SHARE)
+            return min(self.max_output, int(self.estimated_output * ESTIMATE_FACTOR))
+        return int(self.max_output * DEFAULT_OUTPUT_SHARE)
 
     @property
     def shared_parts(self) -> tuple[PromptPart, ...]:
