--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
@@ -22,12 +22,12 @@
 NEVER = float("-inf")
 # Requests a second that are tried at a target which takes none: only an answer can say
 # that it takes some again.
-LEAST_PER_SECOND = 0.25
+MIN_PER_SECOND = 0.25
 # Gateways beyond what a target takes in a second up to which each saves up its part.
-SAVING_GATEWAYS = 3.0
+BUCKET_GATEWAYS = 3.0
 # Requests that one gateway saves up, and the seconds in which its part makes more.
-LEAST_SAVED = 1.0
-SAVED_SECONDS = 1.0
+MIN_BUCKET_SIZE = 1.0
+BUCKET_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
     # When a request was last sent whose answer named none.
     ended_at: float
     # Since when it has been named without an end.
-    since: float
+    reported_since: float
 
 
 class RateLimit:
@@ -51,15 +51,15 @@
 
     __slots__ = (
         "_ended_at",
-        "_filled_at",
-        "_gateways",
+        "_refilled_at",
+        "_gateway_count",
         "_reported_at",
         "_own_ended_at",
         "_own_reported_at",
         "_phase",
-        "_saved",
-        "_sent_turn",
-        "_since",
+        "_credits",
+        "_used_time_slot",
+        "_reported_since",
         "per_second",
     )
 
@@ -71,12 +71,12 @@
         # The same by answers to this gateway alone: only these are told to others, so
         # that nobody's word comes back to it as news.
         self._own_reported_at = self._own_ended_at = NEVER
-        self._since = NEVER
-        self._saved = 0.0
-        self._filled_at = NEVER
-        self._gateways = 1
+        self._reported_since = NEVER
+        self._credits = 0.0
+        self._refilled_at = NEVER
+        self._gateway_count = 1
         # The turn in which a request was sent.
-        self._sent_turn: int | None = None
+        self._used_time_slot: int | None = None
 
     @property
     def in_force(self) -> bool:
@@ -91,7 +91,7 @@
     def record_limit(self, now: float, per_second: float) -> bool:
         """Take in an answer that names a limit; say whether that is new."""
         self._own_reported_at = now
-        return self._take_named(now, now, per_second, now)
+        return self._apply_reported(now, now, per_second, now)
 
     def record_no_limit(self, sent_at: float) -> bool:
         """Take in an answer without a limit to a request sent at ``sent_at``.
@@ -101,100 +101,100 @@
         if self._reported_at == NEVER:
             return False
         self._own_ended_at = max(self._own_ended_at, sent_at)
-        return self._take_ended(sent_at)
+        return self._apply_ended(sent_at)
 
-    def apply_update(self, now: float, news: LimitUpdate) -> bool:
+    def apply_update(self, now: float, update: LimitUpdate) -> bool:
         """Take what another gateway was told; say whether it changes anything."""
-        ended = self._take_ended(news.ended_at)
-        if news.reported_at <= max(news.ended_at, self._reported_at):
+        ended = self._apply_ended(update.ended_at)
+        if update.reported_at <= max(update.ended_at, self._reported_at):
             return ended
-        return self._take_named(now, news.reported_at, news.per_second, news.since)
+        return self._apply_reported(now, update.reported_at, update.per_second, update.reported_since)
 
     def make_update(self) -> LimitUpdate:
         """Return what this gateway was told itself."""
         return LimitUpdate(
-            self.per_second, self._own_reported_at, self._own_ended_at, self._since
+            self.per_second, self._own_reported_at, self._own_ended_at, self._reported_since
         )
 
-    def may_send(self, now: float, gateways: int, gateway_index: int | None) -> bool:
+    def may_send(self, now: float, gateway_count: int, gateway_index: int | None) -> bool:
         """Say whether this gateway's part allows one more request.
 
         It is the one at ``gateway_index``, from 0, in the order of the gateways' names; while
         that is not known it has no turn.
         """
-        return self.find_next(now, gateways, gateway_index) <= now
+        return self.find_next(now, gateway_count, gateway_index) <= now
 
-    def find_next(self, now: float, gateways: int, gateway_index: int | None) -> float:
+    def find_next(self, now: float, gateway_count: int, gateway_index: int | None) -> float:
         """Return when this gateway may send the next request; infinity for never."""
         if not self.in_force:
             return now
-        self._gateways = max(1, gateways)
-        if self._takes_turns:
-            return self._find_turn(now, gateway_index)
-        self._fill(now)
-        missing = max(0.0, 1.0 - self._saved)
+        self._gateway_count = max(1, gateway_count)
+        if self._uses_time_slots:
+            return self._find_time_slot(now, gateway_index)
+        self._refill(now)
+        missing = max(0.0, 1.0 - self._credits)
         return now + missing / self.gateway_rate
 
     def record_sent(self, now: float) -> None:
         """Count a request."""
         if not self.in_force:
             return
-        if self._takes_turns:
-            self._sent_turn = self._count_turns(now)
+        if self._uses_time_slots:
+            self._used_time_slot = self._count_time_slots(now)
         else:
-            self._fill(now)
-            self._saved -= 1.0
+            self._refill(now)
+            self._credits -= 1.0
 
     @property
     def gateway_rate(self) -> float:
         """Return the requests a second that are this gateway's."""
-        return self._rate / self._gateways
+        return self._rate / self._gateway_count
 
     @property
     def _rate(self) -> float:
-        return max(LEAST_PER_SECOND, self.per_second)
+        return max(MIN_PER_SECOND, self.per_second)
 
     @property
-    def _takes_turns(self) -> bool:
-        return self._gateways > self._rate + SAVING_GATEWAYS
+    def _uses_time_slots(self) -> bool:
+        return self._gateway_count > self._rate + BUCKET_GATEWAYS
 
-    def _take_named(
-        self, now: float, reported_at: float, per_second: float, since: float
+    def _apply_reported(
+        self, now: float, reported_at: float, per_second: float, reported_since: float
     ) -> bool:
         is_new = not self.in_force or per_second != self.per_second
         if not self.in_force:
-            self._since = since
+            self._reported_since = reported_since
             # What callers sent before it was known has used up the first part.
-            self._saved, self._filled_at = 0.0, now
-            self._sent_turn = None
+            self._credits, self._refilled_at = 0.0, now
+            self._used_time_slot = None
         else:
-            self._since = min(self._since, since)
+            self._reported_since = min(self._reported_since, reported_since)
         self._reported_at = max(self._reported_at, reported_at)
         self.per_second = per_second
         return is_new and self.in_force
 
-    def _take_ended(self, ended_at: float) -> bool:
+    def _apply_ended(self, ended_at: float) -> bool:
         was_in_force = self.in_force
         self._ended_at = max(self._ended_at, ended_at)
         return was_in_force and not self.in_force
 
-    def _fill(self, now: float) -> None:
-        most = max(LEAST_SAVED, self.gateway_rate * SAVED_SECONDS)
-        filled = self._saved + (now - self._filled_at) * self.gateway_rate
-        self._saved = min(most, filled)
-        self._filled_at = now
+    def _refill(self, now: float) -> None:
+        bucket_size = max(MIN_BUCKET_SIZE, self.gateway_rate * BUCKET_SECONDS)
+        refilled = self._credits + (now - self._refilled_at) * self.gateway_rate
+        self._credits = min(bucket_size, refilled)
+        self._refilled_at = now
 
-    def _count_turns(self, now: float) -> int:
-        return math.floor((now - self._since) * self._rate)
+    def _count_time_slots(self, now: float) -> int:
+        return math.floor((now - self._reported_since) * self._rate)
 
-    def _find_turn(self, now: float, gateway_index: int | None) -> float:
+    def _find_time_slot(self, now: float, gateway_index: int | None) -> float:
         if gateway_index is None:
             return math.inf
-        turn = self._count_turns(now)
-        own = (gateway_index + int(self._phase * self._gateways)) % self._gateways
-        ahead = (own - turn) % self._gateways
-        if ahead == 0 and turn == self._sent_turn:
-            ahead = self._gateways
+        time_slot = self._count_time_slots(now)
+        own = (gateway_index + int(self._phase * self._gateway_count)) % self._gateway_count
+        ahead = (own - time_slot) % self._gateway_count
+        if ahead == 0 and time_slot == self._used_time_slot:
+            ahead = self._gateway_count
         if ahead == 0:
             return now
-        return self._since + (turn + ahead) / self._rate
+        return self._reported_since + (time_slot + ahead) / self._rate
--- a/tools/safeguards/bounds.py
+++ b/tools/safeguards/bounds.py
@@ -63,7 +63,7 @@
     Mutation(
         "a limit is divided among the gateways",
         _RATE,
-        "return self._rate / self._gateways",
+        "return self._rate / self._gateway_count",
         "return self._rate",
         "libraries/decisions",
         f"{_RATE_TEST}.SharedLimitTests",
@@ -71,7 +71,7 @@
     Mutation(
         "many gateways take turns",
         _RATE,
-        "return self._gateways > self._rate + SAVING_GATEWAYS",
+        "return self._gateway_count > self._rate + BUCKET_GATEWAYS",
         "return False",
         "libraries/decisions",
         f"{_RATE_TEST}.SharedLimitTests",
@@ -87,7 +87,7 @@
     Mutation(
         "a target that takes nothing is tried again",
         _RATE,
-        "max(LEAST_PER_SECOND, self.per_second)",
+        "max(MIN_PER_SECOND, self.per_second)",
         "max(1e-9, self.per_second)",
         "libraries/decisions",
         f"{_RATE_TEST}.BeliefTests",
