--- a/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
@@ -33,57 +33,57 @@
 class SharedRetryBudget:
     """Counts one service's requests and repeats of this gateway in a window."""
 
-    __slots__ = ("_ratio", "_repeats", "_requests", "_slack", "_window")
+    __slots__ = ("_ratio", "_retries", "_requests", "_slack", "_window")
 
-    def __init__(self, bounds: RetryBudgetLimits) -> None:
+    def __init__(self, limits: RetryBudgetLimits) -> None:
         self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
-        self.set_limits(bounds)
+        self._retries: deque[float] = deque()
+        self.set_limits(limits)
 
-    def set_limits(self, bounds: RetryBudgetLimits) -> None:
+    def set_limits(self, limits: RetryBudgetLimits) -> None:
         """Take other bounds; what was counted goes on counting."""
-        self._ratio = bounds.ratio * RATIO_SHARE
-        self._slack = bounds.slack * SLACK_SHARE
-        self._window = bounds.window_seconds
+        self._ratio = limits.ratio * RATIO_SHARE
+        self._slack = limits.slack * SLACK_SHARE
+        self._window = limits.window_seconds
 
     def record_request(self, now: float) -> None:
         """Count a caller's request."""
         self._requests.append(now)
 
-    def try_spend(self, now: float, gateways: int) -> bool:
-        """Spend one repeat, with the slack divided by ``gateways``; False if none."""
-        _drop_before(self._requests, now - self._window)
-        _drop_before(self._repeats, now - self._window)
-        allowed = self._ratio * len(self._requests) + self._slack / max(1, gateways)
-        if len(self._repeats) + 1 > allowed:
+    def try_spend(self, now: float, gateway_count: int) -> bool:
+        """Spend one repeat, with the slack divided by ``gateway_count``; False if none."""
+        _remove_before(self._requests, now - self._window)
+        _remove_before(self._retries, now - self._window)
+        allowed = self._ratio * len(self._requests) + self._slack / max(1, gateway_count)
+        if len(self._retries) + 1 > allowed:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
 
 class SharedRetryBudgets:
     """The shares of all services."""
 
-    __slots__ = ("_bounds", "_shares")
+    __slots__ = ("_limits", "_budgets")
 
-    def __init__(self, bounds: RetryBudgetLimits) -> None:
-        self._bounds = bounds
-        self._shares: dict[str, SharedRetryBudget] = {}
+    def __init__(self, limits: RetryBudgetLimits) -> None:
+        self._limits = limits
+        self._budgets: dict[str, SharedRetryBudget] = {}
 
     def find(self, service: str) -> SharedRetryBudget:
         """Return the share of a service."""
-        share = self._shares.get(service)
-        if share is None:
-            share = self._shares[service] = SharedRetryBudget(self._bounds)
-        return share
+        budget = self._budgets.get(service)
+        if budget is None:
+            budget = self._budgets[service] = SharedRetryBudget(self._limits)
+        return budget
 
-    def set_limits(self, bounds: RetryBudgetLimits) -> None:
+    def set_limits(self, limits: RetryBudgetLimits) -> None:
         """Take other bounds, also for the services that are already known."""
-        self._bounds = bounds
-        for share in self._shares.values():
-            share.set_limits(bounds)
+        self._limits = limits
+        for budget in self._budgets.values():
+            budget.set_limits(limits)
 
 
-def _drop_before(times: deque[float], start: float) -> None:
+def _remove_before(times: deque[float], start: float) -> None:
     while times and times[0] < start:
         times.popleft()
