--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rollout_order.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rollout_order.py
@@ -18,9 +18,9 @@
 
 # Targets of a service for each one that may load at the same time: a load takes longer
 # while more than about a third of the engines do so.
-TARGETS_PER_LOAD = 3
+TARGETS_PER_CONCURRENT_LOAD = 3
 # Turns ahead of the one that loads whose targets get fewer long answers.
-TURNS_AHEAD = 1
+WAVES_AHEAD = 1
 # Seconds from the start of one turn to that of the next: a drain of two seconds and a
 # load of 1.4 s, of which the next drain overlaps the load. Sooner, two thirds of the
 # engines take no long answers at once; later, more answers are made on older weights.
@@ -29,7 +29,7 @@
 
 def count_concurrent_loads(targets: int) -> int:
     """Return how many of ``targets`` may load at the same time."""
-    return count_slots(max(1, targets // TARGETS_PER_LOAD), max(2, targets))
+    return count_slots(max(1, targets // TARGETS_PER_CONCURRENT_LOAD), max(2, targets))
 
 
 def list_pending(versions: Mapping[str, int], newest: int) -> list[str]:
@@ -56,5 +56,5 @@
 
 def list_loading_soon(versions: Mapping[str, int], newest: int) -> frozenset[str]:
     """Return the targets whose turn has come or comes next."""
-    near = count_concurrent_loads(len(versions)) * (1 + TURNS_AHEAD)
-    return frozenset(list_pending(versions, newest)[:near])
+    count = count_concurrent_loads(len(versions)) * (1 + WAVES_AHEAD)
+    return frozenset(list_pending(versions, newest)[:count])
