--- a/libraries/decisions/src/bamboopier_decisions/forwarding/watch_position.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/watch_position.py
@@ -16,25 +16,25 @@
 from collections import deque
 
 # Seconds before an answer in which a change may have been left out of it.
-BLIND_SECONDS = 1.1
+OMISSION_SECONDS = 1.1
 
 
 class WatchPosition:
     """The revisions that answers named, by when these had been made at the latest."""
 
-    __slots__ = ("_later", "revision")
+    __slots__ = ("_unsettled", "revision")
 
     def __init__(self, revision: int) -> None:
         # All changes up to it are known: the next watch begins here.
         self.revision = revision
-        self._later: deque[tuple[float, int]] = deque()
+        self._unsettled: deque[tuple[float, int]] = deque()
 
     def record_unchanged(self, made: float, read: float, revision: int) -> float:
         """Take an empty answer, and return until when it proves that nothing changed.
 
         It was made at ``made`` at the earliest and at ``read`` at the latest.
         """
-        while self._later and made - self._later[0][0] >= BLIND_SECONDS:
-            self.revision = max(self.revision, self._later.popleft()[1])
-        self._later.append((read, revision))
-        return made - BLIND_SECONDS
+        while self._unsettled and made - self._unsettled[0][0] >= OMISSION_SECONDS:
+            self.revision = max(self.revision, self._unsettled.popleft()[1])
+        self._unsettled.append((read, revision))
+        return made - OMISSION_SECONDS
--- a/libraries/decisions/tests/forwarding/test_watch_position.py
+++ b/libraries/decisions/tests/forwarding/test_watch_position.py
@@ -5,7 +5,7 @@
 import unittest
 
 from bamboopier_decisions.forwarding.watch_position import (
-    BLIND_SECONDS,
+    OMISSION_SECONDS,
     WatchPosition,
 )
 
@@ -28,7 +28,7 @@
         # Guards against a key that was taken away in that second being trusted on.
         position = WatchPosition(10)
         proved = position.record_unchanged(100.0 + WAIT, 101.5, 20)
-        self.assertAlmostEqual(proved, 100.0 + WAIT - BLIND_SECONDS)
+        self.assertAlmostEqual(proved, 100.0 + WAIT - OMISSION_SECONDS)
 
     def test_the_revision_goes_on_so_that_the_history_is_never_lost(self) -> None:
         # Guards against watching from a revision that is older than the history, and
--- a/tools/safeguards/bounds.py
+++ b/tools/safeguards/bounds.py
@@ -31,7 +31,7 @@
     Mutation(
         "an answer proves nothing of the second before it",
         _POSITION,
-        "        return made - BLIND_SECONDS\n",
+        "        return made - OMISSION_SECONDS\n",
         "        return made\n",
         "libraries/decisions",
         f"{_POSITION_TEST}.test_an_answer_proves_nothing_of_the_second_before_it",
@@ -39,8 +39,8 @@
     Mutation(
         "a revision is watched from once it is old enough",
         _POSITION,
-        "made - self._later[0][0] >= BLIND_SECONDS",
-        "self._later",
+        "made - self._unsettled[0][0] >= OMISSION_SECONDS",
+        "self._unsettled",
         "libraries/decisions",
         f"{_POSITION_TEST}.test_a_change_left_out_of_an_answer_is_asked_for_again",
     ),
