--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -20,7 +20,7 @@
     list_pending,
 )
 from bamboopier_decisions.forwarding.weight_versions import (
-    END_SECONDS,
+    SEND_MARGIN_SECONDS,
     WeightVersions,
 )
 
@@ -40,7 +40,7 @@
         weights.record_published("m", 2, 100.0)
         self.assertEqual(weights.find_newest("m"), 2)
         self.assertEqual(weights.find_oldest_allowed(100.1, "m"), 1)
-        self.assertEqual(weights.find_oldest_allowed(112.0 - END_SECONDS, "m"), 2)
+        self.assertEqual(weights.find_oldest_allowed(112.0 - SEND_MARGIN_SECONDS, "m"), 2)
 
     def test_each_version_has_its_own_time(self) -> None:
         # Two versions are named four seconds apart. When the time of the first is over,
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -173,7 +173,7 @@
     Mutation(
         "a guess makes no version younger than is known",
         WEIGHTS,
-        '    if written.guessed and known.since > float("-inf"):\n',
+        '    if recorded.guessed and known.published_at > float("-inf"):\n',
         "    if False:\n",
         "libraries/decisions",
         "tests.forwarding.test_weights.VersionTests"
