--- a/libraries/proxy/src/bamboopier_proxy/limit_hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_hints.py
@@ -63,7 +63,7 @@
         news.per_second,
         _write_age(now, news.reported_at),
         _write_age(now, news.ended_at),
-        _write_age(now, news.since) or 0,
+        _write_age(now, news.reported_since) or 0,
     )
 
 
