--- a/libraries/decisions/src/bamboopier_decisions/forwarding/currency.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/configuration_freshness.py
@@ -12,33 +12,33 @@
 SEND_MARGIN = 0.15
 
 
-class Currency:
+class ConfigurationFreshness:
     """When the configuration in force was last proved current.
 
     All times are on a clock that also counts while the machine is suspended.
     """
 
-    __slots__ = ("_limit", "proved_at")
+    __slots__ = ("_max_age", "confirmed_at")
 
-    def __init__(self, limit: float | None) -> None:
+    def __init__(self, max_age: float | None) -> None:
         # Seconds after which a key may have been taken away; None for no such bound.
-        self._limit = limit
-        self.proved_at = float("-inf")
+        self._max_age = max_age
+        self.confirmed_at = float("-inf")
 
-    def set_limit(self, limit: float | None) -> None:
+    def set_max_age(self, max_age: float | None) -> None:
         """Take another bound."""
-        self._limit = limit
+        self._max_age = max_age
 
-    def prove(self, asked_at: float) -> None:
-        """Take in that the configuration was current at ``asked_at``."""
-        self.proved_at = max(self.proved_at, asked_at)
+    def confirm(self, sent_at: float) -> None:
+        """Take in that the configuration was current at ``sent_at``."""
+        self.confirmed_at = max(self.confirmed_at, sent_at)
 
     def find_age(self, now: float) -> float:
         """Return the seconds since the last proof."""
-        return now - self.proved_at
+        return now - self.confirmed_at
 
-    def covers(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         """Say whether a request with a key may be passed on at ``now``."""
-        if self._limit is None:
-            return self.proved_at > float("-inf")
-        return self.find_age(now) < self._limit - SEND_MARGIN
+        if self._max_age is None:
+            return self.confirmed_at > float("-inf")
+        return self.find_age(now) < self._max_age - SEND_MARGIN
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -10,26 +10,26 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from .model import ServiceSpec
+from .specs import ServiceSpec
 from .target_state import Load, TargetState
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-    from .model import TargetEntry
+    from .specs import TargetEntry
     from .prompt import Prompt
     from .rate_limit import RateLimit
 
 # Seconds after the store's return in which an entry that is missing may only have
 # lapsed while the store was away: targets that live are listed again within two.
-RETURN_SECONDS = 2.2
+STORE_RECOVERY_SECONDS = 2.2
 # Targets without an entry whose limits are remembered.
-MAX_FORMER = 64
-# For ``store_returned``: the store was not away.
+MAX_FORMER_TARGETS = 64
+# For ``store_recovered_at``: the store was not away.
 NEVER = float("-inf")
 
 
-class Sent:
+class InFlightRequest:
     """One request at one target, from its sending to its end."""
 
     __slots__ = ("load", "prompt", "service", "state")
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Former:
+class _FormerTarget:
     """A target without an entry that had said what it takes."""
 
     entry: TargetEntry
@@ -60,11 +60,11 @@
         # they are still used.
         self._missing: dict[str, float] = {}
         # By name, the oldest first.
-        self._former: dict[str, _Former] = {}
-        self._closed_data_centres: frozenset[str] = frozenset()
+        self._former: dict[str, _FormerTarget] = {}
+        self._drained_data_centres: frozenset[str] = frozenset()
         # The gateways that share the targets, and this one's place among their names.
-        self.gateways = 1
-        self.place: int | None = 0
+        self.gateway_count = 1
+        self.gateway_index: int | None = 0
 
     @property
     def names(self) -> list[str]:
@@ -75,10 +75,10 @@
         """Return a target's state."""
         return self._states.get(name)
 
-    def list_service(self, service: str, now: float) -> list[TargetState]:
+    def list_targets(self, service: str, now: float) -> list[TargetState]:
         """Return the targets of a service that new requests may go to."""
-        self._drop_gone(now)
-        closed = self._closed_data_centres
+        self._remove_expired(now)
+        closed = self._drained_data_centres
         return [
             state
             for state in self._by_service.get(service, ())
@@ -87,16 +87,16 @@
 
     def is_open(self, state: TargetState, now: float) -> bool:
         """Say whether ``state`` is still to be used, right before a send."""
-        self._drop_gone(now)
+        self._remove_expired(now)
         return (
             self._states.get(state.entry.name) is state
             and not state.entry.leaving
-            and state.entry.data_centre not in self._closed_data_centres
+            and state.entry.data_centre not in self._drained_data_centres
         )
 
-    def close_data_centres(self, names: Iterable[str]) -> None:
+    def drain_data_centres(self, names: Iterable[str]) -> None:
         """Send nothing to the targets of these data centres."""
-        self._closed_data_centres = frozenset(names)
+        self._drained_data_centres = frozenset(names)
 
     def set_services(self, services: Mapping[str, ServiceSpec]) -> None:
         """Take the operator's services."""
@@ -105,42 +105,42 @@
             found = services.get(state.entry.service)
             if found is not None:
                 state.service = found
-        self._arrange()
+        self._index_by_service()
 
     def replace(
-        self, now: float, entries: Iterable[TargetEntry], store_returned: float = NEVER
+        self, now: float, entries: Iterable[TargetEntry], store_recovered_at: float = NEVER
     ) -> None:
         """Take the whole list; those missing after an outage keep a while."""
         listed = {entry.name: entry for entry in entries}
         for entry in listed.values():
             self.put(now, entry)
         for name in [n for n in self._states if n not in listed]:
-            self.remove(now, name, store_returned)
-        self._arrange()
+            self.remove(now, name, store_recovered_at)
+        self._index_by_service()
 
     def put(self, now: float, entry: TargetEntry) -> None:
         """Take one new or changed entry."""
         self._missing.pop(entry.name, None)
         state = self._states.get(entry.name)
-        if state is not None and _is_same_start(state.entry, entry):
+        if state is not None and _is_same_instance(state.entry, entry):
             cold = entry.cold_seconds
             if cold > state.entry.cold_seconds:
-                state.cold.start(now, cold)
-            state.renew(entry)
+                state.cold_start.start(now, cold)
+            state.update_entry(entry)
             return
         spec = self._services.get(entry.service)
         if spec is None:
             spec = _make_unknown_service(entry.service)
         state = TargetState(entry, spec)
         former = self._former.pop(entry.name, None)
-        if former is not None and _is_same_start(former.entry, entry):
-            state.limit = former.limit
+        if former is not None and _is_same_instance(former.entry, entry):
+            state.rate_limit = former.limit
         if entry.cold_seconds > 0:
-            state.cold.start(now, entry.cold_seconds)
+            state.cold_start.start(now, entry.cold_seconds)
         self._states[entry.name] = state
-        self._arrange()
+        self._index_by_service()
 
-    def remove(self, now: float, name: str, store_returned: float = NEVER) -> None:
+    def remove(self, now: float, name: str, store_recovered_at: float = NEVER) -> None:
         """Take in that an entry is gone.
 
         Failure answered: a target goes seconds after the store's return, and is sent
@@ -150,67 +150,67 @@
         state = self._states.get(name)
         if state is None:
             return
-        until = store_returned + RETURN_SECONDS
+        until = store_recovered_at + STORE_RECOVERY_SECONDS
         if now < until and not state.entry.leaving:
             self._missing.setdefault(name, until)
             return
         self._missing.pop(name, None)
         del self._states[name]
-        self._remember(state)
-        self._arrange()
+        self._remember_rate_limit(state)
+        self._index_by_service()
 
-    def begin(self, now: float, state: TargetState, prompt: Prompt | None) -> Sent:
+    def begin(self, now: float, state: TargetState, prompt: Prompt | None) -> InFlightRequest:
         """Count a request that is sent now."""
         load = Load(requests=1)
         if prompt is not None:
-            load.unread = state.count_unread(prompt)
+            load.pending_prefill = state.count_prefill(prompt)
             load.memory = state.pin(prompt)
-            state.parts.add(prompt)
-            state.blind.note_sent(now, load.unread, load.memory)
-        state.own.add(load)
-        state.cold.note_sent(now)
-        state.limit.note_sent(now)
-        state.standing.note_sent()
-        return Sent(state, load, prompt)
-
-    def note_read(self, sent: Sent) -> None:
+            state.cached_parts.add(prompt)
+            state.headroom.record_sent(now, load.pending_prefill, load.memory)
+        state.own_load.add(load)
+        state.cold_start.record_sent(now)
+        state.rate_limit.record_sent(now)
+        state.circuit_breaker.record_sent()
+        return InFlightRequest(state, load, prompt)
+
+    def record_prefilled(self, sent: InFlightRequest) -> None:
         """Take in that the prompt has been read: the first event came."""
-        sent.state.own.unread -= sent.load.unread
-        sent.load.unread = 0
+        sent.state.own_load.pending_prefill -= sent.load.pending_prefill
+        sent.load.pending_prefill = 0
 
-    def end(self, sent: Sent) -> None:
+    def end(self, sent: InFlightRequest) -> None:
         """Take in that the request is over."""
-        own = sent.state.own
+        own = sent.state.own_load
         own.requests -= sent.load.requests
         if sent.prompt is not None:
             own.memory -= sent.state.unpin(sent.prompt)
-        own.unread -= sent.load.unread
+        own.pending_prefill -= sent.load.pending_prefill
 
-    def set_others(self, loads: Mapping[str, Load]) -> None:
+    def set_other_loads(self, loads: Mapping[str, Load]) -> None:
         """Take what the other gateways have under way at each target."""
         for name, state in self._states.items():
-            state.others = loads.get(name) or Load()
+            state.other_load = loads.get(name) or Load()
 
-    def _remember(self, state: TargetState) -> None:
+    def _remember_rate_limit(self, state: TargetState) -> None:
         """Keep what a target that is no longer listed says that it takes.
 
         Failure answered: a target in need is cut off from the store, so its entry
         lapses, and comes back. Its limit forgotten, it would get a burst from all
         gateways before the first of them is answered.
         """
-        if not state.limit.in_force:
+        if not state.rate_limit.in_force:
             return
-        self._former[state.entry.name] = _Former(state.entry, state.limit)
-        if len(self._former) > MAX_FORMER:
+        self._former[state.entry.name] = _FormerTarget(state.entry, state.rate_limit)
+        if len(self._former) > MAX_FORMER_TARGETS:
             del self._former[next(iter(self._former))]
 
-    def _drop_gone(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         if not self._missing:
             return
         for name in [n for n, until in self._missing.items() if now >= until]:
             self.remove(now, name)
 
-    def _arrange(self) -> None:
+    def _index_by_service(self) -> None:
         by_service: dict[str, list[TargetState]] = {}
         for name in sorted(self._states):
             state = self._states[name]
@@ -218,9 +218,9 @@
         self._by_service = by_service
 
 
-def _is_same_start(known: TargetEntry, entry: TargetEntry) -> bool:
+def _is_same_instance(known: TargetEntry, entry: TargetEntry) -> bool:
     return (
-        known.born == entry.born
+        known.started_ms == entry.started_ms
         and known.host == entry.host
         and known.port == entry.port
         and known.service == entry.service
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/prompt.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/prompt.py
@@ -6,10 +6,10 @@
 
 # Callers' estimates are right at the median and often far off: most answers stay below
 # this multiple.
-HINT_FACTOR = 1.5
+ESTIMATE_FACTOR = 1.5
 # Share of the allowed output that an answer takes where its caller gives no estimate;
 # limits are set for the longest answer, and means lie at a third of them.
-UNHINTED_SHARE = 0.35
+DEFAULT_OUTPUT_SHARE = 0.35
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,17 +27,17 @@
     model: str
     tokens_in: int
     # The most tokens of output that the caller allows.
-    limit_out: int
+    max_output: int
     parts: tuple[PromptPart, ...]
     # The caller's estimate of the output; 0 for none.
-    hint_out: int = 0
+    estimated_output: int = 0
 
     @property
     def tokens_out(self) -> int:
         """Return the tokens of output to expect."""
-        if self.hint_out:
-            return min(self.limit_out, int(self.hint_out * HINT_FACTOR))
-        return int(self.limit_out * UNHINTED_SHARE)
+        if self.estimated_output:
+            return min(self.max_output, int(self.estimated_output * ESTIMATE_FACTOR))
+        return int(self.max_output * DEFAULT_OUTPUT_SHARE)
 
     @property
     def shared_parts(self) -> tuple[PromptPart, ...]:
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/model.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/specs.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 
 
-class Repeat(StrEnum):
+class RetrySafety(StrEnum):
     """How often one request may run."""
 
     # Idempotent: running it again changes nothing.
@@ -20,9 +20,9 @@
     RESUMABLE = "resumable"
 
     @property
-    def may_run_again(self) -> bool:
+    def allows_rerun(self) -> bool:
         """Say whether a second run from the beginning does no harm."""
-        return self is not Repeat.ONCE
+        return self is not RetrySafety.ONCE
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,13 +41,13 @@
     host: str
     # Begins and ends with a slash.
     prefix: str
-    repeat: Repeat
+    repeat: RetrySafety
     # The answer is a stream of events.
     streams: bool
     # The longest time a caller is kept waiting for its final answer.
     timeout: float
     # Within this time to the first byte an answer has its full worth.
-    aim: float
+    latency_objective: float
     # 0 is the most urgent.
     priority: int
     services: tuple[WeightedService, ...]
@@ -56,7 +56,7 @@
     # No API key is asked for.
     public: bool
     # Requests carry prompts whose parts targets may have cached.
-    carries_prompt: bool
+    has_prompt: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,7 +120,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Declared:
+class DeclaredConfiguration:
     """One version of the operator's configuration."""
 
     version: int
@@ -139,7 +139,7 @@
     name: str
     # Milliseconds since 1970 of its start: a later start under the same name is
     # another incarnation that knows nothing of the one before.
-    born: int
+    started_ms: int
     service: str
     host: str
     port: int
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -5,14 +5,14 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from .blind_share import BlindShare
-from .cold_ramp import ColdRamp, draw_phase
-from .part_memory import PartMemory
+from .gateway_headroom import GatewayHeadroom
+from .cold_start_limit import ColdStartLimit, hash_phase
+from .part_cache_estimate import PartCacheEstimate
 from .rate_limit import RateLimit
-from .standing import Standing
+from .circuit_breaker import CircuitBreaker
 
 if TYPE_CHECKING:
-    from .model import ServiceSpec, TargetEntry
+    from .specs import ServiceSpec, TargetEntry
     from .prompt import Prompt
 
 # Share of an engine's memory that is believed to hold shared parts; the rest holds
@@ -23,55 +23,55 @@
 class Load:
     """Work of one target: requests, tokens of memory, and tokens still to be read."""
 
-    __slots__ = ("memory", "requests", "unread")
+    __slots__ = ("memory", "requests", "pending_prefill")
 
-    def __init__(self, requests: int = 0, memory: int = 0, unread: int = 0) -> None:
+    def __init__(self, requests: int = 0, memory: int = 0, pending_prefill: int = 0) -> None:
         self.requests = requests
         self.memory = memory
-        self.unread = unread
+        self.pending_prefill = pending_prefill
 
     def add(self, other: Load) -> None:
         """Add another load."""
         self.requests += other.requests
         self.memory += other.memory
-        self.unread += other.unread
+        self.pending_prefill += other.pending_prefill
 
 
 class TargetState:
     """One target: its entry, own load, load told by other gateways, and standing."""
 
     __slots__ = (
-        "blind",
+        "headroom",
         "busy_until",
-        "cold",
+        "cold_start",
         "entry",
-        "limit",
-        "own",
-        "others",
-        "parts",
+        "rate_limit",
+        "own_load",
+        "other_load",
+        "cached_parts",
         "pinned",
         "service",
-        "short_until",
-        "standing",
+        "short_answers_until",
+        "circuit_breaker",
         "versions",
     )
 
     def __init__(self, entry: TargetEntry, service: ServiceSpec) -> None:
         self.entry = entry
         self.service = service
-        self.own = Load()
-        self.others = Load()
-        self.blind = BlindShare()
-        self.standing = Standing()
-        self.cold = ColdRamp(draw_phase(entry.name))
-        self.limit = RateLimit(draw_phase(entry.name))
+        self.own_load = Load()
+        self.other_load = Load()
+        self.headroom = GatewayHeadroom()
+        self.circuit_breaker = CircuitBreaker()
+        self.cold_start = ColdStartLimit(hash_phase(entry.name))
+        self.rate_limit = RateLimit(hash_phase(entry.name))
         # Until then it turns requests away, by its own word.
         self.busy_until = float("-inf")
         # Until then it gets short answers only: it is about to load new weights.
-        self.short_until = float("-inf")
+        self.short_answers_until = float("-inf")
         self.versions = dict(entry.versions)
         memory = service.engine.memory_tokens if service.engine else 0
-        self.parts = PartMemory(int(memory * CACHE_SHARE))
+        self.cached_parts = PartCacheEstimate(int(memory * CACHE_SHARE))
         # Requests of this gateway under way that need each shared part: while there
         # is one, the engine cannot evict it.
         self.pinned: Counter[str] = Counter()
@@ -84,31 +84,31 @@
     @property
     def requests(self) -> int:
         """Return the requests under way, other gateways' included."""
-        return self.own.requests + self.others.requests
+        return self.own_load.requests + self.other_load.requests
 
     @property
     def memory(self) -> int:
         """Return the tokens of memory that requests under way need."""
-        return self.own.memory + self.others.memory
+        return self.own_load.memory + self.other_load.memory
 
     @property
-    def unread(self) -> int:
+    def pending_prefill(self) -> int:
         """Return the prompt tokens not yet read."""
-        return self.own.unread + self.others.unread
+        return self.own_load.pending_prefill + self.other_load.pending_prefill
 
-    def renew(self, entry: TargetEntry) -> None:
+    def update_entry(self, entry: TargetEntry) -> None:
         """Take a newer entry of the same start."""
         self.entry = entry
         for model, version in entry.versions.items():
-            self.note_version(model, version)
+            self.record_version(model, version)
 
-    def note_version(self, model: str, version: int) -> None:
+    def record_version(self, model: str, version: int) -> None:
         """Take in a weight version; a change empties the engine's cache."""
         known = self.versions.get(model, 0)
         if version > known:
             self.versions[model] = version
             if known:
-                self.parts.clear()
+                self.cached_parts.clear()
 
     def count_memory(self, prompt: Prompt) -> int:
         """Return the tokens of memory that ``prompt`` needs beside what is pinned.
@@ -132,6 +132,6 @@
                 del self.pinned[part.name]
         return self.count_memory(prompt)
 
-    def count_unread(self, prompt: Prompt) -> int:
+    def count_prefill(self, prompt: Prompt) -> int:
         """Return the tokens of ``prompt`` that it probably has to read."""
-        return max(1, prompt.tokens_in - self.parts.count_cached(prompt))
+        return max(1, prompt.tokens_in - self.cached_parts.count_cached(prompt))
--- a/libraries/decisions/tests/forwarding/builders.py
+++ b/libraries/decisions/tests/forwarding/builders.py
@@ -5,11 +5,11 @@
 from typing import TYPE_CHECKING, Any
 
 from bamboopier_decisions.forwarding.fleet import Fleet
-from bamboopier_decisions.forwarding.model import (
+from bamboopier_decisions.forwarding.specs import (
     CallerLimits,
-    Declared,
+    DeclaredConfiguration,
     EngineSpec,
-    Repeat,
+    RetrySafety,
     Route,
     ServiceSpec,
     TargetEntry,
@@ -30,7 +30,7 @@
     """Return a target's entry."""
     fields: dict[str, Any] = {
         "name": name,
-        "born": 1,
+        "started_ms": 1,
         "service": service,
         "host": "10.0.0.1",
         "port": 80,
@@ -60,7 +60,7 @@
 
 
 def make_prompt(
-    session: str, shared: int = 8600, own: int = 2800, limit_out: int = 1120
+    session: str, shared: int = 8600, own: int = 2800, max_output: int = 1120
 ) -> Prompt:
     """Return a prompt with a common part, a session's part, and its own."""
     parts = (
@@ -68,7 +68,7 @@
         PromptPart(session, shared),
         PromptPart(f"{session}-own", own),
     )
-    return Prompt(MODEL, 512 + shared + own, limit_out, parts)
+    return Prompt(MODEL, 512 + shared + own, max_output, parts)
 
 
 def make_route(prefix: str, **changes: Any) -> Route:
@@ -77,20 +77,20 @@
         "name": prefix,
         "host": "desk.example",
         "prefix": prefix,
-        "repeat": Repeat.SAFE,
+        "repeat": RetrySafety.SAFE,
         "streams": False,
         "timeout": 3.0,
-        "aim": 0.4,
+        "latency_objective": 0.4,
         "priority": 1,
         "services": (WeightedService(VANS),),
         "max_targets": 2,
         "public": False,
-        "carries_prompt": False,
+        "has_prompt": False,
     }
     return Route(**{**fields, **changes})
 
 
-def make_declared(routes: Iterable[Route], **changes: Any) -> Declared:
+def make_declared(routes: Iterable[Route], **changes: Any) -> DeclaredConfiguration:
     """Return a configuration with one workspace."""
     workspace = Workspace("midlands", ("k1", "k2"), None, isolated=False)
     fields: dict[str, Any] = {
@@ -100,4 +100,4 @@
         "limits": CallerLimits(),
         "workspaces": (workspace,),
     }
-    return Declared(**{**fields, **changes})
+    return DeclaredConfiguration(**{**fields, **changes})
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -4,44 +4,44 @@
 
 import unittest
 
-from bamboopier_decisions.forwarding.cold_ramp import ColdRamp, draw_phase
-from bamboopier_decisions.forwarding.currency import SEND_MARGIN, Currency
-from bamboopier_decisions.forwarding.retry_share import (
-    RetryBounds,
-    RetryShare,
-    RetryShares,
+from bamboopier_decisions.forwarding.cold_start_limit import ColdStartLimit, hash_phase
+from bamboopier_decisions.forwarding.configuration_freshness import SEND_MARGIN, ConfigurationFreshness
+from bamboopier_decisions.forwarding.shared_retry_budget import (
+    RetryBudgetLimits,
+    SharedRetryBudget,
+    SharedRetryBudgets,
 )
-from bamboopier_decisions.forwarding.standing import Standing
+from bamboopier_decisions.forwarding.circuit_breaker import CircuitBreaker
 
-BOUNDS = RetryBounds(ratio=0.2, slack=54, window_seconds=10.0)
+BOUNDS = RetryBudgetLimits(ratio=0.2, slack=54, window_seconds=10.0)
 
 
 # What the rules allow a cold target beyond what it bears in a second.
 COLD_OVER, COLD_SLACK = 1.5, 5.0
 
 
-class RetryShareTests(unittest.TestCase):
+class SharedRetryBudgetTests(unittest.TestCase):
     def test_changed_bounds_hold_for_services_already_known(self) -> None:
         # The operator allows no more repeats beside the ratio while a service has
         # failures. Its next failing request is not sent again.
-        shares = RetryShares(BOUNDS)
+        shares = SharedRetryBudgets(BOUNDS)
         share = shares.find("desk")
-        self.assertTrue(share.take(1.0, 1))
-        shares.set_bounds(RetryBounds(ratio=0.2, slack=0, window_seconds=10.0))
+        self.assertTrue(share.try_spend(1.0, 1))
+        shares.set_limits(RetryBudgetLimits(ratio=0.2, slack=0, window_seconds=10.0))
         self.assertIs(shares.find("desk"), share)
-        self.assertFalse(share.take(1.1, 1))
+        self.assertFalse(share.try_spend(1.1, 1))
 
     def test_gateways_together_stay_within_the_bound(self) -> None:
         # Every request of a service fails and each of four gateways would repeat it.
         # In every window of ten seconds the repeats of all of them stay below a fifth
         # of the requests and the slack.
-        gateways = [RetryShare(BOUNDS) for _ in range(4)]
+        gateways = [SharedRetryBudget(BOUNDS) for _ in range(4)]
         repeats: list[float] = []
         for step in range(3000):
             now = step * 0.01
             share = gateways[step % 4]
-            share.add_request(now)
-            if share.take(now, 4):
+            share.record_request(now)
+            if share.try_spend(now, 4):
                 repeats.append(now)
         for start in range(20):
             inside = [t for t in repeats if start <= t < start + 10]
@@ -51,18 +51,18 @@
     def test_a_restart_of_one_gateway_does_not_break_the_bound(self) -> None:
         # One of four gateways restarts in the window and has forgotten its repeats.
         spent = 0
-        for shares in ([RetryShare(BOUNDS) for _ in range(5)],):
+        for shares in ([SharedRetryBudget(BOUNDS) for _ in range(5)],):
             for share in shares:
-                while share.take(1.0, 4):
+                while share.try_spend(1.0, 4):
                     spent += 1
         self.assertLessEqual(spent, 54)
 
 
-class ColdRampTests(unittest.TestCase):
+class ColdStartLimitTests(unittest.TestCase):
     def test_all_gateways_together_respect_the_rate(self) -> None:
         # Five gateways send to an engine that is cold, as fast as they may. In no
         # second does it get more than 18 requests.
-        ramps = [ColdRamp() for _ in range(5)]
+        ramps = [ColdStartLimit() for _ in range(5)]
         sent: list[float] = []
         for ramp in ramps:
             ramp.start(0.0, 3.0)
@@ -70,7 +70,7 @@
             now = step * 0.01
             for ramp in ramps:
                 if ramp.may_send(now, 18.0, 5):
-                    ramp.note_sent(now)
+                    ramp.record_sent(now)
                     sent.append(now)
         for start in range(200):
             inside = [t for t in sent if start * 0.01 <= t < start * 0.01 + 1]
@@ -97,7 +97,7 @@
         self, gateways: int, rate: float, seconds: float, idle: float
     ) -> list[float]:
         """Let all send what they may to a cold target; return when they did."""
-        ramps = [ColdRamp(draw_phase("i-1")) for _ in range(gateways)]
+        ramps = [ColdStartLimit(hash_phase("i-1")) for _ in range(gateways)]
         for number, ramp in enumerate(ramps):
             # They hear of its start within some milliseconds.
             ramp.start(number * 0.0002, seconds)
@@ -106,82 +106,82 @@
             now = step * 0.01
             for place, ramp in enumerate(ramps):
                 if ramp.may_send(now, rate, gateways, place):
-                    ramp.note_sent(now)
+                    ramp.record_sent(now)
                     sent.append(now)
         return sent
 
     def test_a_warm_target_has_no_bound(self) -> None:
-        ramp = ColdRamp()
+        ramp = ColdStartLimit()
         for _ in range(100):
             self.assertTrue(ramp.may_send(5.0, 18.0, 1))
-            ramp.note_sent(5.0)
+            ramp.record_sent(5.0)
 
 
-class CurrencyTests(unittest.TestCase):
+class ConfigurationFreshnessTests(unittest.TestCase):
     def test_a_proof_counts_from_its_question(self) -> None:
         # The answer to a question of second 10 arrives at second 14. A key could have
         # been taken away at 10.1, so at 15 the proof is five seconds old.
-        currency = Currency(5.0)
-        self.assertFalse(currency.covers(1.0))
-        currency.prove(10.0)
-        self.assertTrue(currency.covers(14.0))
-        self.assertFalse(currency.covers(15.0 - SEND_MARGIN))
+        currency = ConfigurationFreshness(5.0)
+        self.assertFalse(currency.is_fresh(1.0))
+        currency.confirm(10.0)
+        self.assertTrue(currency.is_fresh(14.0))
+        self.assertFalse(currency.is_fresh(15.0 - SEND_MARGIN))
 
     def test_an_older_proof_takes_nothing_back(self) -> None:
-        currency = Currency(5.0)
-        currency.prove(10.0)
-        currency.prove(3.0)
-        self.assertTrue(currency.covers(14.0))
+        currency = ConfigurationFreshness(5.0)
+        currency.confirm(10.0)
+        currency.confirm(3.0)
+        self.assertTrue(currency.is_fresh(14.0))
 
     def test_without_a_bound_one_proof_is_enough(self) -> None:
-        currency = Currency(None)
-        self.assertFalse(currency.covers(1.0))
-        currency.prove(0.0)
-        self.assertTrue(currency.covers(1e6))
+        currency = ConfigurationFreshness(None)
+        self.assertFalse(currency.is_fresh(1.0))
+        currency.confirm(0.0)
+        self.assertTrue(currency.is_fresh(1e6))
 
 
-class StandingTests(unittest.TestCase):
+class CircuitBreakerTests(unittest.TestCase):
     def test_a_target_that_fails_half_is_passed_over(self) -> None:
-        standing = Standing()
+        standing = CircuitBreaker()
         for step in range(30):
             now = step * 0.05
-            if not standing.may_try(now):
+            if not standing.allows_request(now):
                 break
-            standing.note_sent()
+            standing.record_sent()
             if step % 2:
-                standing.note_failure(now)
+                standing.record_failure(now)
             else:
-                standing.note_answer()
-        self.assertFalse(standing.may_try(now))
+                standing.record_success()
+        self.assertFalse(standing.allows_request(now))
 
     def test_few_failures_change_nothing(self) -> None:
-        standing = Standing()
+        standing = CircuitBreaker()
         for step in range(200):
             now = step * 0.05
-            self.assertTrue(standing.may_try(now))
-            standing.note_sent()
+            self.assertTrue(standing.allows_request(now))
+            standing.record_sent()
             if step % 10 == 0:
-                standing.note_failure(now)
+                standing.record_failure(now)
             else:
-                standing.note_answer()
+                standing.record_success()
 
     def test_it_is_tried_again_with_one_request(self) -> None:
-        standing = Standing()
-        standing.note_unreachable(0.0)
-        self.assertFalse(standing.may_try(0.1))
-        self.assertTrue(standing.may_try(1.0))
-        standing.note_sent()
-        self.assertFalse(standing.may_try(1.0))
-        standing.note_answer()
-        self.assertTrue(standing.may_try(1.0))
+        standing = CircuitBreaker()
+        standing.record_unreachable(0.0)
+        self.assertFalse(standing.allows_request(0.1))
+        self.assertTrue(standing.allows_request(1.0))
+        standing.record_sent()
+        self.assertFalse(standing.allows_request(1.0))
+        standing.record_success()
+        self.assertTrue(standing.allows_request(1.0))
 
     def test_a_failed_try_doubles_the_pause(self) -> None:
-        standing = Standing()
-        standing.note_unreachable(0.0)
-        standing.note_sent()
-        standing.note_failure(1.0)
-        self.assertFalse(standing.may_try(1.55))
-        self.assertTrue(standing.may_try(1.7))
+        standing = CircuitBreaker()
+        standing.record_unreachable(0.0)
+        standing.record_sent()
+        standing.record_failure(1.0)
+        self.assertFalse(standing.allows_request(1.55))
+        self.assertTrue(standing.allows_request(1.7))
 
 
 if __name__ == "__main__":
--- a/libraries/decisions/tests/forwarding/test_kept_parts.py
+++ b/libraries/decisions/tests/forwarding/test_part_store_index.py
@@ -4,28 +4,28 @@
 
 import unittest
 
-from bamboopier_decisions.forwarding.kept_parts import (
-    SETTLE_SECONDS,
-    TRUST_SECONDS,
-    KeptParts,
+from bamboopier_decisions.forwarding.part_store_index import (
+    SAVE_HOLD_OFF_SECONDS,
+    UPDATE_VALID_SECONDS,
+    PartStoreIndex,
     PartChange,
-    PartNews,
+    PartUpdate,
 )
 
 SCOPE = "/1"
 PARTS = [("system", 512), ("session", 8600)]
 
 
-def hear(kept: KeptParts, now: float, epoch: int, *parts: tuple[str, int]) -> None:
+def hear(kept: PartStoreIndex, now: float, epoch: int, *parts: tuple[str, int]) -> None:
     """Let every store answer, and say that these parts lie whole in it."""
     changes = tuple(PartChange(SCOPE, name, tokens) for name, tokens in parts)
     for store in kept.stores:
-        store.take(now, now, PartNews(epoch, int(now * 1000) + 500_000, changes))
+        store.apply_update(now, now, PartUpdate(epoch, int(now * 1000) + 500_000, changes))
 
 
-class KeptPartTests(unittest.TestCase):
+class PartStoreIndexTests(unittest.TestCase):
     def setUp(self) -> None:
-        self.kept = KeptParts()
+        self.kept = PartStoreIndex()
         self.kept.set_stores({"10.0.0.1:1": 200_000, "10.0.0.2:1": 2_000_000})
 
     def test_what_lies_whole_is_fetched_and_the_rest_saved(self) -> None:
@@ -61,7 +61,7 @@
         # cannot have started anew and been written to; then nothing is fetched.
         hear(self.kept, 0.0, 7)
         hear(self.kept, 10.0, 7, *PARTS)
-        before, after = 9.99 + TRUST_SECONDS, 10.01 + TRUST_SECONDS
+        before, after = 9.99 + UPDATE_VALID_SECONDS, 10.01 + UPDATE_VALID_SECONDS
         self.assertEqual(self.kept.count_fetched(before, SCOPE, PARTS), 9112)
         self.assertEqual(self.kept.count_fetched(after, SCOPE, PARTS), 0)
         self.assertIsNone(self.kept.plan(after, SCOPE, PARTS, 1))
@@ -74,15 +74,15 @@
         hear(self.kept, 10.0, 7, *PARTS)
         plan = self.kept.plan(10.0, SCOPE, PARTS, 1)
         assert plan is not None
-        fetch_end = (plan.until_ms - 500_000) / 1000
-        other = KeptParts()
+        fetch_end = (plan.fetch_deadline_ms - 500_000) / 1000
+        other = PartStoreIndex()
         other.set_stores({"10.0.0.1:1": 200_000, "10.0.0.2:1": 2_000_000})
         now = 10.0
         while now < fetch_end:
             hear(other, now, 8)
             self.assertIsNone(other.plan(now, SCOPE, PARTS, 1))
             now += 0.1
-        self.assertLess(fetch_end, 10.0 + SETTLE_SECONDS)
+        self.assertLess(fetch_end, 10.0 + SAVE_HOLD_OFF_SECONDS)
 
     def test_an_answer_that_is_read_late_is_taken_on_the_safe_side(self) -> None:
         # The gateway is suspended with a question open. What it was told ends as if the
@@ -90,12 +90,12 @@
         # store had answered last.
         store = self.kept.find("10.0.0.1:1")
         assert store is not None
-        store.take(10.0, 11.0, PartNews(7, 500_000, ()))
-        self.assertTrue(store.trusts(9.99 + TRUST_SECONDS))
-        self.assertFalse(store.trusts(10.01 + TRUST_SECONDS))
-        store.take(13.0, 14.0, PartNews(7, 503_000, ()))
-        self.assertFalse(store.may_save(10.99 + SETTLE_SECONDS, 500))
-        self.assertTrue(store.may_save(11.01 + SETTLE_SECONDS, 500))
+        store.apply_update(10.0, 11.0, PartUpdate(7, 500_000, ()))
+        self.assertTrue(store.is_current(9.99 + UPDATE_VALID_SECONDS))
+        self.assertFalse(store.is_current(10.01 + UPDATE_VALID_SECONDS))
+        store.apply_update(13.0, 14.0, PartUpdate(7, 503_000, ()))
+        self.assertFalse(store.can_save(10.99 + SAVE_HOLD_OFF_SECONDS, 500))
+        self.assertTrue(store.can_save(11.01 + SAVE_HOLD_OFF_SECONDS, 500))
 
     def test_a_new_start_holds_nothing(self) -> None:
         hear(self.kept, 0.0, 7)
@@ -113,25 +113,25 @@
         for lost in (False, True):
             with self.subTest(lost=lost):
                 if lost:
-                    store.lose()
-                self.assertTrue(store.is_former(PartNews(7, 510_900, ())))
-                self.assertFalse(store.is_former(PartNews(5, 511_100, ())))
+                    store.invalidate()
+                self.assertTrue(store.is_outdated(PartUpdate(7, 510_900, ())))
+                self.assertFalse(store.is_outdated(PartUpdate(5, 511_100, ())))
         hear(self.kept, 12.0, 3)
-        self.assertFalse(store.is_former(PartNews(3, 511_000, ())))
+        self.assertFalse(store.is_outdated(PartUpdate(3, 511_000, ())))
 
     def test_a_store_that_never_told_its_clock_has_no_order_of_starts(self) -> None:
         store = self.kept.stores[0]
-        store.take(10.0, 10.0, PartNews(7, 0, ()))
-        self.assertFalse(store.is_former(PartNews(3, 0, ())))
+        store.apply_update(10.0, 10.0, PartUpdate(7, 0, ()))
+        self.assertFalse(store.is_outdated(PartUpdate(3, 0, ())))
 
     def test_a_store_without_a_clock_is_not_fetched_from(self) -> None:
         changes = tuple(PartChange(SCOPE, name, tokens) for name, tokens in PARTS)
         for store in self.kept.stores:
-            store.take(10.0, 10.0, PartNews(7, 0, changes))
+            store.apply_update(10.0, 10.0, PartUpdate(7, 0, changes))
         self.assertIsNone(self.kept.plan(10.1, SCOPE, PARTS, 1))
 
     def test_a_full_store_gets_nothing_more(self) -> None:
-        kept = KeptParts()
+        kept = PartStoreIndex()
         kept.set_stores({"10.0.0.1:1": 10_000})
         hear(kept, 0.0, 7)
         hear(kept, 10.0, 7, ("other", 5000))
--- a/libraries/decisions/tests/forwarding/test_rate_limit.py
+++ b/libraries/decisions/tests/forwarding/test_rate_limit.py
@@ -6,14 +6,14 @@
 import random
 import unittest
 
-from bamboopier_decisions.forwarding.cold_ramp import draw_phase
+from bamboopier_decisions.forwarding.cold_start_limit import hash_phase
 from bamboopier_decisions.forwarding.placement import (
     Demand,
     Placement,
-    WantedWeights,
-    place,
+    WeightVersionRange,
+    choose_target,
 )
-from bamboopier_decisions.forwarding.rate_limit import NEVER, LimitNews, RateLimit
+from bamboopier_decisions.forwarding.rate_limit import NEVER, LimitUpdate, RateLimit
 
 from .builders import VANS, make_entry, make_fleet
 
@@ -30,7 +30,7 @@
     Each has a request at each step with this chance, also after rests.
     """
     generator = random.Random(seed)
-    phase = draw_phase(f"i-{seed}")
+    phase = hash_phase(f"i-{seed}")
     limits = [RateLimit(phase) for _ in range(gateways)]
     sent: list[float] = []
     for count in range(int(SECONDS / STEP)):
@@ -40,12 +40,12 @@
             if now < 100.0 + heard[place_]:
                 continue
             if not limit.in_force:
-                news = LimitNews(per_second, now, NEVER, 100.0 + min(heard))
-                limit.take_news(now, news)
+                news = LimitUpdate(per_second, now, NEVER, 100.0 + min(heard))
+                limit.apply_update(now, news)
             if rests or generator.random() > chance:
                 continue
             if limit.may_send(now, gateways, place_):
-                limit.note_sent(now)
+                limit.record_sent(now)
                 sent.append(now)
     return sent
 
@@ -88,45 +88,45 @@
 class BeliefTests(unittest.TestCase):
     def test_an_answer_that_names_none_ends_it(self) -> None:
         limit = RateLimit()
-        self.assertTrue(limit.note_named(10.0, 2.0))
-        self.assertTrue(limit.note_unnamed(10.5))
+        self.assertTrue(limit.record_limit(10.0, 2.0))
+        self.assertTrue(limit.record_no_limit(10.5))
         self.assertTrue(limit.may_send(10.6, 1000, None))
 
     def test_an_answer_to_an_older_request_does_not_end_it(self) -> None:
         # Guards against a slow answer from before the need that comes after the first
         # word of it.
         limit = RateLimit()
-        limit.note_named(10.0, 2.0)
-        self.assertFalse(limit.note_unnamed(9.9))
+        limit.record_limit(10.0, 2.0)
+        self.assertFalse(limit.record_no_limit(9.9))
         self.assertTrue(limit.in_force)
 
     def test_it_holds_without_an_end_while_nothing_is_heard(self) -> None:
         # Guards against a gateway that was cut off and forgot it.
         limit = RateLimit()
-        limit.note_named(10.0, 0.5)
+        limit.record_limit(10.0, 0.5)
         limit.may_send(10.0, 100, 3)
         self.assertTrue(limit.in_force)
         self.assertFalse(limit.may_send(10_000.0, 100, None))
 
     def test_news_of_the_end_are_weighed_by_when_they_were_true(self) -> None:
         limit = RateLimit()
-        limit.note_named(10.0, 2.0)
-        self.assertFalse(limit.take_news(11.0, LimitNews(2.0, 8.0, 9.0, 8.0)))
+        limit.record_limit(10.0, 2.0)
+        self.assertFalse(limit.apply_update(11.0, LimitUpdate(2.0, 8.0, 9.0, 8.0)))
         self.assertTrue(limit.in_force)
-        self.assertTrue(limit.take_news(11.0, LimitNews(2.0, 9.0, 10.2, 8.0)))
+        self.assertTrue(limit.apply_update(11.0, LimitUpdate(2.0, 9.0, 10.2, 8.0)))
         self.assertFalse(limit.in_force)
 
     def test_what_others_told_is_not_told_again(self) -> None:
         # Guards against news that come back and look newer each time.
         limit = RateLimit()
-        limit.take_news(11.0, LimitNews(2.0, 10.0, NEVER, 9.0))
+        limit.apply_update(11.0, LimitUpdate(2.0, 10.0, NEVER, 9.0))
         self.assertTrue(limit.in_force)
-        self.assertEqual(limit.known_at, NEVER)
+        self.assertEqual(limit.last_response_at, NEVER)
 
     def test_a_target_that_takes_nothing_is_tried_now_and_then(self) -> None:
         # Guards against a target that is never asked again whether it takes some.
         limit = RateLimit()
-        limit.note_named(10.0, 0.0)
+        limit.record_limit(10.0, 0.0)
         self.assertFalse(limit.may_send(11.0, 1, 0))
         self.assertTrue(limit.may_send(20.0, 1, 0))
 
@@ -137,13 +137,13 @@
         fleet = make_fleet([make_entry("a")])
         state = fleet.find("a")
         assert state is not None
-        state.limit.note_named(1.0, 1.5)
+        state.rate_limit.record_limit(1.0, 1.5)
         fleet.remove(2.0, "a")
         self.assertIsNone(fleet.find("a"))
-        fleet.put(5.0, make_entry("a", born=born))
+        fleet.put(5.0, make_entry("a", started_ms=born))
         again = fleet.find("a")
         assert again is not None
-        return again.limit
+        return again.rate_limit
 
     def test_a_limit_outlives_an_entry_that_lapsed(self) -> None:
         # Guards against a burst for a target in need that was cut off from the store.
@@ -159,24 +159,24 @@
         for name in limited:
             state = fleet.find(name)
             assert state is not None
-            state.limit.note_named(0.0, 0.5)
+            state.rate_limit.record_limit(0.0, 0.5)
         demand = Demand(VANS, 0, None)
-        wanted = WantedWeights()
-        return place(0.1, fleet, demand, set(), wanted, "z1", random.Random(1))
+        wanted = WeightVersionRange()
+        return choose_target(0.1, fleet, demand, set(), wanted, "z1", random.Random(1))
 
     def test_what_is_over_it_goes_elsewhere(self) -> None:
         for _ in range(10):
             placement = self.place({"a"})
             assert placement.state is not None
             self.assertEqual(placement.state.entry.name, "b")
-            self.assertFalse(placement.limited.only)
+            self.assertFalse(placement.limited.covers_all)
 
     def test_it_is_known_when_the_next_is_taken_where_all_are_limited(self) -> None:
         placement = self.place({"a", "b"})
         self.assertIsNone(placement.state)
-        self.assertTrue(placement.limited.only)
+        self.assertTrue(placement.limited.covers_all)
         self.assertAlmostEqual(placement.limited.next_at, 2.0)
-        self.assertAlmostEqual(placement.limited.part, 1.0)
+        self.assertAlmostEqual(placement.limited.gateway_rate, 1.0)
 
     def test_nothing_is_said_of_targets_without_a_limit(self) -> None:
         placement = self.place(set())
--- a/libraries/proxy/src/bamboopier_proxy/active_configuration.py
+++ b/libraries/proxy/src/bamboopier_proxy/active_configuration.py
@@ -6,13 +6,13 @@
 
 import structlog
 
-from bamboopier_decisions.forwarding.currency import Currency
+from bamboopier_decisions.forwarding.configuration_freshness import ConfigurationFreshness
 from bamboopier_decisions.forwarding.route_table import RouteTable
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from bamboopier_decisions.forwarding.model import Declared
+    from bamboopier_decisions.forwarding.specs import DeclaredConfiguration
 
 log = structlog.get_logger()
 
@@ -21,19 +21,19 @@
     """The configuration in force with its proof of currency."""
 
     def __init__(
-        self, key_seconds: float | None, apply: Callable[[Declared], None]
+        self, key_seconds: float | None, apply: Callable[[DeclaredConfiguration], None]
     ) -> None:
         self.table: RouteTable | None = None
-        self.currency = Currency(key_seconds)
+        self.currency = ConfigurationFreshness(key_seconds)
         self._apply = apply
 
     @property
     def version(self) -> int:
         """Return the version in force; 0 before the first."""
-        return self.table.declared.version if self.table is not None else 0
+        return self.table.configuration.version if self.table is not None else 0
 
     def update(
-        self, declared: Declared, asked_at: float, now: float, size: int = 0
+        self, declared: DeclaredConfiguration, asked_at: float, now: float, size: int = 0
     ) -> None:
         """Take a configuration of ``size`` bytes that was current at ``asked_at``.
 
@@ -47,7 +47,7 @@
                 in_force=self.version,
             )
             return
-        self.currency.prove(asked_at)
+        self.currency.confirm(asked_at)
         if declared.version == self.version and self.table is not None:
             return
         self.table = RouteTable(declared)
@@ -64,4 +64,4 @@
     def confirm(self, version: int, asked_at: float) -> None:
         """Take in that ``version`` was still current at ``asked_at``."""
         if version == self.version and self.table is not None:
-            self.currency.prove(asked_at)
+            self.currency.confirm(asked_at)
--- a/libraries/proxy/src/bamboopier_proxy/attempt_log.py
+++ b/libraries/proxy/src/bamboopier_proxy/attempt_log.py
@@ -9,7 +9,7 @@
 from bamboopier_daemon.clock import read_clock
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.fleet import Sent
+    from bamboopier_decisions.forwarding.fleet import InFlightRequest
 
     from .exchange import AttemptResult
     from .active_configuration import ActiveConfiguration
@@ -30,7 +30,7 @@
         self._active_configuration = active_configuration
         self._metrics = metrics
 
-    def record(self, call: Call, in_flight: Sent, result: AttemptResult) -> None:
+    def record(self, call: Call, in_flight: InFlightRequest, result: AttemptResult) -> None:
         """Take in that a send has ended."""
         now = read_clock()
         self._metrics.sends.labels(call.service, result.cause.value).inc()
@@ -54,7 +54,7 @@
             newest_age=self._planner.find_newest_age(sent_at, call),
             fetched_parts=parts.fetched_parts if parts else 0,
             requests=state.requests,
-            unread=state.unread,
+            unread=state.pending_prefill,
             memory=state.memory,
             tokens_in=call.prompt.tokens_in if call.prompt else 0,
             tokens_out=call.prompt.tokens_out if call.prompt else 0,
--- a/libraries/proxy/src/bamboopier_proxy/attempt_planner.py
+++ b/libraries/proxy/src/bamboopier_proxy/attempt_planner.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
-from bamboopier_decisions.forwarding.placement import Demand, WantedWeights
+from bamboopier_decisions.forwarding.placement import Demand, WeightVersionRange
 
 from .messages import AttemptMetadata
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.fleet import Sent
-    from bamboopier_decisions.forwarding.kept_parts import KeptParts, PartPlan
+    from bamboopier_decisions.forwarding.fleet import InFlightRequest
+    from bamboopier_decisions.forwarding.part_store_index import PartStoreIndex, PartPlan
     from bamboopier_decisions.forwarding.prompt import Prompt
     from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 
@@ -23,7 +23,7 @@
 class AttemptPlanner:
     """Knows which weights are wanted and where parts of prompts are kept."""
 
-    def __init__(self, weights: WeightVersions, part_index: KeptParts) -> None:
+    def __init__(self, weights: WeightVersions, part_index: PartStoreIndex) -> None:
         self._weights = weights
         self._part_index = part_index
 
@@ -32,17 +32,17 @@
         fetched = self._count_fetched(now, call)
         return Demand(call.service, call.priority, call.prompt, fetched)
 
-    def find_allowed_weights(self, now: float, call: Call) -> WantedWeights:
+    def find_allowed_weights(self, now: float, call: Call) -> WeightVersionRange:
         """Return the weights on which the call may begin."""
         if call.prompt is None:
-            return WantedWeights()
+            return WeightVersionRange()
         model = call.prompt.model
-        return WantedWeights(
+        return WeightVersionRange(
             self._weights.find_newest(model),
             self._weights.find_oldest_allowed(now, model),
         )
 
-    def may_start(self, now: float, call: Call, in_flight: Sent) -> bool:
+    def may_start(self, now: float, call: Call, in_flight: InFlightRequest) -> bool:
         """Say whether the call may begin on the weights that the target has now."""
         if call.prompt is None:
             return True
@@ -56,10 +56,10 @@
         """
         if call.prompt is None:
             return None
-        age = now - self._weights.find_since(call.prompt.model)
+        age = now - self._weights.find_published_at(call.prompt.model)
         return round(age, 3) if age < float("inf") else None
 
-    def make_metadata(self, now: float, call: Call, in_flight: Sent) -> AttemptMetadata:
+    def make_metadata(self, now: float, call: Call, in_flight: InFlightRequest) -> AttemptMetadata:
         """Return what the target is told beside the caller's own headers."""
         entry = in_flight.state.entry
         workspace = call.workspace
--- a/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
@@ -131,7 +131,7 @@
             return self._apply_changes(sent_at, batch)
         # Without a change it is made at the end of the wait.
         made = min(sent_at + seconds, now)
-        self._loader.confirm(position.note_unchanged(made, now, batch.revision))
+        self._loader.confirm(position.record_unchanged(made, now, batch.revision))
         self._choose_wait(short=False)
         return True
 
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -23,7 +23,7 @@
 
     from result import Result
 
-    from bamboopier_decisions.forwarding.fleet import Fleet, Sent
+    from bamboopier_decisions.forwarding.fleet import Fleet, InFlightRequest
 
     from .target_response import TargetResponse
     from .weight_expiry_monitor import WeightExpiryMonitor, PendingRequest
@@ -98,7 +98,7 @@
     async def send(
         self,
         call: Call,
-        in_flight: Sent,
+        in_flight: InFlightRequest,
         prepare: Callable[[], Result[AttemptMetadata, Cause]],
         delivery: Delivery,
     ) -> AttemptResult:
@@ -109,7 +109,7 @@
         for the answer.
         """
         entry = in_flight.state.entry
-        recently_used = not call.route.repeat.may_run_again
+        recently_used = not call.route.repeat.allows_rerun
         try:
             connection = await self._pool.acquire(entry, recently_used=recently_used)
         except ConnectError as error:
@@ -149,7 +149,7 @@
         return result
 
     async def _send_and_relay(
-        self, call: Call, in_flight: Sent, pending: PendingRequest, delivery: Delivery
+        self, call: Call, in_flight: InFlightRequest, pending: PendingRequest, delivery: Delivery
     ) -> AttemptResult:
         started_at = read_clock()
         metadata = pending.metadata
@@ -208,7 +208,7 @@
     async def _relay_stream(
         self,
         call: Call,
-        in_flight: Sent,
+        in_flight: InFlightRequest,
         pending: PendingRequest,
         response: TargetResponse,
         delivery: Delivery,
@@ -224,7 +224,7 @@
                 if not result.first_byte:
                     result.first_byte = read_clock() - started_at
                     self._expiry_monitor.record_started(pending)
-                    self._fleet.note_read(in_flight)
+                    self._fleet.record_prefilled(in_flight)
                 if not delivery.started:
                     await delivery.start(response.status, response.headers)
                 await delivery.write(complete_events)
@@ -253,9 +253,9 @@
             lines.append(f"Content-Length: {len(call.body)}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
-    def _record_metadata(self, call: Call, in_flight: Sent, response_metadata: ResponseMetadata) -> None:
+    def _record_metadata(self, call: Call, in_flight: InFlightRequest, response_metadata: ResponseMetadata) -> None:
         state = in_flight.state
         if call.prompt is not None and response_metadata.weight_version and not response_metadata.misdirected:
-            state.note_version(call.prompt.model, response_metadata.weight_version)
+            state.record_version(call.prompt.model, response_metadata.weight_version)
         if response_metadata.cold_seconds > 0:
-            state.cold.start(read_clock(), response_metadata.cold_seconds)
+            state.cold_start.start(read_clock(), response_metadata.cold_seconds)
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -8,9 +8,9 @@
 from result import Err, Ok
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.model import Repeat
-from bamboopier_decisions.forwarding.placement import place
-from bamboopier_decisions.forwarding.waiting import draw_return, limit_wait
+from bamboopier_decisions.forwarding.specs import RetrySafety
+from bamboopier_decisions.forwarding.placement import choose_target
+from bamboopier_decisions.forwarding.wait_queue import draw_retry_after, find_max_wait
 
 from .exchange import Cause
 from .refusals import CallerError, ErrorCode, ExecutionStatus
@@ -21,9 +21,9 @@
 
     from result import Result
 
-    from bamboopier_decisions.forwarding.fleet import Fleet, Sent
+    from bamboopier_decisions.forwarding.fleet import Fleet, InFlightRequest
     from bamboopier_decisions.forwarding.placement import Demand, Placement
-    from bamboopier_decisions.forwarding.retry_share import RetryShare, RetryShares
+    from bamboopier_decisions.forwarding.shared_retry_budget import SharedRetryBudget, SharedRetryBudgets
 
     from .delivery import Delivery
     from .exchange import Exchange, AttemptResult
@@ -72,7 +72,7 @@
         request_queues: RequestQueues,
         metrics: ProxyMetrics,
         quarantine: CrashQuarantine,
-        retry_budgets: RetryShares,
+        retry_budgets: SharedRetryBudgets,
         data_centre: str,
         random: random.Random,
     ) -> None:
@@ -92,7 +92,7 @@
         """Answer the caller; raises ``CallerError`` when this system must answer."""
         self._check_quarantine(call)
         retry_budget = self._retry_budgets.find(call.service)
-        retry_budget.add_request(read_clock())
+        retry_budget.record_request(read_clock())
         runs = 0
         while True:
             in_flight = await self._acquire_target(call)
@@ -101,7 +101,7 @@
                 result = await self._send(call, in_flight, delivery)
                 self._record_outcome(call, in_flight, result)
             except BaseException:
-                in_flight.state.standing.note_neutral()
+                in_flight.state.circuit_breaker.record_inconclusive()
                 raise
             finally:
                 self._fleet.end(in_flight)
@@ -115,13 +115,13 @@
             if not await self._retry_or_finish(call, result, delivery, runs, retry_budget):
                 return
 
-    async def _send(self, call: Call, in_flight: Sent, delivery: Delivery) -> AttemptResult:
+    async def _send(self, call: Call, in_flight: InFlightRequest, delivery: Delivery) -> AttemptResult:
         def prepare() -> Result[AttemptMetadata, Cause]:
             return self._prepare(call, in_flight)
 
         return await self._exchange.send(call, in_flight, prepare, delivery)
 
-    def _prepare(self, call: Call, in_flight: Sent) -> Result[AttemptMetadata, Cause]:
+    def _prepare(self, call: Call, in_flight: InFlightRequest) -> Result[AttemptMetadata, Cause]:
         """Return what the target is told, or why nothing may be sent now.
 
         Raises ``CallerError`` once the request's key may have been taken away.
@@ -135,7 +135,7 @@
             return Err(Cause.CLOSED)
         return Ok(self._planner.make_metadata(now, call, in_flight))
 
-    async def _acquire_target(self, call: Call) -> Sent:
+    async def _acquire_target(self, call: Call) -> InFlightRequest:
         """Return a place at a target; raises ``CallerError`` when there is none."""
         demand = self._planner.make_demand(read_clock(), call)
         tried = set(call.tried)
@@ -145,10 +145,10 @@
         if placement.known == 0:
             raise self._refuse(call, ErrorCode.NO_TARGET, placement)
         started_at = read_clock()
-        seconds = limit_wait(call.route.aim, call.timeout_at - started_at)
+        seconds = find_max_wait(call.route.latency_objective, call.timeout_at - started_at)
         self._check_limits(call, placement, started_at + seconds)
 
-        def try_acquire() -> Sent | None:
+        def try_acquire() -> InFlightRequest | None:
             found = self._select_target(call, demand, tried)
             if found.state is None:
                 return None
@@ -171,17 +171,17 @@
         go first.
         """
         limited = placement.limited
-        if limited.count == 0 or not limited.only:
+        if limited.count == 0 or not limited.covers_all:
             return
         before = self._request_queues.count_before(call.service, call.priority)
-        turn = limited.next_at + before / max(limited.part, MIN_LIMIT_SHARE_PER_SECOND)
+        turn = limited.next_at + before / max(limited.gateway_rate, MIN_LIMIT_SHARE_PER_SECOND)
         if turn > latest:
             raise self._refuse(call, ErrorCode.OVERLOADED, placement)
 
     def _select_target(self, call: Call, demand: Demand, tried: set[str]) -> Placement:
         now = read_clock()
         allowed_weights = self._planner.find_allowed_weights(now, call)
-        return place(
+        return choose_target(
             now, self._fleet, demand, tried, allowed_weights, self._data_centre, self._random
         )
 
@@ -201,15 +201,15 @@
         if call.may_have_run:
             return CallerError(ErrorCode.OUTCOME_UNKNOWN, code.value, ExecutionStatus.UNKNOWN)
         limited = placement.limited
-        seconds_to_capacity = limited.next_at - now if limited.only and limited.count else 0.0
-        wait = draw_return(call.timeout_at - now, self._random, seconds_to_capacity)
+        seconds_to_capacity = limited.next_at - now if limited.covers_all and limited.count else 0.0
+        wait = draw_retry_after(call.timeout_at - now, self._random, seconds_to_capacity)
         return CallerError(code, "no target has room", ExecutionStatus.NOT_EXECUTED, wait)
 
     def _check_freshness(self, call: Call, now: float) -> None:
         """Refuse a request with a key once the key may have been taken away."""
         if call.workspace is None:
             return
-        if self._active_configuration.currency.covers(now):
+        if self._active_configuration.currency.is_fresh(now):
             return
         if call.may_have_run:
             message = "the configuration became too old to send this again"
@@ -223,29 +223,29 @@
             message = "this request broke the targets that ran it"
             raise CallerError(ErrorCode.OVERLOADED, message, ExecutionStatus.NOT_EXECUTED, wait)
 
-    def _record_outcome(self, call: Call, in_flight: Sent, result: AttemptResult) -> None:
+    def _record_outcome(self, call: Call, in_flight: InFlightRequest, result: AttemptResult) -> None:
         """Take in what a send says of its target."""
         state = in_flight.state
         now = read_clock()
         match result.cause:
             case Cause.NONE if result.failure is not None:
-                state.standing.note_failure(now)
+                state.circuit_breaker.record_failure(now)
             case Cause.NONE:
-                state.standing.note_answer()
+                state.circuit_breaker.record_success()
             case Cause.CONNECT:
-                state.standing.note_unreachable(now)
+                state.circuit_breaker.record_unreachable(now)
             case Cause.NOT_RUN:
                 state.busy_until = now + NOT_RUN_BACKOFF_SECONDS
-                state.standing.note_neutral()
+                state.circuit_breaker.record_inconclusive()
             case Cause.MISDIRECTED:
-                state.standing.note_neutral()
+                state.circuit_breaker.record_inconclusive()
                 if result.wrong_target:
                     # This start of the target is over; its entry only says so later.
                     state.busy_until = now + REPLACED_BACKOFF_SECONDS
             case Cause.CLOSED | Cause.LATE | Cause.OUTDATED:
-                state.standing.note_neutral()
+                state.circuit_breaker.record_inconclusive()
             case Cause.BROKEN | Cause.UNSEALED | Cause.TIMEOUT:
-                state.standing.note_failure(now)
+                state.circuit_breaker.record_failure(now)
                 if result.cause is Cause.BROKEN and not result.status:
                     self._quarantine.record_crash(call.fingerprint, state.entry.name)
 
@@ -255,12 +255,12 @@
         result: AttemptResult,
         delivery: Delivery,
         runs: int,
-        retry_budget: RetryShare,
+        retry_budget: SharedRetryBudget,
     ) -> bool:
         """Say whether another send follows; if not, the caller has its answer."""
         if self._may_retry(call, result, delivery, runs):
             free = result.cause in (Cause.CONNECT, Cause.CLOSED)
-            if free or retry_budget.take(read_clock(), self._fleet.gateways):
+            if free or retry_budget.try_spend(read_clock(), self._fleet.gateway_count):
                 return True
         if delivery.started:
             delivery.abort()
@@ -277,7 +277,7 @@
         now = read_clock()
         # The caller may wait longer than its route allows, and come back.
         end = call.timeout_at if now < call.timeout_at else call.deadline
-        wait = draw_return(max(0.0, end - now), self._random)
+        wait = draw_retry_after(max(0.0, end - now), self._random)
         raise CallerError(ErrorCode.OVERLOADED, result.cause.value, ExecutionStatus.NOT_EXECUTED, wait)
 
     def _may_retry(
@@ -292,11 +292,11 @@
         if runs >= call.route.max_targets:
             return False
         match call.route.repeat:
-            case Repeat.SAFE:
+            case RetrySafety.SAFE:
                 return not delivery.started
-            case Repeat.RESUMABLE:
+            case RetrySafety.RESUMABLE:
                 return not delivery.started or call.last_event is not None
-            case Repeat.ONCE:
+            case RetrySafety.ONCE:
                 return False
 
 
--- a/libraries/proxy/src/bamboopier_proxy/gateway_registry.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_registry.py
@@ -35,7 +35,7 @@
     import random
     from collections.abc import Callable
 
-    from bamboopier_decisions.forwarding.pauses import Pauses
+    from bamboopier_decisions.forwarding.pause_tracker import PauseTracker
 
     from .store_schema import Store
 
@@ -91,7 +91,7 @@
         prefix: str,
         random: random.Random,
         count_changed: Callable[[int, int], None],
-        pauses: Pauses,
+        pauses: PauseTracker,
     ) -> None:
         self._store = store
         self._prefix = prefix
@@ -201,7 +201,7 @@
             self._report_count()
 
     def _read_run_time(self) -> float:
-        return self._pauses.read_run(read_clock())
+        return self._pauses.read_running_clock(read_clock())
 
     def _report_count(self) -> None:
         own = self._own or ""
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -7,9 +7,9 @@
 import structlog
 
 from bamboopier_decisions.forwarding.fleet import Fleet
-from bamboopier_decisions.forwarding.kept_parts import KeptParts
-from bamboopier_decisions.forwarding.model import CallerLimits
-from bamboopier_decisions.forwarding.retry_share import RetryShares
+from bamboopier_decisions.forwarding.part_store_index import PartStoreIndex
+from bamboopier_decisions.forwarding.specs import CallerLimits
+from bamboopier_decisions.forwarding.shared_retry_budget import SharedRetryBudgets
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 
 from .configuration_loader import ConfigurationLoader
@@ -18,8 +18,8 @@
 from .request_queues import RequestQueues
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.model import Declared
-    from bamboopier_decisions.forwarding.pauses import Pauses
+    from bamboopier_decisions.forwarding.specs import DeclaredConfiguration
+    from bamboopier_decisions.forwarding.pause_tracker import PauseTracker
 
     from .settings import ProxySettings
     from .store_schema import StoreSchema
@@ -36,14 +36,14 @@
     """The beliefs of one gateway, and the requests that wait on them."""
 
     def __init__(
-        self, settings: ProxySettings, schema: StoreSchema, pauses: Pauses
+        self, settings: ProxySettings, schema: StoreSchema, pauses: PauseTracker
     ) -> None:
         self.pauses = pauses
         self.fleet = Fleet()
-        self.fleet.gateways, self.fleet.place = ASSUMED_GATEWAYS, None
-        self.kept = KeptParts()
+        self.fleet.gateway_count, self.fleet.gateway_index = ASSUMED_GATEWAYS, None
+        self.kept = PartStoreIndex()
         self.weights = WeightVersions(settings.version_seconds)
-        self.shares = RetryShares(settings.retries)
+        self.shares = SharedRetryBudgets(settings.retries)
         self.availability = StoreAvailability()
         self.request_queues = RequestQueues()
         self.active_configuration = ActiveConfiguration(settings.key_seconds, self._apply)
@@ -52,13 +52,13 @@
 
     def apply_settings(self, changed: ProxySettings) -> None:
         """Take the bounds of changed settings."""
-        self.active_configuration.currency.set_limit(changed.key_seconds)
-        self.weights.set_allowed(changed.version_seconds)
-        self.shares.set_bounds(changed.retries)
+        self.active_configuration.currency.set_max_age(changed.key_seconds)
+        self.weights.set_grace(changed.version_seconds)
+        self.shares.set_limits(changed.retries)
 
     def set_gateway_count(self, count: int, place: int) -> None:
         """Take how many gateways share the bounds, and which of them this one is."""
-        self.fleet.gateways, self.fleet.place = count, place
+        self.fleet.gateway_count, self.fleet.gateway_index = count, place
         log.info("gateways counted", gateways=count, place=place)
 
     def wake_all(self) -> None:
@@ -69,9 +69,9 @@
     def find_caller_limits(self) -> CallerLimits:
         """Return what callers may send."""
         table = self.active_configuration.table
-        return table.declared.limits if table is not None else CallerLimits()
+        return table.configuration.limits if table is not None else CallerLimits()
 
-    def _apply(self, declared: Declared) -> None:
+    def _apply(self, declared: DeclaredConfiguration) -> None:
         self._services = tuple(declared.services)
         self.fleet.set_services(declared.services)
         managed = [s for s in declared.part_stores if s.managed]
--- a/libraries/proxy/src/bamboopier_proxy/hint_exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/hint_exchange.py
@@ -152,10 +152,10 @@
 
     def _list_loads(self) -> list[TargetLoadHint]:
         states = (self._fleet.find(name) for name in self._fleet.names)
-        busy = [s for s in states if s is not None and s.own.requests]
-        busy.sort(key=lambda s: -s.own.requests)
+        busy = [s for s in states if s is not None and s.own_load.requests]
+        busy.sort(key=lambda s: -s.own_load.requests)
         return [
-            TargetLoadHint(s.entry.name, s.own.requests, s.own.memory, s.own.unread)
+            TargetLoadHint(s.entry.name, s.own_load.requests, s.own_load.memory, s.own_load.pending_prefill)
             for s in busy[:MAX_TARGETS]
         ]
 
@@ -208,11 +208,11 @@
         if state is None:
             return
         now = read_clock()
-        is_known = hint.short_ms > 0 and now < state.short_until
+        is_known = hint.short_ms > 0 and now < state.short_answers_until
         state.busy_until = now + hint.busy_ms / 1000
-        state.short_until = now + hint.short_ms / 1000
+        state.short_answers_until = now + hint.short_ms / 1000
         if hint.version:
-            state.note_version(hint.model, hint.version)
+            state.record_version(hint.model, hint.version)
         if is_known:
             return
         log.info(
@@ -252,5 +252,5 @@
                 continue
             for load_hint in hint.loads:
                 load = loads.setdefault(load_hint.target, Load())
-                load.add(Load(load_hint.requests, load_hint.memory, load_hint.unread))
-        self._fleet.set_others(loads)
+                load.add(Load(load_hint.requests, load_hint.memory, load_hint.pending_prefill))
+        self._fleet.set_other_loads(loads)
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -10,7 +10,7 @@
 from result import Err
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.route_table import draw_service
+from bamboopier_decisions.forwarding.route_table import choose_service
 from bamboopier_gateway.body import BodyBudget, read_body
 
 from .delivery import CallerDisconnectedError, Delivery
@@ -23,7 +23,7 @@
 
     from aiohttp import web
 
-    from bamboopier_decisions.forwarding.model import Route, Workspace
+    from bamboopier_decisions.forwarding.specs import Route, Workspace
     from bamboopier_decisions.forwarding.route_table import RouteTable
 
     from .header_codec import HeaderCodec
@@ -139,7 +139,7 @@
             raise CallerError(ErrorCode.NOT_FOUND, "no route for this host and path")
         trace.route = route.name
         workspace = self._authenticate(table, route, metadata, arrived)
-        limit = table.declared.limits.body_bytes
+        limit = table.configuration.limits.body_bytes
         body = await read_body(request, limit, BODY_TIMEOUT_SECONDS)
         call = self._make_call(
             request, metadata, table, route, workspace, host, body, arrived
@@ -162,7 +162,7 @@
     ) -> Workspace | None:
         if not table.needs_key or route.public:
             return None
-        if not self._active_configuration.currency.covers(now):
+        if not self._active_configuration.currency.is_fresh(now):
             raise make_stale_configuration_error(self._active_configuration, now)
         workspace = table.find_workspace(metadata.key) if metadata.key else None
         if workspace is None:
@@ -193,14 +193,14 @@
             headers=metadata.forwarded_headers,
             body=body,
             route=route,
-            service=draw_service(route, self._random),
+            service=choose_service(route, self._random),
             workspace=workspace,
-            prompt=metadata.prompt if route.carries_prompt else None,
+            prompt=metadata.prompt if route.has_prompt else None,
             priority=priority,
             arrived=arrived,
             deadline=deadline,
             timeout_at=min(deadline, arrived + route.timeout),
-            version=table.declared.version,
+            version=table.configuration.version,
             fingerprint=make_fingerprint(
                 request.method,
                 request.raw_path,
--- a/libraries/proxy/src/bamboopier_proxy/limit_hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_hints.py
@@ -9,7 +9,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from bamboopier_decisions.forwarding.rate_limit import NEVER, LimitNews
+from bamboopier_decisions.forwarding.rate_limit import NEVER, LimitUpdate
 
 from .hints import TargetLimitHint
 from .limit_updates import apply_limit_update
@@ -41,7 +41,7 @@
         reported = [
             state
             for state in states
-            if state is not None and now - state.limit.known_at < REPEAT_SECONDS
+            if state is not None and now - state.rate_limit.last_response_at < REPEAT_SECONDS
         ]
         if len(reported) > MAX_TARGETS:
             reported = self._random.sample(reported, MAX_TARGETS)
@@ -51,24 +51,24 @@
         """Take what another gateway was told."""
         for hint in hints:
             state = self._fleet.find(hint.target)
-            if state is not None and state.entry.born == hint.started_ms:
+            if state is not None and state.entry.started_ms == hint.started_ms:
                 apply_limit_update(state, _make_update(now, hint), sender)
 
 
 def _make_hint(now: float, state: TargetState) -> TargetLimitHint:
-    update = state.limit.make_news()
+    update = state.rate_limit.make_update()
     return TargetLimitHint(
         state.entry.name,
-        state.entry.born,
+        state.entry.started_ms,
         update.per_second,
-        _encode_age(now, update.named_at),
+        _encode_age(now, update.reported_at),
         _encode_age(now, update.ended_at),
-        _encode_age(now, update.since) or 0,
+        _encode_age(now, update.reported_since) or 0,
     )
 
 
-def _make_update(now: float, hint: TargetLimitHint) -> LimitNews:
-    return LimitNews(
+def _make_update(now: float, hint: TargetLimitHint) -> LimitUpdate:
+    return LimitUpdate(
         hint.per_second,
         _decode_age(now, hint.named_age),
         _decode_age(now, hint.ended_age),
--- a/libraries/proxy/src/bamboopier_proxy/limit_records.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_records.py
@@ -18,7 +18,7 @@
 from result import Err
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.rate_limit import NEVER, LimitNews
+from bamboopier_decisions.forwarding.rate_limit import NEVER, LimitUpdate
 from bamboopier_objects.errors import VersionConflictError
 from bamboopier_objects.objects import ABSENT
 
@@ -104,21 +104,21 @@
             if state is None:
                 continue
             del self._waiting[name]
-            if state.entry.born == entry.born:
-                update = LimitNews(entry.per_second, now, NEVER, now)
+            if state.entry.started_ms == entry.born:
+                update = LimitUpdate(entry.per_second, now, NEVER, now)
                 apply_limit_update(state, update, "store")
 
     async def _write_all(self) -> None:
         for name in self._fleet.names:
             state = self._fleet.find(name)
-            if state is not None and state.limit.in_force:
+            if state is not None and state.rate_limit.in_force:
                 await self._write(name, state)
         for name in [n for n in self._stored if not self._is_needed(n)]:
             await self._remove(name)
 
     def _is_needed(self, name: str) -> bool:
         state = self._fleet.find(name)
-        is_needed = state is not None and state.limit.in_force
+        is_needed = state is not None and state.rate_limit.in_force
         return is_needed or name in self._waiting or not self._is_writer(name)
 
     def _is_writer(self, name: str) -> bool:
@@ -126,7 +126,7 @@
         return any(self._registry.is_own(gateway) for gateway in first)
 
     async def _write(self, name: str, state: TargetState) -> None:
-        entry = LimitEntry(state.entry.born, state.limit.per_second)
+        entry = LimitEntry(state.entry.started_ms, state.rate_limit.per_second)
         stored, version = self._stored.get(name, (None, ABSENT))
         if stored is not None and _is_close(stored, entry) or not self._is_writer(name):
             return
--- a/libraries/proxy/src/bamboopier_proxy/limit_updates.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_updates.py
@@ -9,7 +9,7 @@
 from bamboopier_daemon.clock import read_clock
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.rate_limit import LimitNews
+    from bamboopier_decisions.forwarding.rate_limit import LimitUpdate
     from bamboopier_decisions.forwarding.target_state import TargetState
 
     from .messages import ResponseMetadata
@@ -26,21 +26,21 @@
         log.warning("limit not read", target=state.entry.name, request_id=request_id)
         return
     if metadata.limit_per_second is None:
-        changed = state.limit.note_unnamed(sent_at)
+        changed = state.rate_limit.record_no_limit(sent_at)
     else:
-        changed = state.limit.note_named(read_clock(), metadata.limit_per_second)
+        changed = state.rate_limit.record_limit(read_clock(), metadata.limit_per_second)
     if changed:
         _log_limit(state, request_id=request_id)
 
 
-def apply_limit_update(state: TargetState, update: LimitNews, sender: str) -> None:
+def apply_limit_update(state: TargetState, update: LimitUpdate, sender: str) -> None:
     """Take in what another gateway was told."""
-    if state.limit.take_news(read_clock(), update):
+    if state.rate_limit.apply_update(read_clock(), update):
         _log_limit(state, sender=sender)
 
 
 def _log_limit(state: TargetState, **origin: str) -> None:
-    limit = state.limit
+    limit = state.rate_limit
     if limit.in_force:
         event, per_second = "limit of a target", limit.per_second
         log.info(event, target=state.entry.name, per_second=per_second, **origin)
--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -14,8 +14,8 @@
     from collections.abc import Callable
 
     from bamboopier_decisions.forwarding.fleet import Fleet
-    from bamboopier_decisions.forwarding.model import TargetEntry
-    from bamboopier_decisions.forwarding.pauses import Pauses
+    from bamboopier_decisions.forwarding.specs import TargetEntry
+    from bamboopier_decisions.forwarding.pause_tracker import PauseTracker
     from bamboopier_decisions.forwarding.weight_versions import WeightVersions
     from bamboopier_objects.objects import ChangedObject, Listing
 
@@ -116,7 +116,7 @@
         self,
         schema: StoreSchema,
         weights: WeightVersions,
-        pauses: Pauses,
+        pauses: PauseTracker,
         on_published: Callable[[PublishedWeights, float], None],
     ) -> None:
         self._schema = schema
@@ -135,7 +135,7 @@
         the others wrote says more. A process that paused cannot tell an outage.
         """
         now = read_clock()
-        paused = self._pauses.find_unread_since(now) < now
+        paused = self._pauses.find_earliest_arrival(now) < now
         was_outage = outage_seconds >= OUTAGE_SECONDS and not paused
         guessed = was_outage and math.isfinite(known_until)
         since = now if guessed else known_until
@@ -164,7 +164,7 @@
         that, it ends older weights too soon.
         """
         now = read_clock()
-        unread_since = self._pauses.find_unread_since(now)
+        unread_since = self._pauses.find_earliest_arrival(now)
         if late and unread_since == now:
             return known_until
         return max(known_until, unread_since)
@@ -176,9 +176,9 @@
             log.warning("entry set aside", key=key, reason=decoded.err_value)
             return
         named = decoded.ok_value
-        if not self._weights.name(named.model, named.version, since, guessed=guessed):
+        if not self._weights.record_published(named.model, named.version, since, guessed=guessed):
             return
-        age = read_clock() - self._weights.find_since(named.model)
+        age = read_clock() - self._weights.find_published_at(named.model)
         log.info(
             "weights named",
             model=named.model,
@@ -217,4 +217,4 @@
         if drained != self._drained:
             log.info("data centres closed", data_centres=sorted(drained))
         self._drained = drained
-        self._fleet.close_data_centres(drained)
+        self._fleet.drain_data_centres(drained)
--- a/libraries/proxy/src/bamboopier_proxy/part_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_follower.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     import random
 
-    from bamboopier_decisions.forwarding.kept_parts import KeptParts, PartNews
+    from bamboopier_decisions.forwarding.part_store_index import PartStoreIndex, PartUpdate
 
     from .part_relay import PartRelay
     from .gateway_registry import GatewayRegistry
@@ -47,7 +47,7 @@
 class PartReply:
     """News with the place from which to ask on."""
 
-    news: PartNews
+    news: PartUpdate
     position: int
 
 
@@ -67,7 +67,7 @@
     def __init__(
         self,
         client: PartStoreClient,
-        kept: KeptParts,
+        kept: PartStoreIndex,
         relay: PartRelay,
         registry: GatewayRegistry,
         random: random.Random,
@@ -131,7 +131,7 @@
             if store is None:
                 return
             if isinstance(answer, Err):
-                store.lose()
+                store.invalidate()
                 position = 0
                 if answered:
                     log.warning("store lost", store=address, reason=answer.err_value)
@@ -139,7 +139,7 @@
                 await asyncio.sleep(RETRY_SECONDS)
                 continue
             found = answer.ok_value
-            if store.take(sent_at, read_clock(), found.news):
+            if store.apply_update(sent_at, read_clock(), found.news):
                 log.info("store regained", store=address, epoch=found.news.epoch)
                 # What lay there before its start is gone; ask from its beginning.
                 position = 0 if answered else found.position
--- a/libraries/proxy/src/bamboopier_proxy/part_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_relay.py
@@ -17,10 +17,10 @@
 from result import Err, Ok, Result
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.kept_parts import PartChange, PartNews
+from bamboopier_decisions.forwarding.part_store_index import PartChange, PartUpdate
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.kept_parts import KeptParts, PartStore
+    from bamboopier_decisions.forwarding.part_store_index import PartStoreIndex, PartStore
     from bamboopier_objects.http_caller import HttpCaller
 
     from .settings import Endpoint
@@ -62,7 +62,7 @@
 class PartRelay:
     """Both sides of a call for news."""
 
-    def __init__(self, kept: KeptParts, caller: HttpCaller) -> None:
+    def __init__(self, kept: PartStoreIndex, caller: HttpCaller) -> None:
         self._kept = kept
         self._caller = caller
         # The other side's position for each store, by its address.
@@ -80,7 +80,7 @@
         news = [
             _make_update(now, store, known.get(store.address))
             for store in self._kept.stores
-            if store.trusts(now)
+            if store.is_current(now)
         ]
         return web.Response(body=msgspec.msgpack.encode(news))
 
@@ -121,16 +121,16 @@
         # Until the answer was made. The way here is not added: a start must not look
         # older than it is.
         known = (found.response_age_ms + found.instance_known_ms) / 1000
-        news = PartNews(
+        news = PartUpdate(
             found.epoch,
             found.clock_ms,
             tuple(PartChange(*change) for change in found.changes),
             found.is_snapshot,
             max(0.0, known),
         )
-        if store.is_former(news):
+        if store.is_outdated(news):
             return
-        store.take(sent_at - found.response_age_ms / 1000, read_at, news)
+        store.apply_update(sent_at - found.response_age_ms / 1000, read_at, news)
         self._positions[found.address] = found.position
 
 
@@ -148,7 +148,7 @@
         int(store.find_age(now) * 1000) + 1,
         # Rounded down, and by what the age was rounded up: their sum must not make the
         # start look older than it is.
-        math.floor(store.known_seconds * 1000) - 1,
+        math.floor(store.epoch_known_seconds * 1000) - 1,
         store.clock_ms,
         is_snapshot,
         [(change.scope, change.part, change.tokens) for change in listed],
--- a/libraries/proxy/src/bamboopier_proxy/publish_times.py
+++ b/libraries/proxy/src/bamboopier_proxy/publish_times.py
@@ -162,7 +162,7 @@
         """
         await loaded.wait()
         await asyncio.sleep(SETTLE_SECONDS)
-        if self._weights.has_unknown_age():
+        if self._weights.has_unknown_publish_time():
             await self.read_entries()
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
@@ -173,7 +173,7 @@
     async def _read_until_written(self, model: str, version: int) -> None:
         """Read until somebody has had the time to write a version down."""
         await self.read_entries()
-        if not self._weights.is_written(model, version):
+        if not self._weights.is_recorded(model, version):
             await asyncio.sleep(SETTLE_SECONDS)
             await self.read_entries()
 
@@ -192,7 +192,7 @@
 
     def _apply_entry(self, entry: _Entry) -> None:
         since = read_clock() - entry.age
-        self._weights.learn_age(
+        self._weights.record_publish_time(
             entry.model, entry.version, since, guessed=entry.guessed
         )
         log.info(
--- a/libraries/proxy/src/bamboopier_proxy/request_queues.py
+++ b/libraries/proxy/src/bamboopier_proxy/request_queues.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from bamboopier_decisions.forwarding.waiting import WaitQueue
+from bamboopier_decisions.forwarding.wait_queue import WaitQueue
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from bamboopier_decisions.forwarding.fleet import Sent
+    from bamboopier_decisions.forwarding.fleet import InFlightRequest
 
 # Requests tried at each end of another: the first that still finds no room shows that
 # those behind it need not be tried, unless they need less.
@@ -22,8 +22,8 @@
 
 @dataclass(slots=True)
 class _PendingRequest:
-    try_acquire: Callable[[], Sent | None]
-    acquired: asyncio.Future[Sent]
+    try_acquire: Callable[[], InFlightRequest | None]
+    acquired: asyncio.Future[InFlightRequest]
 
 
 class RequestQueues:
@@ -48,9 +48,9 @@
         service: str,
         priority: int,
         seconds: float,
-        try_acquire: Callable[[], Sent | None],
-        release: Callable[[Sent], None],
-    ) -> Sent | None:
+        try_acquire: Callable[[], InFlightRequest | None],
+        release: Callable[[InFlightRequest], None],
+    ) -> InFlightRequest | None:
         """Wait until ``try_acquire`` returns a place; None when ``seconds`` have passed.
 
         A caller may leave between the moment in which a place is counted for it and
@@ -59,7 +59,7 @@
         """
         queue = self._queues.setdefault(service, WaitQueue())
         ticket = queue.add(priority)
-        acquired: asyncio.Future[Sent] = asyncio.get_running_loop().create_future()
+        acquired: asyncio.Future[InFlightRequest] = asyncio.get_running_loop().create_future()
         self._pending[service, ticket] = _PendingRequest(try_acquire, acquired)
         try:
             async with asyncio.timeout(seconds):
@@ -96,6 +96,6 @@
                 self.wake(service)
 
 
-def _get_acquired(acquired: asyncio.Future[Sent]) -> Sent | None:
+def _get_acquired(acquired: asyncio.Future[InFlightRequest]) -> InFlightRequest | None:
     """Return the place that was found, if one was."""
     return acquired.result() if acquired.done() and not acquired.cancelled() else None
--- a/libraries/proxy/src/bamboopier_proxy/weight_updater.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_updater.py
@@ -17,8 +17,8 @@
 from result import Err, Ok
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.load_drain import LoadDrain
-from bamboopier_decisions.forwarding.roll_order import count_loads, find_delay
+from bamboopier_decisions.forwarding.weight_load_drain import WeightLoadDrain
+from bamboopier_decisions.forwarding.rollout_order import count_concurrent_loads, find_wave_delay
 
 from .target_orders import OrderError, WeightOrder
 
@@ -81,7 +81,7 @@
         # The version that the target has to load, and since when that is known here.
         self._wanted: tuple[str, int] | None = None
         self._wanted_since = 0.0
-        self._drain: LoadDrain | None = None
+        self._drain: WeightLoadDrain | None = None
         self._target = ""
         self._random = random
         self.changed = asyncio.Event()
@@ -98,7 +98,7 @@
                 continue
 
     def _choose_pause(self, behind: bool) -> float:
-        if self._drain is not None and not self._drain.over:
+        if self._drain is not None and not self._drain.is_complete:
             return POLL_SECONDS
         seconds = SLOT_RETRY_SECONDS if behind else IDLE_POLL_SECONDS
         return seconds * self._random.uniform(0.7, 1.0)
@@ -119,7 +119,7 @@
         )
         if not await self._is_drained(wanted, report):
             return True
-        async with self._slots.take(count_loads(self._directory.count)) as slot:
+        async with self._slots.take(count_concurrent_loads(self._directory.count)) as slot:
             if slot is None:
                 return True
             await self._load(wanted, slot)
@@ -139,13 +139,13 @@
         heard, its target would load a turn or more after the others, and keep older
         weights until their time is over. What others wrote may be read after that.
         """
-        since = self._weights.find_since(wanted[0])
+        since = self._weights.find_published_at(wanted[0])
         return since if math.isfinite(since) else self._wanted_since
 
     def _has_turn(self, wanted: tuple[str, int]) -> bool:
         model, newest = wanted
         versions = self._directory.list_versions(model)
-        delay = find_delay(versions, newest, self._target)
+        delay = find_wave_delay(versions, newest, self._target)
         return read_clock() - self._find_published_at(wanted) >= delay
 
     async def _is_drained(self, wanted: tuple[str, int], report: TargetReport) -> bool:
@@ -155,7 +155,7 @@
                 return False
             await self._announcer.refresh()
             self._announcer.reset()
-            self._drain = LoadDrain(read_clock())
+            self._drain = WeightLoadDrain(read_clock())
             log.info(
                 "drain begun",
                 target=self._target,
@@ -166,8 +166,8 @@
         now = read_clock()
         if self._drain.find_age(now) < DRAIN_TIMEOUT_SECONDS:
             self._announcer.announce_drain(self._target, wanted[0])
-        self._drain.take_runs(now, report.runs)
-        return self._drain.over
+        self._drain.record_running(now, report.runs)
+        return self._drain.is_complete
 
     async def _refresh_directory(self) -> bool:
         """Read the targets' list unless that was done a moment ago."""
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -7,12 +7,12 @@
 from unittest import mock
 
 from bamboopier_decisions.forwarding.fleet import Fleet
-from bamboopier_decisions.forwarding.kept_parts import KeptParts
-from bamboopier_decisions.forwarding.model import (
+from bamboopier_decisions.forwarding.part_store_index import PartStoreIndex
+from bamboopier_decisions.forwarding.specs import (
     CallerLimits,
-    Declared,
+    DeclaredConfiguration,
     EngineSpec,
-    Repeat,
+    RetrySafety,
     Route,
     ServiceSpec,
     TargetEntry,
@@ -20,7 +20,7 @@
     Workspace,
 )
 from bamboopier_decisions.forwarding.prompt import Prompt, PromptPart
-from bamboopier_decisions.forwarding.retry_share import RetryBounds, RetryShares
+from bamboopier_decisions.forwarding.shared_retry_budget import RetryBudgetLimits, SharedRetryBudgets
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 from bamboopier_proxy.target_response import TargetResponse
 from bamboopier_proxy.weight_expiry_monitor import WeightExpiryMonitor
@@ -110,14 +110,14 @@
         self.forwarder = Forwarder(
             self.fleet,
             self.active_configuration,
-            AttemptPlanner(self.weights, KeptParts()),
+            AttemptPlanner(self.weights, PartStoreIndex()),
             Exchange(
                 cast("Any", self.pool), self.fleet, codec, WeightExpiryMonitor(self.weights)
             ),
             RequestQueues(),
             ProxyMetrics(),
             quarantine,
-            RetryShares(RetryBounds(0.2, 54.0, 10.0)),
+            SharedRetryBudgets(RetryBudgetLimits(0.2, 54.0, 10.0)),
             "z1",
             random.Random(1),
         )
@@ -141,23 +141,23 @@
         name="desk",
         host="desk.example",
         prefix="/",
-        repeat=Repeat.ONCE,
+        repeat=RetrySafety.ONCE,
         streams=False,
         timeout=TIMEOUT_SECONDS,
-        aim=0.4,
+        latency_objective=0.4,
         priority=1,
         services=(WeightedService(SERVICE),),
         max_targets=2,
         public=False,
-        carries_prompt=True,
+        has_prompt=True,
     )
 
 
-def make_declared() -> Declared:
+def make_declared() -> DeclaredConfiguration:
     """Return a configuration with one route, service and workspace."""
     engine = EngineSpec(slots=8, memory_tokens=10_000, models=(MODEL,))
     service = ServiceSpec(SERVICE, "/healthz", 100, 0.0, 0.0, engine)
-    return Declared(
+    return DeclaredConfiguration(
         1, (make_route(),), {SERVICE: service}, CallerLimits(), (WORKSPACE,)
     )
 
--- a/libraries/proxy/tests/test_active_configuration.py
+++ b/libraries/proxy/tests/test_active_configuration.py
@@ -5,12 +5,12 @@
 import unittest
 from unittest import mock
 
-from bamboopier_decisions.forwarding.model import CallerLimits, Declared
+from bamboopier_decisions.forwarding.specs import CallerLimits, DeclaredConfiguration
 from bamboopier_proxy.active_configuration import ActiveConfiguration
 
 
-def declare(version: int) -> Declared:
-    return Declared(version, (), {}, CallerLimits(), None)
+def declare(version: int) -> DeclaredConfiguration:
+    return DeclaredConfiguration(version, (), {}, CallerLimits(), None)
 
 
 class ActiveConfigurationTests(unittest.TestCase):
@@ -25,16 +25,16 @@
         self.active_configuration.update(declare(7), 10.0, 10.1)
         self.active_configuration.update(declare(5), 14.0, 14.1)
         self.assertEqual((self.active_configuration.version, self.applied), (7, [7]))
-        self.assertFalse(self.active_configuration.currency.covers(15.0))
+        self.assertFalse(self.active_configuration.currency.is_fresh(15.0))
 
     def test_only_the_active_version_is_confirmed(self) -> None:
         # Another gateway answers that its own, newer version is current. That says
         # nothing of the older one here: a key may be missing in the newer.
         self.active_configuration.update(declare(7), 10.0, 10.1)
         self.active_configuration.confirm(8, 14.0)
-        self.assertFalse(self.active_configuration.currency.covers(15.0))
+        self.assertFalse(self.active_configuration.currency.is_fresh(15.0))
         self.active_configuration.confirm(7, 14.0)
-        self.assertTrue(self.active_configuration.currency.covers(15.0))
+        self.assertTrue(self.active_configuration.currency.is_fresh(15.0))
 
 
 if __name__ == "__main__":
--- a/libraries/proxy/tests/test_attempts.py
+++ b/libraries/proxy/tests/test_attempts.py
@@ -37,7 +37,7 @@
             await self.harness.forward(**options)
         self.assertEqual(self.harness.pool.heads, [])
         self.assertEqual(self.harness.pool.unused, 1)
-        self.assertEqual(self.harness.fleet.list_service("desk", 0.0)[0].requests, 0)
+        self.assertEqual(self.harness.fleet.list_targets("desk", 0.0)[0].requests, 0)
         return caught.exception
 
     async def test_the_target_gets_the_time_remaining_at_the_send(self) -> None:
@@ -56,14 +56,14 @@
         error = await self.expect_refusal()
         self.assertIs(error.ran, ExecutionStatus.NOT_EXECUTED)
         self.assertFalse(self.harness.quarantine.record_crash.called)
-        standing = self.harness.fleet.list_service("desk", 0.0)[0].standing
-        self.assertEqual(standing.failing_share, 0.0)
+        standing = self.harness.fleet.list_targets("desk", 0.0)[0].circuit_breaker
+        self.assertEqual(standing.failure_rate, 0.0)
 
     async def test_retry_after_is_not_before_there_is_capacity(self) -> None:
         # Guards against a caller that is refused a second time by a target in need: it
         # takes the next request in two seconds.
-        state = self.harness.fleet.list_service("desk", 0.0)[0]
-        state.limit.note_named(self.harness.clock.now, 0.5)
+        state = self.harness.fleet.list_targets("desk", 0.0)[0]
+        state.rate_limit.record_limit(self.harness.clock.now, 0.5)
         with self.assertRaises(CallerError) as caught:
             await self.harness.forward()
         self.assertIs(caught.exception.ran, ExecutionStatus.NOT_EXECUTED)
@@ -88,7 +88,7 @@
         # a second more. The connection takes 0.9 s, and a caller was answered on
         # weights that were to serve no longer.
         now = self.harness.clock.now
-        self.harness.weights.name(MODEL, 2, now - VERSION_SECONDS + 2.6 + 0.5)
+        self.harness.weights.record_published(MODEL, 2, now - VERSION_SECONDS + 2.6 + 0.5)
         self.advance_while_connecting(0.9)
         error = await self.expect_refusal(keyed=False, prompt=True)
         self.assertIs(error.ran, ExecutionStatus.NOT_EXECUTED)
--- a/libraries/proxy/tests/test_configuration_loader.py
+++ b/libraries/proxy/tests/test_configuration_loader.py
@@ -8,7 +8,7 @@
 
 from result import Err, Ok, Result
 
-from bamboopier_decisions.forwarding.model import CallerLimits, Declared
+from bamboopier_decisions.forwarding.specs import CallerLimits, DeclaredConfiguration
 from bamboopier_objects.objects import StoredObject
 from bamboopier_proxy.configuration_loader import ConfigurationLoader
 from bamboopier_proxy.active_configuration import ActiveConfiguration
@@ -17,11 +17,11 @@
     from bamboopier_proxy.store_schema import StoreSchema
 
 
-def decode(value: bytes) -> Result[Declared, str]:
+def decode(value: bytes) -> Result[DeclaredConfiguration, str]:
     """Take the value for the version's number."""
     if not value.isdigit():
         return Err("no number")
-    return Ok(Declared(int(value), (), {}, CallerLimits(), None))
+    return Ok(DeclaredConfiguration(int(value), (), {}, CallerLimits(), None))
 
 
 class ConfigurationLoaderTests(unittest.TestCase):
@@ -40,7 +40,7 @@
     def test_the_same_revision_confirms_freshness(self) -> None:
         self.load(10, b"3", 100.0)
         self.assertTrue(self.load(10, b"3", 104.0))
-        self.assertEqual(self.active_configuration.currency.proved_at, 104.0)
+        self.assertEqual(self.active_configuration.currency.confirmed_at, 104.0)
 
     def test_an_older_revision_from_another_gateway_is_ignored(self) -> None:
         # Another gateway's answer was held up on its way: it has the version before,
@@ -48,7 +48,7 @@
         self.load(11, b"4", 100.0)
         self.assertFalse(self.load(10, b"3", 104.0))
         self.assertEqual(self.active_configuration.version, 4)
-        self.assertEqual(self.active_configuration.currency.proved_at, 100.0)
+        self.assertEqual(self.active_configuration.currency.confirmed_at, 100.0)
 
     def test_an_undecodable_value_is_not_relayed(self) -> None:
         # A broken value lies in the store. What is in force stays, is no longer proved
@@ -56,7 +56,7 @@
         self.load(10, b"3", 100.0)
         self.assertTrue(self.load(11, b"broken", 104.0))
         self.assertEqual(self.active_configuration.version, 3)
-        self.assertEqual(self.active_configuration.currency.proved_at, 100.0)
+        self.assertEqual(self.active_configuration.currency.confirmed_at, 100.0)
         assert self.loader.stored is not None
         self.assertEqual(self.loader.stored.value, b"3")
 
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -10,9 +10,9 @@
 import msgspec
 from result import Ok
 
-from bamboopier_decisions.forwarding.cold_ramp import ColdRamp
-from bamboopier_decisions.forwarding.pauses import TICK_SECONDS, Pauses
-from bamboopier_decisions.forwarding.retry_share import RetryBounds
+from bamboopier_decisions.forwarding.cold_start_limit import ColdStartLimit
+from bamboopier_decisions.forwarding.pause_tracker import TICK_SECONDS, PauseTracker
+from bamboopier_decisions.forwarding.shared_retry_budget import RetryBudgetLimits
 from bamboopier_objects.objects import Listing, StoredObject
 from bamboopier_proxy.gateway_peers import GatewayPeers
 from bamboopier_proxy.gateway_state import GatewayState
@@ -36,15 +36,15 @@
     def __init__(self, number: int, now: float, store: mock.AsyncMock) -> None:
         self.name = f"g-{number}"
         self.host = f"10.0.0.{number}"
-        self.pauses = Pauses(now)
-        self.ramp = ColdRamp()
+        self.pauses = PauseTracker(now)
+        self.ramp = ColdStartLimit()
         settings = mock.Mock(
             vm=self.name,
             host=self.host,
             first_port=PORT,
             version_seconds=9.0,
             key_seconds=None,
-            retries=RetryBounds(0.2, 54, 10.0),
+            retries=RetryBudgetLimits(0.2, 54, 10.0),
         )
         schema = mock.Mock(gateways_prefix=PREFIX)
         self.state = GatewayState(settings, schema, self.pauses)
@@ -57,7 +57,7 @@
     @property
     def counted(self) -> int:
         """Return how many gateways this one divides shared limits by."""
-        return self.state.fleet.gateways
+        return self.state.fleet.gateway_count
 
 
 class GatewayCountTests(unittest.IsolatedAsyncioTestCase):
@@ -108,7 +108,7 @@
         while self.now < end:
             self.now += TICK_SECONDS
             for gateway in self.gateways if running is None else running:
-                gateway.pauses.note_tick(self.now)
+                gateway.pauses.record_tick(self.now)
                 gateway.hint_exchange._send_loads()
 
     def count_all(self) -> list[int]:
@@ -123,10 +123,10 @@
         for step in range(int(seconds * 100)):
             for gateway in self.gateways:
                 now = self.now + step * 0.01
-                place = gateway.state.fleet.place
+                place = gateway.state.fleet.gateway_index
                 count = gateway.counted
                 if gateway.ramp.may_send(now, COLD_PER_SECOND, count, place):
-                    gateway.ramp.note_sent(now)
+                    gateway.ramp.record_sent(now)
                     sent += 1
         return sent
 
@@ -151,7 +151,7 @@
         self.now += SILENT_SECONDS + 5
         self.lost = True
         for gateway in self.gateways:
-            gateway.pauses.note_tick(self.now)
+            gateway.pauses.record_tick(self.now)
             gateway.hint_exchange._send_loads()
         self.assertEqual(self.count_all(), [GATEWAYS] * GATEWAYS)
 
--- a/libraries/proxy/tests/test_gateway_registry.py
+++ b/libraries/proxy/tests/test_gateway_registry.py
@@ -10,7 +10,7 @@
 import msgspec
 from result import Ok
 
-from bamboopier_decisions.forwarding.pauses import Pauses
+from bamboopier_decisions.forwarding.pause_tracker import PauseTracker
 from bamboopier_objects.objects import Listing, StoredObject
 from bamboopier_proxy.gateway_registry import GatewayEntry, GatewayRegistry
 
@@ -35,7 +35,7 @@
             if len(pauses) > 3:
                 raise asyncio.CancelledError
 
-        registry = GatewayRegistry(store, "g/", random.Random(1), mock.Mock(), Pauses(0.0))
+        registry = GatewayRegistry(store, "g/", random.Random(1), mock.Mock(), PauseTracker(0.0))
         with (
             mock.patch("bamboopier_proxy.gateway_registry.asyncio.sleep", sleep),
             self.assertRaises(asyncio.CancelledError),
--- a/libraries/proxy/tests/test_limit_hints.py
+++ b/libraries/proxy/tests/test_limit_hints.py
@@ -25,7 +25,7 @@
     fleet.set_services(make_declared().services)
     for name in names:
         entry = make_entry()
-        changed = {"name": name, "born": born}
+        changed = {"name": name, "started_ms": born}
         fields = {f: getattr(entry, f) for f in entry.__slots__}
         fleet.put(now, type(entry)(**{**fields, **changed}))
     return fleet
@@ -35,7 +35,7 @@
     """Return what is known of a target's limit."""
     state = fleet.find(name)
     assert state is not None
-    return state.limit
+    return state.rate_limit
 
 
 class LimitHintTests(unittest.TestCase):
@@ -58,24 +58,24 @@
 
     def test_a_limit_and_its_end_reach_other_gateways(self) -> None:
         other = make_fleet(["i-1"], self.now)
-        find_limit(self.sent, "i-1").note_named(100.0, 1.5)
+        find_limit(self.sent, "i-1").record_limit(100.0, 1.5)
         self.send_hints(other, 100.2)
         self.assertTrue(find_limit(other, "i-1").in_force)
         self.assertEqual(find_limit(other, "i-1").per_second, 1.5)
-        find_limit(self.sent, "i-1").note_unnamed(101.0)
+        find_limit(self.sent, "i-1").record_no_limit(101.0)
         self.send_hints(other, 101.2)
         self.assertFalse(find_limit(other, "i-1").in_force)
 
     def test_another_instance_of_the_target_has_no_limit(self) -> None:
         # Guards against a target that restarted under its name and is left idle.
         other = make_fleet(["i-1"], self.now, born=2)
-        find_limit(self.sent, "i-1").note_named(100.0, 1.5)
+        find_limit(self.sent, "i-1").record_limit(100.0, 1.5)
         self.send_hints(other, 100.2)
         self.assertFalse(find_limit(other, "i-1").in_force)
 
     def test_only_limits_of_recent_responses_are_sent(self) -> None:
         other = make_fleet(["i-1"], self.now)
-        find_limit(self.sent, "i-1").note_named(100.0, 1.5)
+        find_limit(self.sent, "i-1").record_limit(100.0, 1.5)
         self.send_hints(other, 100.2)
         again = LimitHints(other, random.Random(3))
         self.assertEqual(again.list_hints(100.3), [])
@@ -85,7 +85,7 @@
         names = [f"i-{n:010x}" for n in range(50)]
         fleet = make_fleet(names, self.now)
         for name in names:
-            find_limit(fleet, name).note_named(100.0, 1.5)
+            find_limit(fleet, name).record_limit(100.0, 1.5)
         hints = LimitHints(fleet, random.Random(1)).list_hints(100.1)
         self.assertEqual(len(hints), MAX_TARGETS)
         hint = LoadHint("g-1", 1, 1, [], [], hints)
@@ -94,11 +94,11 @@
     def test_an_unreadable_limit_changes_nothing(self) -> None:
         state = self.sent.find("i-1")
         assert state is not None
-        state.limit.note_named(99.0, 1.5)
+        state.rate_limit.record_limit(99.0, 1.5)
         said = ResponseMetadata("r", True, False, False, "i-1", 0, 0.0, reports_limit=True)
         record_limit(state, 99.5, said, "r")
-        self.assertTrue(state.limit.in_force)
-        self.assertEqual(state.limit.per_second, 1.5)
+        self.assertTrue(state.rate_limit.in_force)
+        self.assertEqual(state.rate_limit.per_second, 1.5)
 
 
 if __name__ == "__main__":
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -11,12 +11,12 @@
 from result import Err, Ok, Result
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.kept_parts import (
-    SETTLE_SECONDS,
-    KeptParts,
-    PartNews,
+from bamboopier_decisions.forwarding.part_store_index import (
+    SAVE_HOLD_OFF_SECONDS,
+    PartStoreIndex,
+    PartUpdate,
 )
-from bamboopier_decisions.forwarding.pauses import Pauses
+from bamboopier_decisions.forwarding.pause_tracker import PauseTracker
 from bamboopier_objects.http_caller import HttpCaller
 from bamboopier_proxy.part_follower import (
     DIRECT_GATEWAYS,
@@ -35,7 +35,7 @@
 def make_roster(generator: random.Random) -> GatewayRegistry:
     """Return a list of gateways that reads no store."""
     store = mock.AsyncMock()
-    return GatewayRegistry(store, "", generator, lambda *_: None, Pauses(read_clock()))
+    return GatewayRegistry(store, "", generator, lambda *_: None, PauseTracker(read_clock()))
 
 
 class CountedStores:
@@ -49,13 +49,13 @@
     ) -> Result[PartReply, str]:
         self.requests += 1
         await asyncio.sleep(0.01)
-        return Ok(PartReply(PartNews(1, 1, ()), 0))
+        return Ok(PartReply(PartUpdate(1, 1, ()), 0))
 
 
 class CountedRelay(PartRelay):
     """Counts questions to other gateways."""
 
-    def __init__(self, kept: KeptParts) -> None:
+    def __init__(self, kept: PartStoreIndex) -> None:
         super().__init__(kept, HttpCaller(""))
         self.requested: set[str] = set()
 
@@ -79,7 +79,7 @@
         self._clock[0] += self._delays.pop(0) if self._delays else 0.0
         self.requested += 1
         epoch = min(self.requested, 2)
-        return Ok(PartReply(PartNews(epoch, int(self._clock[0] * 1000), ()), 0))
+        return Ok(PartReply(PartUpdate(epoch, int(self._clock[0] * 1000), ()), 0))
 
 
 class SettleTests(unittest.IsolatedAsyncioTestCase):
@@ -90,7 +90,7 @@
         # while others may still fetch what lay there before: a caller's answer could
         # be made from half a part.
         clock = [100.0]
-        kept = KeptParts()
+        kept = PartStoreIndex()
         kept.set_stores({ADDRESS: 100_000})
         generator = random.Random(1)
         registry = make_roster(generator)
@@ -112,13 +112,13 @@
         assert store is not None
         self.assertEqual(store.epoch, 2)
         # The start was seen at 104.0 for the first time.
-        self.assertFalse(store.may_save(104.0 + SETTLE_SECONDS / 2, 1000))
+        self.assertFalse(store.can_save(104.0 + SAVE_HOLD_OFF_SECONDS / 2, 1000))
 
 
 class FollowerTests(unittest.IsolatedAsyncioTestCase):
     async def follow(self, gateways: int, own: str) -> tuple[int, int]:
         """Return the questions to stores and the gateways asked in a moment."""
-        kept = KeptParts()
+        kept = PartStoreIndex()
         kept.set_stores({ADDRESS: 1000})
         generator = random.Random(1)
         registry = make_roster(generator)
--- a/libraries/proxy/tests/test_part_relay.py
+++ b/libraries/proxy/tests/test_part_relay.py
@@ -10,12 +10,12 @@
 
 from result import Ok, Result
 
-from bamboopier_decisions.forwarding.kept_parts import (
-    SETTLE_SECONDS,
-    TRUST_SECONDS,
-    KeptParts,
+from bamboopier_decisions.forwarding.part_store_index import (
+    SAVE_HOLD_OFF_SECONDS,
+    UPDATE_VALID_SECONDS,
+    PartStoreIndex,
     PartChange,
-    PartNews,
+    PartUpdate,
 )
 from bamboopier_objects.http_caller import HttpCaller, Reply
 from bamboopier_proxy.part_relay import PartRelay
@@ -69,7 +69,7 @@
         patch.start()
         self.addCleanup(patch.stop)
         self.caller = DirectCaller()
-        self.direct, self.other = KeptParts(), KeptParts()
+        self.direct, self.other = PartStoreIndex(), PartStoreIndex()
         for kept in (self.direct, self.other):
             kept.set_stores({ADDRESS: 1_000_000})
         self.caller.other = PartRelay(self.direct, self.caller)
@@ -79,7 +79,7 @@
         """Let the store answer the gateway that asks it."""
         store = self.direct.find(ADDRESS)
         assert store is not None
-        store.take(self.now, self.now, PartNews(epoch, 5000, changes))
+        store.apply_update(self.now, self.now, PartUpdate(epoch, 5000, changes))
 
     async def request(self) -> None:
         found = await self.relay.request(FIRST)
@@ -91,7 +91,7 @@
     def has(self, part: str) -> bool:
         store = self.other.find(ADDRESS)
         assert store is not None
-        return store.trusts(self.now) and store.has(SCOPE, part, 500)
+        return store.is_current(self.now) and store.contains(SCOPE, part, 500)
 
     async def test_changes_are_relayed_once(self) -> None:
         self.hear(7, *(PartChange(SCOPE, f"p{n}", 500) for n in range(100)))
@@ -110,7 +110,7 @@
         self.now += 1.0
         await self.request()
         self.assertTrue(self.has("p"))
-        self.now += TRUST_SECONDS - 1.0
+        self.now += UPDATE_VALID_SECONDS - 1.0
         self.assertFalse(self.has("p"))
 
     async def test_a_restarted_store_is_assumed_empty(self) -> None:
@@ -128,15 +128,15 @@
         await self.request()
         store = self.other.find(ADDRESS)
         assert store is not None
-        self.assertFalse(store.may_save(self.now, 500))
-        self.now += SETTLE_SECONDS
+        self.assertFalse(store.can_save(self.now, 500))
+        self.now += SAVE_HOLD_OFF_SECONDS
         self.hear(7)
         self.other.set_stores({})
         self.other.set_stores({ADDRESS: 1_000_000})
         await self.request()
         store = self.other.find(ADDRESS)
         assert store is not None
-        self.assertTrue(store.may_save(self.now, 500))
+        self.assertTrue(store.can_save(self.now, 500))
 
     async def test_an_instance_looks_no_older_than_first_observed(self) -> None:
         # Answers come late, at the gateway that asks the store as well as at the one
@@ -154,14 +154,14 @@
                 self.caller.travel = functools.partial(self.pass_time, way)
                 asked = self.now
                 self.pass_time(late)
-                direct.take(asked, self.now, PartNews(epoch, 5000, ()))
+                direct.apply_update(asked, self.now, PartUpdate(epoch, 5000, ()))
                 seen = self.now
                 self.pass_time(rest)
                 await self.request()
-                for now in (seen + SETTLE_SECONDS - 1e-6, seen + SETTLE_SECONDS + 1):
+                for now in (seen + SAVE_HOLD_OFF_SECONDS - 1e-6, seen + SAVE_HOLD_OFF_SECONDS + 1):
                     # It still answers, under the same start.
-                    other.take(now, now, PartNews(epoch, 5000, ()))
-                    self.assertEqual(other.may_save(now, 500), now > seen + 3)
+                    other.apply_update(now, now, PartUpdate(epoch, 5000, ()))
+                    self.assertEqual(other.can_save(now, 500), now > seen + 3)
 
     async def test_later_updates_refine_the_age_of_an_instance(self) -> None:
         # The first news told little of how long the start is known. Later ones that
@@ -171,14 +171,14 @@
         seen = self.now
         await self.request()
         self.caller.travel = functools.partial(self.pass_time, 0.001)
-        while self.now < seen + SETTLE_SECONDS - 0.1:
+        while self.now < seen + SAVE_HOLD_OFF_SECONDS - 0.1:
             self.hear(7)
             await self.request()
             self.pass_time(0.1)
         store = self.other.find(ADDRESS)
         assert store is not None
-        self.assertFalse(store.may_save(seen + SETTLE_SECONDS - 1e-6, 500))
-        self.assertTrue(store.may_save(seen + SETTLE_SECONDS + 0.01, 500))
+        self.assertFalse(store.can_save(seen + SAVE_HOLD_OFF_SECONDS - 1e-6, 500))
+        self.assertTrue(store.can_save(seen + SAVE_HOLD_OFF_SECONDS + 0.01, 500))
 
     async def test_positions_are_specific_to_a_gateway(self) -> None:
         # The gateway that was asked is gone; another one has seen the same changes in
@@ -208,7 +208,7 @@
         patch.start()
         self.addCleanup(patch.stop)
         self.caller = DirectCaller()
-        self.quick, self.slow, self.third = KeptParts(), KeptParts(), KeptParts()
+        self.quick, self.slow, self.third = PartStoreIndex(), PartStoreIndex(), PartStoreIndex()
         for kept in (self.quick, self.slow, self.third):
             kept.set_stores({ADDRESS: 1_000_000})
         self.relay = PartRelay(self.third, self.caller)
@@ -227,14 +227,14 @@
         await self.request(self.quick, FIRST)
         self.assertFalse(self.fetches("lost"))
 
-    def hear(self, kept: KeptParts, epoch: int, *changes: PartChange) -> None:
+    def hear(self, kept: PartStoreIndex, epoch: int, *changes: PartChange) -> None:
         """Let the store answer one that asks it."""
         store = kept.find(ADDRESS)
         assert store is not None
         clock_ms = int(self.now * 1000)
-        store.take(self.now, self.now, PartNews(epoch, clock_ms, changes))
+        store.apply_update(self.now, self.now, PartUpdate(epoch, clock_ms, changes))
 
-    async def request(self, kept: KeptParts, gateway: Endpoint) -> None:
+    async def request(self, kept: PartStoreIndex, gateway: Endpoint) -> None:
         """Let the third gateway ask one of the two."""
         self.now += 0.2
         self.caller.other = PartRelay(kept, self.caller)
@@ -266,10 +266,10 @@
         await self.request(self.slow, SECOND)
         self.assertFalse(self.saves("new"))
         # From then on the store is known as from any answer of its new start.
-        while self.now < self.began + SETTLE_SECONDS:
+        while self.now < self.began + SAVE_HOLD_OFF_SECONDS:
             self.hear(self.slow, self.latest)
             await self.request(self.slow, SECOND)
-            self.assertEqual(self.saves("new"), self.now >= self.began + SETTLE_SECONDS)
+            self.assertEqual(self.saves("new"), self.now >= self.began + SAVE_HOLD_OFF_SECONDS)
 
     async def test_an_instance_later_than_the_known_one_is_accepted(self) -> None:
         # The other one has heard more by now, and of one more start.
--- a/libraries/proxy/tests/test_publish_times.py
+++ b/libraries/proxy/tests/test_publish_times.py
@@ -11,7 +11,7 @@
 import msgspec
 from result import Err, Ok
 
-from bamboopier_decisions.forwarding.pauses import Pauses
+from bamboopier_decisions.forwarding.pause_tracker import PauseTracker
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 from bamboopier_objects.errors import (
     PlatformUnavailableError,
@@ -49,7 +49,7 @@
 
     async def name(self, since: float) -> None:
         """Hear of version 2, named at ``since`` at the earliest."""
-        self.weights.name("m", 2, since)
+        self.weights.record_published("m", 2, since)
         self.publish_times.record_published("m", 2, since)
         await self.publish_times.finish()
 
@@ -73,7 +73,7 @@
     async def test_a_late_receiver_reads_the_time_others_wrote(self) -> None:
         self.let_others_have_written(age=1.0)
         await self.name(NOW - 9.0)
-        since = self.weights.find_since("m")
+        since = self.weights.find_published_at("m")
         self.assertAlmostEqual(since, NOW - 1.0 - ENTRY_ERROR_SECONDS)
 
     async def test_a_guess_that_cannot_be_written_is_corrected_from_the_store(
@@ -86,15 +86,15 @@
         self.let_others_have_written(age=10.0)
         unavailable = PlatformUnavailableError("busy")
         self.store.write.return_value = Err(unavailable)
-        self.weights.name("m", 2, NOW, guessed=True)
+        self.weights.record_published("m", 2, NOW, guessed=True)
         with mock.patch("bamboopier_proxy.publish_times.RETRY_SECONDS", 0.01):
             self.publish_times.record_published("m", 2, NOW)
             await self.publish_times.finish()
-        self.assertLessEqual(self.weights.find_since("m"), NOW - 10.0)
+        self.assertLessEqual(self.weights.find_published_at("m"), NOW - 10.0)
 
     async def test_a_guess_is_written_as_a_guess(self) -> None:
         self.store.write.return_value = Ok(5)
-        self.weights.name("m", 2, NOW, guessed=True)
+        self.weights.record_published("m", 2, NOW, guessed=True)
         self.publish_times.record_published("m", 2, NOW)
         await self.publish_times.finish()
         value = self.store.write.call_args.args[1]
@@ -104,7 +104,7 @@
         self.let_others_have_written(age=1.0)
         await self.name(NOW)
         self.store.list.assert_not_called()
-        self.assertEqual(self.weights.find_since("m"), NOW)
+        self.assertEqual(self.weights.find_published_at("m"), NOW)
 
     async def test_a_late_receiver_reads_all_versions_published_meanwhile(
         self,
@@ -123,8 +123,8 @@
         }
         self.store.write.return_value = Err(VersionConflictError("", ABSENT, 5))
         self.store.list.return_value = Ok(Listing(5, tuple(entries.values())))
-        self.weights.name("m", 1, float("-inf"))
-        self.weights.name("m", 3, NOW - 15.0)
+        self.weights.record_published("m", 1, float("-inf"))
+        self.weights.record_published("m", 3, NOW - 15.0)
         self.publish_times.record_published("m", 3, NOW - 15.0)
         await self.publish_times.finish()
         self.assertEqual(self.weights.find_oldest_allowed(NOW + 1.0, "m"), 2)
@@ -147,7 +147,7 @@
         observer = WeightsObserver(
             schema,
             self.weights,
-            Pauses(NOW),
+            PauseTracker(NOW),
             lambda named, since: self.publish_times.record_published(
                 named.model, named.version, since
             ),
@@ -208,7 +208,7 @@
         # callers get older ones until 12.4 s after the naming.
         self.let_others_have_written(age=9.0 - 2 * CLOCK_ERROR_SECONDS)
         await self.name(NOW - 9.2)
-        self.assertLessEqual(self.weights.find_since("m"), NOW - 9.0)
+        self.assertLessEqual(self.weights.find_published_at("m"), NOW - 9.0)
 
 
 class SharedPublishTimesTests(unittest.IsolatedAsyncioTestCase):
@@ -240,7 +240,7 @@
         return Ok(Listing(5, tuple(found)))
 
     async def hear_after_an_outage(
-        self, seconds: float, *gateways: Pauses
+        self, seconds: float, *gateways: PauseTracker
     ) -> list[WeightVersions]:
         """Let gateways hear by a list, after an outage for all, of version 2."""
         heard, written = [], []
@@ -273,9 +273,9 @@
         # 0.7 s takes them for five seconds old, and as that is little it writes first;
         # the others read it, add six seconds for clocks, and refuse older weights at
         # once: callers get 503 there until the first engines have loaded.
-        paused = Pauses(NOW - 0.8)
-        paused.note_tick(NOW - 0.1)
-        ran = Pauses(NOW), Pauses(NOW)
+        paused = PauseTracker(NOW - 0.8)
+        paused.record_tick(NOW - 0.1)
+        ran = PauseTracker(NOW), PauseTracker(NOW)
         heard = await self.hear_after_an_outage(5.0, *ran, paused)
         allowed = [w.find_oldest_allowed(NOW + 1.0, "m") for w in heard]
         self.assertEqual(allowed, [1, 1, 1])
--- a/libraries/proxy/tests/test_request_queues.py
+++ b/libraries/proxy/tests/test_request_queues.py
@@ -9,22 +9,22 @@
 from bamboopier_proxy.request_queues import RequestQueues
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.fleet import Sent
+    from bamboopier_decisions.forwarding.fleet import InFlightRequest
 
-SLOT = cast("Sent", object())
+SLOT = cast("InFlightRequest", object())
 
 
 class RequestQueuesTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.queues = RequestQueues()
-        self.acquired: list[Sent] = []
-        self.released: list[Sent] = []
+        self.acquired: list[InFlightRequest] = []
+        self.released: list[InFlightRequest] = []
 
-    def acquire(self) -> Sent:
+    def acquire(self) -> InFlightRequest:
         self.acquired.append(SLOT)
         return SLOT
 
-    def wait(self, seconds: float) -> asyncio.Task[Sent | None]:
+    def wait(self, seconds: float) -> asyncio.Task[InFlightRequest | None]:
         waiting = self.queues.wait("desk", 1, seconds, self.acquire, self.released.append)
         return asyncio.create_task(waiting)
 
--- a/libraries/proxy/tests/test_store_availability.py
+++ b/libraries/proxy/tests/test_store_availability.py
@@ -10,7 +10,7 @@
 from result import Err, Ok
 
 from bamboopier_decisions.forwarding.fleet import Fleet
-from bamboopier_decisions.forwarding.model import TargetEntry
+from bamboopier_decisions.forwarding.specs import TargetEntry
 from bamboopier_objects.errors import PlatformUnavailableError
 from bamboopier_objects.objects import (
     ChangeBatch,
@@ -53,7 +53,7 @@
             for _ in range(4):
                 self.assertTrue(await poll.read())
             observer.apply_listing(Listing(9, ()), 3.5, 100.0)
-        self.assertEqual(fleet.list_service("chat", 103.6), [])
+        self.assertEqual(fleet.list_targets("chat", 103.6), [])
 
     async def test_a_large_configuration_in_transfer_is_no_outage(self) -> None:
         # Guards against a target that goes while a weak link carries a megabyte: taken
--- a/libraries/proxy/tests/test_weight_expiry_monitor.py
+++ b/libraries/proxy/tests/test_weight_expiry_monitor.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from bamboopier_decisions.forwarding.weight_versions import (
-    WAIT_END_SECONDS,
+    WAIT_MARGIN_SECONDS,
     WeightVersions,
 )
 from bamboopier_proxy.weight_expiry_monitor import WeightExpiryMonitor, PendingRequest
@@ -15,13 +15,13 @@
 ALLOWED_SECONDS = 12.0
 NAMED = 100.0
 # The time of older weights is nearly over.
-END = NAMED + ALLOWED_SECONDS - WAIT_END_SECONDS
+END = NAMED + ALLOWED_SECONDS - WAIT_MARGIN_SECONDS
 
 
 class WeightExpiryMonitorTests(unittest.TestCase):
     def setUp(self) -> None:
         self.weights = WeightVersions(ALLOWED_SECONDS)
-        self.weights.name(MODEL, 2, NAMED)
+        self.weights.record_published(MODEL, 2, NAMED)
         self.expiry_monitor = WeightExpiryMonitor(self.weights)
 
     def wait(self, version: int, *, prompt: bool = True) -> PendingRequest:
@@ -61,7 +61,7 @@
     def test_weights_published_after_the_send_count(self) -> None:
         # Newer weights are named after the request was sent, on what was newest then.
         wait = self.wait(version=2)
-        self.weights.name(MODEL, 3, END)
+        self.weights.record_published(MODEL, 3, END)
         self.expiry_monitor.abort_expired(END + ALLOWED_SECONDS)
         self.assertTrue(self.is_aborted(wait))
 
--- a/libraries/proxy/tests/test_weights_observer.py
+++ b/libraries/proxy/tests/test_weights_observer.py
@@ -10,7 +10,7 @@
 
 from result import Err, Ok
 
-from bamboopier_decisions.forwarding.pauses import TICK_SECONDS, Pauses
+from bamboopier_decisions.forwarding.pause_tracker import TICK_SECONDS, PauseTracker
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 from bamboopier_objects.errors import PlatformUnavailableError
 from bamboopier_objects.object_follower import ObjectFollower
@@ -47,7 +47,7 @@
         schema.decode_weights.side_effect = lambda value: Ok(
             PublishedWeights("m", int(value))
         )
-        self.pauses = Pauses(self.now)
+        self.pauses = PauseTracker(self.now)
         self.weights = WeightVersions(12.0)
         self.changed = mock.Mock()
         self.observer = WeightsObserver(
@@ -65,7 +65,7 @@
 
     def test_a_version_received_by_a_watch_was_published_now(self) -> None:
         self.send_by_watch(2)
-        self.assertEqual(self.weights.find_since("m"), 100.0)
+        self.assertEqual(self.weights.find_published_at("m"), 100.0)
         self.changed.assert_called_once_with(PublishedWeights("m", 2), 100.0)
 
     def test_a_version_received_after_a_pause_may_be_as_old_as_it(self) -> None:
@@ -73,13 +73,13 @@
         # reads then, and says nothing of when the version was named.
         self.now = 103.3
         self.send_by_watch(2)
-        self.assertEqual(self.weights.find_since("m"), 100.0)
+        self.assertEqual(self.weights.find_published_at("m"), 100.0)
         self.assertEqual(self.log.info.call_args.kwargs["age_seconds"], 3.3)
 
     def test_a_list_after_a_silent_watch_dates_from_its_start(self) -> None:
         self.send_by_list(1, NEVER)
         self.send_by_list(2, 98.5)
-        self.assertEqual(self.weights.find_since("m"), 98.5)
+        self.assertEqual(self.weights.find_published_at("m"), 98.5)
         self.changed.assert_called_once_with(PublishedWeights("m", 2), 98.5)
 
     def test_the_first_list_gives_no_publication_time(self) -> None:
@@ -92,7 +92,7 @@
         self.send_by_watch(2)
         self.now = 108.0
         self.send_by_list(2, 106.0)
-        self.assertEqual(self.weights.find_since("m"), 100.0)
+        self.assertEqual(self.weights.find_published_at("m"), 100.0)
 
 
 class FollowedWeightsTests(unittest.IsolatedAsyncioTestCase):
@@ -110,7 +110,7 @@
         schema.decode_weights.side_effect = lambda value: Ok(
             PublishedWeights("m", int(value))
         )
-        self.pauses = Pauses(self.now)
+        self.pauses = PauseTracker(self.now)
         self.weights = WeightVersions(12.0)
         self.observer = WeightsObserver(
             schema, self.weights, self.pauses, mock.Mock()
@@ -121,12 +121,12 @@
         end = self.now + seconds
         while self.now < end:
             self.now = min(end, self.now + TICK_SECONDS)
-            self.pauses.note_tick(self.now)
+            self.pauses.record_tick(self.now)
 
     def pause_for(self, seconds: float) -> None:
         """Let the process stand still."""
         self.now += seconds
-        self.pauses.note_tick(self.now)
+        self.pauses.record_tick(self.now)
 
     async def follow(self, *watches: Callable[[], Answer]) -> None:
         """Answer the watches that follow a list of version 1."""
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -12,14 +12,14 @@
 PEERS = "tests.test_gateway_peers.GatewayCountTests"
 STARTS = "tests.test_part_relay.FormerStartTests"
 FORWARDING = "libraries/decisions/src/bamboopier_decisions/forwarding"
-PAUSES = f"{FORWARDING}/pauses.py"
+PAUSES = f"{FORWARDING}/pause_tracker.py"
 WEIGHTS = f"{FORWARDING}/weight_versions.py"
 
 MUTATIONS = (
     Mutation(
         "weights heard of after a pause may be as old as that",
         f"{PROXY}/observers.py",
-        "        unread_since = self._pauses.find_unread_since(now)\n",
+        "        unread_since = self._pauses.find_earliest_arrival(now)\n",
         "        unread_since = now\n",
         "libraries/proxy",
         f"{OBSERVER}.test_a_version_received_after_a_pause_may_be_as_old_as_it",
@@ -75,7 +75,7 @@
     Mutation(
         "a gateway's own pause is no silence of the others",
         f"{PROXY}/gateway_registry.py",
-        "        return self._pauses.read_run(read_clock())\n",
+        "        return self._pauses.read_running_clock(read_clock())\n",
         "        return read_clock()\n",
         "libraries/proxy",
         f"{PEERS}.test_gateways_resumed_together_share_the_limit_of_a_cold_target",
@@ -83,15 +83,15 @@
     Mutation(
         "a pause that has not been noted yet is no silence of the others",
         PAUSES,
-        "        return now - self._paused - pending\n",
-        "        return now - self._paused\n",
+        "        return now - self._paused_seconds - pending\n",
+        "        return now - self._paused_seconds\n",
         "libraries/proxy",
         f"{PEERS}.test_gateways_resumed_together_share_the_limit_of_a_cold_target",
     ),
     Mutation(
         "a pause that was noted is no silence of the others",
         PAUSES,
-        "        self._paused += gap\n",
+        "        self._paused_seconds += gap\n",
         "        pass\n",
         "libraries/proxy",
         f"{PEERS}.test_a_pause_recorded_before_the_count_is_no_silence",
@@ -106,17 +106,17 @@
     ),
     Mutation(
         "a cold target gets less than one a second from each of many gateways",
-        f"{FORWARDING}/cold_ramp.py",
-        " and self._is_in_slot(now, part * SLOT_SHARE, phase)\n",
+        f"{FORWARDING}/cold_start_limit.py",
+        " and self._is_in_time_slot(now, gateway_rate * TIME_SLOT_SHARE, phase)\n",
         "\n",
         "libraries/decisions",
-        "tests.forwarding.test_bounds.ColdRampTests"
+        "tests.forwarding.test_bounds.ColdStartLimitTests"
         ".test_more_gateways_than_a_cold_target_bears_requests",
     ),
     Mutation(
         "gateways that do not know how many they are take the smallest part",
         f"{PROXY}/gateway_state.py",
-        "        self.fleet.gateways, self.fleet.place = ASSUMED_GATEWAYS, None\n",
+        "        self.fleet.gateway_count, self.fleet.gateway_index = ASSUMED_GATEWAYS, None\n",
         "",
         "libraries/proxy",
         f"{PEERS}.test_a_gateway_without_the_list_sends_nothing_to_cold_targets",
@@ -132,15 +132,15 @@
     Mutation(
         "news of a store's former start are not taken when they are handed on",
         f"{PROXY}/part_relay.py",
-        "        if store.is_former(news):\n            return\n",
+        "        if store.is_outdated(news):\n            return\n",
         "",
         "libraries/proxy",
         f"{STARTS}.test_nothing_is_saved_soon_after_a_known_restart",
     ),
     Mutation(
         "a start that is later by the stores' clock is taken when it is handed on",
-        f"{FORWARDING}/kept_parts.py",
-        " and news.clock_ms < self.clock_ms\n",
+        f"{FORWARDING}/part_store_index.py",
+        " and update.clock_ms < self.clock_ms\n",
         "\n",
         "libraries/proxy",
         f"{STARTS}.test_an_instance_later_than_the_known_one_is_accepted",
@@ -173,7 +173,7 @@
     Mutation(
         "a guess makes no version younger than is known",
         WEIGHTS,
-        '    if written.guessed and known.since > float("-inf"):\n',
+        '    if recorded.guessed and known.published_at > float("-inf"):\n',
         "    if False:\n",
         "libraries/decisions",
         "tests.forwarding.test_weights.VersionTests"
