--- a/libraries/agent/src/bamboopier_agent/block_exporter.py
+++ b/libraries/agent/src/bamboopier_agent/block_exporter.py
@@ -161,7 +161,11 @@
         return [vm for vm in owners if not health.is_backing_off(now, vm.name)]
 
     async def _place(
-        self, likelihood: ReuseLikelihood, name: BlockName, sealed: bytes, owners: list[StoreVm]
+        self,
+        likelihood: ReuseLikelihood,
+        name: BlockName,
+        sealed: bytes,
+        owners: list[StoreVm],
     ) -> tuple[ExportOutcome, list[StoreVm]]:
         written: list[StoreVm] = []
         outcome = ExportOutcome.STORED_ALREADY
--- a/libraries/agent/src/bamboopier_agent/context.py
+++ b/libraries/agent/src/bamboopier_agent/context.py
@@ -12,8 +12,8 @@
 from bamboopier_decisions.context.block_name import BlockName
 from bamboopier_decisions.context.blocks import derive_workspace_secret
 from bamboopier_decisions.context.fetch_choice import (
-    FetchPlan,
     FetchConditions,
+    FetchPlan,
     FetchReason,
     choose_fetch,
     is_worth_exporting,
@@ -125,7 +125,11 @@
         return fetched
 
     def note_answer(
-        self, request: ServeRequest, cached_tokens: int, prefill_tokens: int, seconds: float
+        self,
+        request: ServeRequest,
+        cached_tokens: int,
+        prefill_tokens: int,
+        seconds: float,
     ) -> None:
         """Learn from a finished request and queue its blocks for export.
 
--- a/libraries/agent/src/bamboopier_agent/context_view.py
+++ b/libraries/agent/src/bamboopier_agent/context_view.py
@@ -7,7 +7,11 @@
 from typing import TYPE_CHECKING
 
 from bamboopier_decisions.context.block_name import derive_workspace_tag
-from bamboopier_decisions.context.fetch_choice import FIRST_TOKEN_WEIGHTS, PRESETS, CostWeights
+from bamboopier_decisions.context.fetch_choice import (
+    FIRST_TOKEN_WEIGHTS,
+    PRESETS,
+    CostWeights,
+)
 from bamboopier_decisions.context.placement import StoreVm
 
 if TYPE_CHECKING:
--- a/libraries/agent/src/bamboopier_agent/gate.py
+++ b/libraries/agent/src/bamboopier_agent/gate.py
@@ -10,17 +10,20 @@
 from bamboopier_decisions.admission.messages import (
     FirstTokenReceived,
     Reject,
+    RequestCancelled,
+    RequestFinished,
     Start,
     Tick,
-    RequestFinished,
-    RequestCancelled,
 )
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
     from bamboopier_decisions.admission.controller import AdmissionController
-    from bamboopier_decisions.admission.messages import AdmissionEvent, AdmissionRequested
+    from bamboopier_decisions.admission.messages import (
+        AdmissionEvent,
+        AdmissionRequested,
+    )
 
 TICK_SECONDS = 0.1
 
--- a/libraries/agent/src/bamboopier_agent/lease.py
+++ b/libraries/agent/src/bamboopier_agent/lease.py
@@ -103,6 +103,8 @@
         value = msgspec.json.encode(write.record)
         answer = await self._objects.write(self.key, value, write.expected_version)
         if isinstance(answer, Ok):
-            self.lease.observe(read_clock(), ObservedLease(answer.ok_value, write.record))
+            self.lease.observe(
+                read_clock(), ObservedLease(answer.ok_value, write.record)
+            )
         else:
             await self.observe()
--- a/libraries/agent/src/bamboopier_agent/service.py
+++ b/libraries/agent/src/bamboopier_agent/service.py
@@ -203,7 +203,9 @@
             return answer.make_not_run(pb.WRONG_VERSION, detail=self._watch.version)
         return None
 
-    def _describe(self, request: pb.ServeRequest, stream: EventStream) -> AdmissionRequested:
+    def _describe(
+        self, request: pb.ServeRequest, stream: EventStream
+    ) -> AdmissionRequested:
         workspace = self._follower.directory.workspaces.get(request.workspace)
         return AdmissionRequested(
             now=time.monotonic(),
--- a/libraries/agent/src/bamboopier_agent/standing.py
+++ b/libraries/agent/src/bamboopier_agent/standing.py
@@ -8,9 +8,12 @@
 import structlog
 
 from bamboopier_decisions.admission.messages import ResumeRequested, StopRequested
+from bamboopier_decisions.membership.availability import (
+    TargetAvailability,
+    UnavailableReason,
+)
 from bamboopier_decisions.membership.fleet_view import DrainedSet
 from bamboopier_decisions.membership.leaving import LeavingVmTracker
-from bamboopier_decisions.membership.availability import UnavailableReason, TargetAvailability
 
 if TYPE_CHECKING:
     from bamboopier_configuration.directory import Directory
@@ -45,7 +48,9 @@
         drained_set = DrainedSet(
             frozenset(drains.data_centres), frozenset(drains.targets)
         )
-        self._drained = drained_set.contains(self._settings.target, self._settings.data_centre)
+        self._drained = drained_set.contains(
+            self._settings.target, self._settings.data_centre
+        )
         self._review()
 
     def apply_vms(self, board: VmBoard) -> None:
--- a/libraries/decisions/src/bamboopier_decisions/admission/concurrency_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/concurrency_limit.py
@@ -109,12 +109,16 @@
         if self._best_latency == 0 or self._latency < self._best_latency:
             self._best_latency = self._latency
         elif 2 * running <= self.value or self.value <= INITIAL_LIMIT:
-            self._best_latency += BEST_LATENCY_SMOOTHING * (self._latency - self._best_latency)
+            self._best_latency += BEST_LATENCY_SMOOTHING * (
+                self._latency - self._best_latency
+            )
 
     def _end_round(self) -> None:
         self._round = 0
         if self._latency <= SHRINK_LATENCY_RATIO * self._best_latency:
             return
-        factor = max(MIN_SHRINK_FACTOR, SHRINK_LATENCY_RATIO * self._best_latency / self._latency)
+        factor = max(
+            MIN_SHRINK_FACTOR, SHRINK_LATENCY_RATIO * self._best_latency / self._latency
+        )
         self._limit = max(1.0, self._limit * factor)
         self._slow_start_threshold = self._limit
--- a/libraries/decisions/src/bamboopier_decisions/admission/controller.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/controller.py
@@ -15,26 +15,26 @@
 from typing import TYPE_CHECKING
 
 from .concurrency_limit import ConcurrencyLimit
-from .throughput_ratio import ThroughputRatio
 from .cost_estimator import MIN_DECODE_SAMPLE_TOKENS, CostEstimator
 from .fair_queue import FairQueue, QueuedRequest
 from .heavy_hitters import HeavyHitters
 from .messages import (
     AdmissionDecision,
     AdmissionEvent,
+    AdmissionRequested,
     FirstTokenReceived,
     Reject,
     RejectReason,
+    RequestCancelled,
+    RequestFinished,
     ResumeRequested,
     Start,
     StopRequested,
     TargetRestarted,
     Tick,
-    AdmissionRequested,
-    RequestFinished,
-    RequestCancelled,
 )
 from .retry_schedule import RetrySchedule
+from .throughput_ratio import ThroughputRatio
 
 if TYPE_CHECKING:
     import random
@@ -55,7 +55,9 @@
 
     __slots__ = ("arrival", "first_token_at", "request", "started_at")
 
-    def __init__(self, request: QueuedRequest, arrival: AdmissionRequested, started_at: float) -> None:
+    def __init__(
+        self, request: QueuedRequest, arrival: AdmissionRequested, started_at: float
+    ) -> None:
         self.request = request
         self.arrival = arrival
         self.started_at = started_at
@@ -153,7 +155,9 @@
         if self._stopping:
             return [Reject(event.request_id, RejectReason.STOPPING, 0.0)]
         cost = self._cost_estimator.estimate(event.prompt_tokens, event.max_tokens)
-        self._heavy_hitters.record_arrival(event.now, event.workspace, event.weight, cost)
+        self._heavy_hitters.record_arrival(
+            event.now, event.workspace, event.weight, cost
+        )
         waiting = QueuedRequest(
             event.request_id,
             event.workspace,
@@ -182,7 +186,9 @@
         self._arrivals[event.request_id] = event
         return decisions + self._start_next(event.now)
 
-    def _will_miss_deadline(self, waiting: QueuedRequest, event: AdmissionRequested, wait: float) -> bool:
+    def _will_miss_deadline(
+        self, waiting: QueuedRequest, event: AdmissionRequested, wait: float
+    ) -> bool:
         """Say whether a request cannot be answered in time.
 
         With a slot free it is tried: it takes nobody's place, and the estimate of its
@@ -200,7 +206,10 @@
         bound = self._max_waiting
         if self._has_standing_queue(now):
             rate = self._limit.value / max(0.01, self._cost_estimator.service_seconds)
-            bound = min(bound, max(MIN_STANDING_QUEUE_LENGTH, int(rate * MAX_STANDING_QUEUE_SECONDS)))
+            bound = min(
+                bound,
+                max(MIN_STANDING_QUEUE_LENGTH, int(rate * MAX_STANDING_QUEUE_SECONDS)),
+            )
         return len(self._queue) >= bound
 
     def _evict_for(self, arriving: QueuedRequest) -> QueuedRequest | None:
@@ -255,7 +264,9 @@
             return
         seconds = running.first_token_at - running.started_at
         # Prompts that are prefilled together share the engine's speed.
-        ratio = self._cost_estimator.compare_first_token(prefill_tokens, seconds) / len(self._running)
+        ratio = self._cost_estimator.compare_first_token(prefill_tokens, seconds) / len(
+            self._running
+        )
         self._limit.record_first_token(ratio)
         prompt_tokens = running.arrival.prompt_tokens
         self._cost_estimator.record_first_token(prompt_tokens, prefill_tokens, seconds)
@@ -269,7 +280,8 @@
         del self._running[event.request_id]
         seconds = event.now - running.started_at
         self._queue.charge(
-            running.request.workspace, (seconds - running.request.cost) / running.request.weight
+            running.request.workspace,
+            (seconds - running.request.cost) / running.request.weight,
         )
         if event.succeeded:
             self._record_success(event, running, seconds)
@@ -277,7 +289,9 @@
             self._limit.record_failure()
         return self._start_next(event.now)
 
-    def _record_success(self, event: RequestFinished, running: _RunningRequest, seconds: float) -> None:
+    def _record_success(
+        self, event: RequestFinished, running: _RunningRequest, seconds: float
+    ) -> None:
         decode = event.now - (running.first_token_at or running.started_at)
         arrival = running.arrival
         tokens = event.output_tokens
@@ -351,7 +365,9 @@
         taken = max(0, 1 + over) * self._cost_estimator.service_seconds
         return (cost_ahead + taken) / max(1, self._limit.value) / self._throughput.value
 
-    def _reject(self, waiting: QueuedRequest, now: float, reason: RejectReason) -> Reject:
+    def _reject(
+        self, waiting: QueuedRequest, now: float, reason: RejectReason
+    ) -> Reject:
         if reason is RejectReason.STOPPING:
             return Reject(waiting.request_id, reason, 0.0)
         workspace, weight = waiting.workspace, waiting.weight
--- a/libraries/decisions/src/bamboopier_decisions/admission/cost_estimator.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/cost_estimator.py
@@ -100,18 +100,28 @@
         seconds = prompt_tokens * self._first_token.value + output * self._decode.value
         if self._is_measured(max_tokens):
             return seconds
-        return min(seconds, max(MIN_UNMEASURED_CAP_SECONDS, UNMEASURED_COST_FACTOR * self._service_seconds))
+        return min(
+            seconds,
+            max(
+                MIN_UNMEASURED_CAP_SECONDS,
+                UNMEASURED_COST_FACTOR * self._service_seconds,
+            ),
+        )
 
     def _is_measured(self, max_tokens: int) -> bool:
         """Say whether answers of about the expected length have been measured."""
-        return max_tokens * self._output.value <= MAX_EXTRAPOLATION * self._longest_output
+        return (
+            max_tokens * self._output.value <= MAX_EXTRAPOLATION * self._longest_output
+        )
 
     def compare_first_token(self, prefill_tokens: int, seconds: float) -> float:
         """Return ``seconds`` to a first token as a multiple of the expected ones."""
         expected = prefill_tokens * self._prefill.value
         return seconds / expected if expected > 0 and self._measured else 1.0
 
-    def record_first_token(self, prompt_tokens: int, prefill_tokens: int, seconds: float) -> None:
+    def record_first_token(
+        self, prompt_tokens: int, prefill_tokens: int, seconds: float
+    ) -> None:
         """Learn from a first token."""
         self._measured = True
         self._first_token.add(seconds, prompt_tokens)
--- a/libraries/decisions/src/bamboopier_decisions/admission/fair_queue.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/fair_queue.py
@@ -118,7 +118,9 @@
         queue = self._queues.get(workspace)
         own = queue.cost if queue is not None else 0.0
         mean = self._cost / max(1, len(self._requests))
-        ahead = own / self.compute_share(workspace, weight) + mean * len(self._queues) / 2
+        ahead = (
+            own / self.compute_share(workspace, weight) + mean * len(self._queues) / 2
+        )
         return min(self._cost, ahead)
 
     def push(self, queued: QueuedRequest) -> None:
@@ -126,7 +128,9 @@
         workspace = queued.workspace
         queue = self._queues.get(workspace)
         if queue is None:
-            start = max(self._virtual_time, self._idle_virtual_times.pop(workspace, 0.0))
+            start = max(
+                self._virtual_time, self._idle_virtual_times.pop(workspace, 0.0)
+            )
             queue = _WorkspaceQueue(start, queued.weight)
             self._queues[workspace] = queue
             self._weight += queue.weight
@@ -263,7 +267,11 @@
         else:
             self._idle_virtual_times.pop(workspace, None)
         if len(self._idle_virtual_times) > self._idle_bound:
-            ahead = {w: v for w, v in self._idle_virtual_times.items() if v > self._virtual_time}
+            ahead = {
+                w: v
+                for w, v in self._idle_virtual_times.items()
+                if v > self._virtual_time
+            }
             self._idle_virtual_times = ahead
             self._idle_bound = 2 * len(ahead) + MIN_STALE_ENTRIES
 
@@ -278,5 +286,7 @@
             heapq.heapify(self._by_backlog)
         if len(self._by_virtual_start) > 2 * len(self._queues) + MIN_STALE_ENTRIES:
             queues = self._queues.items()
-            self._by_virtual_start = [(queue.virtual_start, name) for name, queue in queues]
+            self._by_virtual_start = [
+                (queue.virtual_start, name) for name, queue in queues
+            ]
             heapq.heapify(self._by_virtual_start)
--- a/libraries/decisions/src/bamboopier_decisions/admission/retry_schedule.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/retry_schedule.py
@@ -30,11 +30,15 @@
         self._reserved: dict[str, float] = {}
         self._bound = MIN_RESERVATIONS
 
-    def reserve(self, now: float, workspace: str, delay: float, interval: float) -> float:
+    def reserve(
+        self, now: float, workspace: str, delay: float, interval: float
+    ) -> float:
         """Return the seconds to wait: at least ``delay``, ``interval`` after the last."""
         earliest = now + max(MIN_RETRY_AFTER, delay)
         latest = now + MAX_RETRY_AFTER
-        reserved = min(latest, max(earliest, self._reserved.get(workspace, 0.0) + interval))
+        reserved = min(
+            latest, max(earliest, self._reserved.get(workspace, 0.0) + interval)
+        )
         self._reserved[workspace] = reserved
         if len(self._reserved) > self._bound:
             self._reserved = {w: at for w, at in self._reserved.items() if at > now}
--- a/libraries/decisions/src/bamboopier_decisions/claims/table.py
+++ b/libraries/decisions/src/bamboopier_decisions/claims/table.py
@@ -66,7 +66,9 @@
     return tuple(by_key.values()), outcomes
 
 
-def _merge_claim(by_key: dict[bytes, Claim], claim: Claim, capacity: int) -> ClaimOutcome:
+def _merge_claim(
+    by_key: dict[bytes, Claim], claim: Claim, capacity: int
+) -> ClaimOutcome:
     found = by_key.get(claim.key)
     if found is None:
         if len(by_key) >= capacity:
--- a/libraries/decisions/src/bamboopier_decisions/context/export_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/export_choice.py
@@ -57,7 +57,9 @@
     def _record(self, key: bytes, depth: int, successor: bytes) -> ReuseLikelihood:
         count, previous_successor, forked = self._entries.get(key, (0, b"", False))
         # The same block before two different successors belongs to two prompts.
-        forked = forked or bool(previous_successor and successor and previous_successor != successor)
+        forked = forked or bool(
+            previous_successor and successor and previous_successor != successor
+        )
         self._entries[key] = (count + 1, successor or previous_successor, forked)
         self._entries.move_to_end(key)
         if len(self._entries) > MAX_TRACKED_KEYS:
@@ -66,7 +68,9 @@
             return ReuseLikelihood.SHARED
         if count:
             return ReuseLikelihood.RETURNED
-        return ReuseLikelihood.OPENING if depth < OPENING_BLOCKS else ReuseLikelihood.NEW
+        return (
+            ReuseLikelihood.OPENING if depth < OPENING_BLOCKS else ReuseLikelihood.NEW
+        )
 
 
 class ExportQueue:
--- a/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
@@ -72,7 +72,9 @@
 
 def choose_fetch(conditions: FetchConditions, weights: CostWeights) -> FetchPlan:
     """Return the split with the least weighted cost, the fewest blocks on a tie."""
-    costs = [_weigh(conditions, weights, count) for count in range(conditions.blocks + 1)]
+    costs = [
+        _weigh(conditions, weights, count) for count in range(conditions.blocks + 1)
+    ]
     best = costs.index(min(costs))
     if best == 0:
         return FetchPlan(0, FetchReason.RECOMPUTE_IS_QUICKER)
--- a/libraries/decisions/src/bamboopier_decisions/context/resident.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/resident.py
@@ -56,7 +56,10 @@
         confirmed_at = self._confirmed_at.get(key)
         if confirmed_at is None:
             return
-        while self._confirmed_at and next(iter(self._confirmed_at.values())) <= confirmed_at:
+        while (
+            self._confirmed_at
+            and next(iter(self._confirmed_at.values())) <= confirmed_at
+        ):
             self._confirmed_at.popitem(last=False)
 
     def clear(self) -> None:
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/cold_start_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/cold_start_limit.py
@@ -58,7 +58,11 @@
         return now < self._ends_at
 
     def may_send(
-        self, now: float, per_second: float, gateway_count: int, gateway_index: int | None = 0
+        self,
+        now: float,
+        per_second: float,
+        gateway_count: int,
+        gateway_index: int | None = 0,
     ) -> bool:
         """Say whether this gateway's part of ``per_second`` allows one more.
 
@@ -76,7 +80,9 @@
         if gateway_index is None:
             return False
         phase = self._phase + gateway_index / gateway_count
-        return not self._sent and self._is_in_time_slot(now, gateway_rate * TIME_SLOT_SHARE, phase)
+        return not self._sent and self._is_in_time_slot(
+            now, gateway_rate * TIME_SLOT_SHARE, phase
+        )
 
     def record_sent(self, now: float) -> None:
         """Count a request."""
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -16,9 +16,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-    from .specs import TargetEntry
     from .prompt import Prompt
     from .rate_limit import RateLimit
+    from .specs import TargetEntry
 
 # Seconds after the store's return in which an entry that is missing may only have
 # lapsed while the store was away: targets that live are listed again within two.
@@ -108,7 +108,10 @@
         self._index_by_service()
 
     def replace(
-        self, now: float, entries: Iterable[TargetEntry], store_recovered_at: float = NEVER
+        self,
+        now: float,
+        entries: Iterable[TargetEntry],
+        store_recovered_at: float = NEVER,
     ) -> None:
         """Take the whole list; those missing after an outage keep a while."""
         listed = {entry.name: entry for entry in entries}
@@ -159,7 +162,9 @@
         self._remember_rate_limit(state)
         self._index_by_service()
 
-    def begin(self, now: float, state: TargetState, prompt: Prompt | None) -> InFlightRequest:
+    def begin(
+        self, now: float, state: TargetState, prompt: Prompt | None
+    ) -> InFlightRequest:
         """Count a request that is sent now."""
         load = Load(requests=1)
         if prompt is not None:
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
@@ -137,7 +137,9 @@
             self._epoch_seen_at = read_at
         elif update.is_snapshot:
             self._forget()
-        self._epoch_seen_at = min(self._epoch_seen_at, read_at - update.epoch_known_seconds)
+        self._epoch_seen_at = min(
+            self._epoch_seen_at, read_at - update.epoch_known_seconds
+        )
         self._confirmed_at = max(self._confirmed_at, sent_at)
         self.clock_ms = update.clock_ms
         for change in update.changes:
@@ -306,7 +308,11 @@
         for name, tokens in parts:
             store = self.choose_store(name)
             fetched = saved = ""
-            if store is not None and tokens >= MIN_FETCH_TOKENS and store.is_current(now):
+            if (
+                store is not None
+                and tokens >= MIN_FETCH_TOKENS
+                and store.is_current(now)
+            ):
                 limit = store.find_fetch_deadline_ms(now)
                 if store.contains(scope, name, tokens) and limit:
                     fetched = store.address
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -162,10 +162,16 @@
     usable = [state for state in candidates if state not in limited]
     if _is_long(demand):
         usable = _exclude_draining(now, usable)
-    with_capacity = [state for state in usable if has_capacity(now, fleet, state, demand)]
+    with_capacity = [
+        state for state in usable if has_capacity(now, fleet, state, demand)
+    ]
     loading_soon = _find_loading_soon(known, demand, weights.newest)
     owner = _find_owner(usable, demand)
-    best = _choose(with_capacity, demand, owner, loading_soon, data_centre, random) if with_capacity else None
+    best = (
+        _choose(with_capacity, demand, owner, loading_soon, data_centre, random)
+        if with_capacity
+        else None
+    )
     untried = sum(state.entry.name not in tried for state in known)
     described = _describe_limited(limited, untried)
     return Placement(best, len(known), len(with_capacity), len(usable), described)
@@ -211,7 +217,9 @@
     if now < state.busy_until or not state.circuit_breaker.allows_request(now):
         return False
     rate = state.service.cold_per_second
-    return rate <= 0 or state.cold_start.may_send(now, rate, fleet.gateway_count, fleet.gateway_index)
+    return rate <= 0 or state.cold_start.may_send(
+        now, rate, fleet.gateway_count, fleet.gateway_index
+    )
 
 
 def _find_limited(
@@ -220,13 +228,17 @@
     """Return the targets that get nothing now by their own limits, and until when."""
     limited = {}
     for state in states:
-        next_at = state.rate_limit.find_next(now, fleet.gateway_count, fleet.gateway_index)
+        next_at = state.rate_limit.find_next(
+            now, fleet.gateway_count, fleet.gateway_index
+        )
         if next_at > now:
             limited[state] = next_at
     return limited
 
 
-def _describe_limited(limited: dict[TargetState, float], untried: int) -> RateLimitedTargets:
+def _describe_limited(
+    limited: dict[TargetState, float], untried: int
+) -> RateLimitedTargets:
     return RateLimitedTargets(
         len(limited),
         len(limited) == untried,
@@ -251,7 +263,9 @@
     return [state for state in states if now >= state.short_answers_until] or states
 
 
-def _find_loading_soon(known: list[TargetState], demand: Demand, newest: int) -> frozenset[str]:
+def _find_loading_soon(
+    known: list[TargetState], demand: Demand, newest: int
+) -> frozenset[str]:
     """Return the targets that load new weights soon."""
     if demand.prompt is None or not newest:
         return frozenset()
@@ -285,7 +299,9 @@
         newest = max(state.versions.get(prompt.model, 0) for state in states)
 
     def estimate_seconds(state: TargetState) -> float:
-        remote = 0.0 if state.entry.data_centre == data_centre else REMOTE_PENALTY_SECONDS
+        remote = (
+            0.0 if state.entry.data_centre == data_centre else REMOTE_PENALTY_SECONDS
+        )
         failing = state.circuit_breaker.failure_rate * FAILURE_PENALTY_SECONDS
         jitter = random.random() * 1e-4
         if prompt is None:
@@ -297,9 +313,18 @@
             repeated = int(repeated * (1 - OWNER_HIT_PROBABILITY))
         fetched_cost = max(0, demand.fetched - cached) * FETCHED_TOKEN_COST
         own = prompt.tokens_in - shared
-        backlog = (state.pending_prefill + own + fetched_cost + repeated * REPEATED_PREFILL_WEIGHT) / PREFILL_RATE
+        backlog = (
+            state.pending_prefill
+            + own
+            + fetched_cost
+            + repeated * REPEATED_PREFILL_WEIGHT
+        ) / PREFILL_RATE
         running = state.requests * SECONDS_PER_RUNNING_REQUEST
-        outdated = OLD_WEIGHTS_PENALTY_SECONDS if state.versions.get(prompt.model, 0) < newest else 0.0
+        outdated = (
+            OLD_WEIGHTS_PENALTY_SECONDS
+            if state.versions.get(prompt.model, 0) < newest
+            else 0.0
+        )
         if is_long and state.entry.name in loading_soon:
             outdated += LOADING_SOON_PENALTY_SECONDS
         return backlog + running + remote + failing + outdated + jitter
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
@@ -108,15 +108,22 @@
         ended = self._apply_ended(update.ended_at)
         if update.reported_at <= max(update.ended_at, self._reported_at):
             return ended
-        return self._apply_reported(now, update.reported_at, update.per_second, update.reported_since)
+        return self._apply_reported(
+            now, update.reported_at, update.per_second, update.reported_since
+        )
 
     def make_update(self) -> LimitUpdate:
         """Return what this gateway was told itself."""
         return LimitUpdate(
-            self.per_second, self._own_reported_at, self._own_ended_at, self._reported_since
+            self.per_second,
+            self._own_reported_at,
+            self._own_ended_at,
+            self._reported_since,
         )
 
-    def may_send(self, now: float, gateway_count: int, gateway_index: int | None) -> bool:
+    def may_send(
+        self, now: float, gateway_count: int, gateway_index: int | None
+    ) -> bool:
         """Say whether this gateway's part allows one more request.
 
         It is the one at ``gateway_index``, from 0, in the order of the gateways' names; while
@@ -124,7 +131,9 @@
         """
         return self.find_next(now, gateway_count, gateway_index) <= now
 
-    def find_next(self, now: float, gateway_count: int, gateway_index: int | None) -> float:
+    def find_next(
+        self, now: float, gateway_count: int, gateway_index: int | None
+    ) -> float:
         """Return when this gateway may send the next request; infinity for never."""
         if not self.in_force:
             return now
@@ -191,7 +200,9 @@
         if gateway_index is None:
             return math.inf
         time_slot = self._count_time_slots(now)
-        own = (gateway_index + int(self._phase * self._gateway_count)) % self._gateway_count
+        own = (
+            gateway_index + int(self._phase * self._gateway_count)
+        ) % self._gateway_count
         ahead = (own - time_slot) % self._gateway_count
         if ahead == 0 and time_slot == self._used_time_slot:
             ahead = self._gateway_count
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
@@ -54,7 +54,9 @@
         """Spend one repeat, with the slack divided by ``gateway_count``; False if none."""
         _remove_before(self._requests, now - self._window)
         _remove_before(self._retries, now - self._window)
-        allowed = self._ratio * len(self._requests) + self._slack / max(1, gateway_count)
+        allowed = self._ratio * len(self._requests) + self._slack / max(
+            1, gateway_count
+        )
         if len(self._retries) + 1 > allowed:
             return False
         self._retries.append(now)
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -5,15 +5,15 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from .gateway_headroom import GatewayHeadroom
+from .circuit_breaker import CircuitBreaker
 from .cold_start_limit import ColdStartLimit, hash_phase
+from .gateway_headroom import GatewayHeadroom
 from .part_cache_estimate import PartCacheEstimate
 from .rate_limit import RateLimit
-from .circuit_breaker import CircuitBreaker
 
 if TYPE_CHECKING:
-    from .specs import ServiceSpec, TargetEntry
     from .prompt import Prompt
+    from .specs import ServiceSpec, TargetEntry
 
 # Share of an engine's memory that is believed to hold shared parts; the rest holds
 # what runs.
@@ -25,7 +25,9 @@
 
     __slots__ = ("memory", "requests", "pending_prefill")
 
-    def __init__(self, requests: int = 0, memory: int = 0, pending_prefill: int = 0) -> None:
+    def __init__(
+        self, requests: int = 0, memory: int = 0, pending_prefill: int = 0
+    ) -> None:
         self.requests = requests
         self.memory = memory
         self.pending_prefill = pending_prefill
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/wait_queue.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/wait_queue.py
@@ -28,10 +28,14 @@
 
 def find_max_wait(latency_objective: float, remaining: float) -> float:
     """Return the seconds a request may wait for room."""
-    return max(0.0, min(latency_objective * OBJECTIVE_SHARE, remaining * REMAINING_SHARE))
+    return max(
+        0.0, min(latency_objective * OBJECTIVE_SHARE, remaining * REMAINING_SHARE)
+    )
 
 
-def draw_retry_after(remaining: float, random: random.Random, capacity_in: float = 0.0) -> float:
+def draw_retry_after(
+    remaining: float, random: random.Random, capacity_in: float = 0.0
+) -> float:
     """Return the seconds after which a refused request should come back.
 
     There is known to be no room for ``capacity_in`` seconds; a caller that came back before
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/weight_load_drain.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/weight_load_drain.py
@@ -43,4 +43,6 @@
         if age < PROPAGATION_SECONDS:
             return
         self._awaited = runs if self._awaited is None else self._awaited & runs
-        self.is_complete = self.is_complete or not self._awaited or age >= MAX_DRAIN_SECONDS
+        self.is_complete = (
+            self.is_complete or not self._awaited or age >= MAX_DRAIN_SECONDS
+        )
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
@@ -66,7 +66,9 @@
         """
         if version <= self.find_newest(model):
             return False
-        self._observed.setdefault(model, {})[version] = PublishTime(published_at, guessed)
+        self._observed.setdefault(model, {})[version] = PublishTime(
+            published_at, guessed
+        )
         self._merge(model)
         return True
 
@@ -74,12 +76,16 @@
         self, model: str, version: int, published_at: float, *, guessed: bool = False
     ) -> None:
         """Take in the earliest time, or the guess, that somebody wrote down."""
-        self._recorded.setdefault(model, {})[version] = PublishTime(published_at, guessed)
+        self._recorded.setdefault(model, {})[version] = PublishTime(
+            published_at, guessed
+        )
         self._merge(model)
 
     def has_unknown_publish_time(self) -> bool:
         """Say whether nothing is known of when one of the newest was named."""
-        return any(self.find_published_at(model) == float("-inf") for model in self._observed)
+        return any(
+            self.find_published_at(model) == float("-inf") for model in self._observed
+        )
 
     def is_guessed(self, model: str, version: int) -> bool:
         """Say whether the time of a version is a guess."""
@@ -115,7 +121,9 @@
         if not versions:
             return 0
         limit = self._grace - margin
-        expired = sorted(v for v, published_at in versions.items() if now - published_at >= limit)
+        expired = sorted(
+            v for v, published_at in versions.items() if now - published_at >= limit
+        )
         if len(expired) > MAX_EXPIRED:
             self._remove_before(model, expired[-MAX_EXPIRED])
         return expired[-1] if expired else 0
@@ -144,7 +152,9 @@
         """
         observed = self._observed.get(model, {})
         newest = self.find_newest(model)
-        published_at = {version: found.published_at for version, found in observed.items()}
+        published_at = {
+            version: found.published_at for version, found in observed.items()
+        }
         for version, recorded in self._recorded.get(model, {}).items():
             if version <= newest:
                 published_at[version] = _choose_time(observed.get(version), recorded)
--- a/libraries/decisions/src/bamboopier_decisions/membership/lease.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/lease.py
@@ -155,7 +155,9 @@
         """Return the write that gives the lease up, or None when it is not held."""
         if not self.is_held(now) or self._observed.record is None:
             return None
-        record = replace(self._observed.record, released=True, serial=self._issue_serial(now))
+        record = replace(
+            self._observed.record, released=True, serial=self._issue_serial(now)
+        )
         return LeaseWrite(record, self._observed.version)
 
     def _issue_serial(self, now: float) -> int:
--- a/libraries/decisions/src/bamboopier_decisions/routing/outlier_detection.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/outlier_detection.py
@@ -42,7 +42,13 @@
 class OutlierDetector:
     """How slow one target is, and whether it is set aside."""
 
-    __slots__ = ("_ejection_seconds", "_passed_probes", "_probe_sent_at", "_ratios", "_ejected_until")
+    __slots__ = (
+        "_ejection_seconds",
+        "_passed_probes",
+        "_probe_sent_at",
+        "_ratios",
+        "_ejected_until",
+    )
 
     def __init__(self) -> None:
         # The last first-byte times over the expected ones.
@@ -75,7 +81,9 @@
         if self.is_ejected:
             self._probe_sent_at = now
 
-    def record_first_byte(self, now: float, seconds: float, tokens: int, median: float) -> None:
+    def record_first_byte(
+        self, now: float, seconds: float, tokens: int, median: float
+    ) -> None:
         """Learn from a first byte ``seconds`` after sending ``tokens`` of prompt."""
         expected = BASE_SECONDS + tokens / TOKENS_PER_SECOND
         ratio = seconds / expected
@@ -115,7 +123,9 @@
         return 0.0
     median = judged[len(judged) // 2][0]
     headroom = int(len(all_targets) * MAX_EJECTED_SHARE)
-    headroom -= sum(1 for outlier_detector in all_targets if outlier_detector.is_ejected)
+    headroom -= sum(
+        1 for outlier_detector in all_targets if outlier_detector.is_ejected
+    )
     for ratio, outlier_detector in reversed(judged):
         if headroom <= 0 or ratio <= EJECTION_RATIO * max(MIN_MEDIAN, median):
             break
--- a/libraries/decisions/src/bamboopier_decisions/routing/router.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/router.py
@@ -4,15 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from .target_choice import choose_target, compute_affinity_key, find_exclusion_reason
 from .hash_ring import compute_points
 from .messages import (
     AttemptEnded,
     Deliver,
-    FirstByteReceived,
-    FleetChanged,
     ExcludedTarget,
     ExecutionStatus,
+    FirstByteReceived,
+    FleetChanged,
     Refuse,
     RefuseReason,
     RequestArrived,
@@ -24,6 +23,7 @@
 )
 from .retry_budget import RetryBudget
 from .service_targets import ServiceTargets
+from .target_choice import choose_target, compute_affinity_key, find_exclusion_reason
 from .target_state import TargetState
 from .wait_bound import bound_wait
 from .warm_prefixes import WarmPrefixes
@@ -137,7 +137,9 @@
             state.record_sent(now, request.prompt_tokens)
         state.outlier_detector.record_probe(now)
         reason = choice.reason if first else SendReason.RETRY
-        max_wait = bound_wait(len(pending.tried), choice.saved_seconds, is_last=choice.is_last)
+        max_wait = bound_wait(
+            len(pending.tried), choice.saved_seconds, is_last=choice.is_last
+        )
         return Send(
             request.request_id,
             state.view.target,
@@ -151,7 +153,9 @@
     ) -> Refuse:
         wait = targets.find_wait(now, pending.request.backoff_key)
         if wait > 0 and not pending.min_retry_after:
-            pending.min_retry_after = wait * self._random.uniform(1, MAX_RETRY_AFTER_FACTOR)
+            pending.min_retry_after = wait * self._random.uniform(
+                1, MAX_RETRY_AFTER_FACTOR
+            )
         overloaded = pending.tried or wait > 0
         reason = RefuseReason.OVERLOADED if overloaded else RefuseReason.NO_TARGET
         return self._refuse(pending, reason, _list_excluded(now, pending, targets))
@@ -167,7 +171,9 @@
             self._warm_prefixes.add(key, event.target)
         targets = self._services.get(request.service)
         # One that was refused waits for its own share, however quick the target is.
-        if targets is not None and not state.backoff.is_backing_off(request.backoff_key):
+        if targets is not None and not state.backoff.is_backing_off(
+            request.backoff_key
+        ):
             targets.record_first_byte(
                 event.now, state, event.seconds, request.prompt_tokens
             )
@@ -206,7 +212,11 @@
             pending.min_retry_after = min(waits)
         if pending.crashed_targets >= MAX_CRASHED_TARGETS:
             return self._refuse(pending, RefuseReason.TARGET_FAILED)
-        if event.ran is ExecutionStatus.NOT_EXECUTED and not event.broken and event.retry_after <= 0:
+        if (
+            event.ran is ExecutionStatus.NOT_EXECUTED
+            and not event.broken
+            and event.retry_after <= 0
+        ):
             # A leaving or drained target, or a busy one that leaves it to another,
             # turned it away before it could run. That is no load, and it happens to
             # whole data centres at once: paid from the budget it would refuse most of
@@ -229,7 +239,11 @@
         request_id = pending.request.request_id
         del self._pending[request_id]
         wait = pending.min_retry_after or DEFAULT_RETRY_AFTER
-        ran = ExecutionStatus.UNKNOWN if pending.may_have_run else ExecutionStatus.NOT_EXECUTED
+        ran = (
+            ExecutionStatus.UNKNOWN
+            if pending.may_have_run
+            else ExecutionStatus.NOT_EXECUTED
+        )
         return Refuse(request_id, reason, ran, wait, excluded)
 
     def _update_fleet(self, event: FleetChanged) -> None:
--- a/libraries/decisions/src/bamboopier_decisions/routing/target_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/target_choice.py
@@ -85,7 +85,9 @@
 
     def is_usable(state: TargetState) -> bool:
         probability = state.compute_selection_probability(now)
-        return is_untried(state) and (probability >= 1.0 or random.random() < probability)
+        return is_untried(state) and (
+            probability >= 1.0 or random.random() < probability
+        )
 
     key = compute_affinity_key(request.block_keys)
     owners = targets.find_owners(key, OWNER_COUNT, is_usable) if key else []
@@ -101,10 +103,14 @@
     saved_seconds: list[float] = []
     for position, state in enumerate(considered):
         # Nobody knows better at first than that the first owner is warm.
-        is_probably_warm = state.view.target in warm_targets or (position == 0 and bool(owners))
+        is_probably_warm = state.view.target in warm_targets or (
+            position == 0 and bool(owners)
+        )
         prefill_tokens = _count_prefill_tokens(request, is_probably_warm)
         expected.append(state.estimate_first_byte(now, prefill_tokens))
-        saved_seconds.append((request.prompt_tokens - prefill_tokens) / state.prefill_rate)
+        saved_seconds.append(
+            (request.prompt_tokens - prefill_tokens) / state.prefill_rate
+        )
     best = min(range(len(considered)), key=expected.__getitem__)
     reason = _get_reason(best, len(owners), len(considered))
     candidates = tuple(
--- a/libraries/decisions/src/bamboopier_decisions/routing/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/target_state.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from .messages import Distance, ExclusionReason, TargetLoad, TargetView
-from .workspace_backoff import WorkspaceBackoff
 from .outlier_detection import OutlierDetector
+from .workspace_backoff import WorkspaceBackoff
 
 # Seconds a hop costs: the brief gives about 1 ms between data centres of a region;
 # between regions 30 ms is assumed until measured.
@@ -96,7 +96,9 @@
 
     def record_crash(self, now: float) -> None:
         """Pass the target over for a while after a broken attempt."""
-        self._backoff_seconds = min(MAX_BACKOFF_SECONDS, max(INITIAL_BACKOFF_SECONDS, self._backoff_seconds * 2))
+        self._backoff_seconds = min(
+            MAX_BACKOFF_SECONDS, max(INITIAL_BACKOFF_SECONDS, self._backoff_seconds * 2)
+        )
         self._backoff_until = now + self._backoff_seconds
 
     def record_success(self) -> None:
@@ -123,7 +125,10 @@
 
     def compute_selection_probability(self, now: float) -> float:
         """Return the chance with which this target is considered."""
-        return min(1.0, max(MIN_SELECTION_PROBABILITY, (now - self.ramp_started_at) / RAMP_SECONDS))
+        return min(
+            1.0,
+            max(MIN_SELECTION_PROBABILITY, (now - self.ramp_started_at) / RAMP_SECONDS),
+        )
 
     def serves_version(self, now: float, version: str) -> bool:
         """Say whether the target may serve a request made for a weight version.
--- a/libraries/decisions/tests/forwarding/builders.py
+++ b/libraries/decisions/tests/forwarding/builders.py
@@ -5,6 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from bamboopier_decisions.forwarding.fleet import Fleet
+from bamboopier_decisions.forwarding.prompt import Prompt, PromptPart
 from bamboopier_decisions.forwarding.specs import (
     CallerLimits,
     DeclaredConfiguration,
@@ -16,7 +17,6 @@
     WeightedService,
     Workspace,
 )
-from bamboopier_decisions.forwarding.prompt import Prompt, PromptPart
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -4,14 +4,17 @@
 
 import unittest
 
+from bamboopier_decisions.forwarding.circuit_breaker import CircuitBreaker
 from bamboopier_decisions.forwarding.cold_start_limit import ColdStartLimit, hash_phase
-from bamboopier_decisions.forwarding.configuration_freshness import SEND_MARGIN, ConfigurationFreshness
+from bamboopier_decisions.forwarding.configuration_freshness import (
+    SEND_MARGIN,
+    ConfigurationFreshness,
+)
 from bamboopier_decisions.forwarding.shared_retry_budget import (
     RetryBudgetLimits,
     SharedRetryBudget,
     SharedRetryBudgets,
 )
-from bamboopier_decisions.forwarding.circuit_breaker import CircuitBreaker
 
 BOUNDS = RetryBudgetLimits(ratio=0.2, slack=54, window_seconds=10.0)
 
--- a/libraries/decisions/tests/forwarding/test_fleet.py
+++ b/libraries/decisions/tests/forwarding/test_fleet.py
@@ -80,7 +80,9 @@
         self.assertLess(state.memory, 2 * alone - 8000)
         self.fleet.end(first)
         self.fleet.end(second)
-        self.assertEqual((state.memory, state.requests, state.pending_prefill), (0, 0, 0))
+        self.assertEqual(
+            (state.memory, state.requests, state.pending_prefill), (0, 0, 0)
+        )
 
 
 if __name__ == "__main__":
--- a/libraries/decisions/tests/forwarding/test_load_pattern.py
+++ b/libraries/decisions/tests/forwarding/test_load_pattern.py
@@ -14,7 +14,11 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from bamboopier_decisions.forwarding.placement import Demand, WeightVersionRange, choose_target
+from bamboopier_decisions.forwarding.placement import (
+    Demand,
+    WeightVersionRange,
+    choose_target,
+)
 from bamboopier_decisions.forwarding.target_state import Load
 
 from .builders import DESK, make_entry, make_fleet, make_prompt
--- a/libraries/decisions/tests/forwarding/test_part_store_index.py
+++ b/libraries/decisions/tests/forwarding/test_part_store_index.py
@@ -7,8 +7,8 @@
 from bamboopier_decisions.forwarding.part_store_index import (
     SAVE_HOLD_OFF_SECONDS,
     UPDATE_VALID_SECONDS,
-    PartStoreIndex,
     PartChange,
+    PartStoreIndex,
     PartUpdate,
 )
 
@@ -20,7 +20,9 @@
     """Let every store answer, and say that these parts lie whole in it."""
     changes = tuple(PartChange(SCOPE, name, tokens) for name, tokens in parts)
     for store in kept.stores:
-        store.apply_update(now, now, PartUpdate(epoch, int(now * 1000) + 500_000, changes))
+        store.apply_update(
+            now, now, PartUpdate(epoch, int(now * 1000) + 500_000, changes)
+        )
 
 
 class PartStoreIndexTests(unittest.TestCase):
--- a/libraries/decisions/tests/forwarding/test_pause_tracker.py
+++ b/libraries/decisions/tests/forwarding/test_pause_tracker.py
@@ -64,7 +64,9 @@
         for second in range(100, 160, 2):
             self.run_until(second, second + 1.2)
         self.run_until(160.0, 160.2)
-        self.assertGreater(self.pauses.find_earliest_arrival(160.3), 160 - LONGEST_SECONDS)
+        self.assertGreater(
+            self.pauses.find_earliest_arrival(160.3), 160 - LONGEST_SECONDS
+        )
 
     def test_a_slow_process_takes_news_for_little_older_than_they_are(self) -> None:
         # Each turn of a slow event loop takes 0.2 s, so a tick comes every 0.6 s; what
--- a/libraries/decisions/tests/forwarding/test_placement.py
+++ b/libraries/decisions/tests/forwarding/test_placement.py
@@ -5,7 +5,11 @@
 import random
 import unittest
 
-from bamboopier_decisions.forwarding.placement import Demand, WeightVersionRange, choose_target
+from bamboopier_decisions.forwarding.placement import (
+    Demand,
+    WeightVersionRange,
+    choose_target,
+)
 
 from .builders import DESK, make_entry, make_fleet, make_prompt
 
@@ -18,7 +22,9 @@
         for shared, known in ((160_000, 2), (170_000, 0)):
             demand = Demand(DESK, 1, make_prompt("s1", shared=shared))
             generator = random.Random(1)
-            found = choose_target(1.0, fleet, demand, set(), WeightVersionRange(), "z1", generator)
+            found = choose_target(
+                1.0, fleet, demand, set(), WeightVersionRange(), "z1", generator
+            )
             with self.subTest(shared=shared):
                 self.assertEqual(found.known, known)
                 self.assertEqual(found.state is not None, known > 0)
--- a/libraries/decisions/tests/forwarding/test_route_table.py
+++ b/libraries/decisions/tests/forwarding/test_route_table.py
@@ -5,8 +5,8 @@
 import random
 import unittest
 
-from bamboopier_decisions.forwarding.specs import WeightedService
 from bamboopier_decisions.forwarding.route_table import RouteTable, choose_service
+from bamboopier_decisions.forwarding.specs import WeightedService
 
 from .builders import make_declared, make_route
 
--- a/libraries/decisions/tests/forwarding/test_weights.py
+++ b/libraries/decisions/tests/forwarding/test_weights.py
@@ -6,12 +6,11 @@
 import unittest
 from typing import TYPE_CHECKING
 
-from bamboopier_decisions.forwarding.weight_load_drain import (
-    PROPAGATION_SECONDS,
-    MAX_DRAIN_SECONDS,
-    WeightLoadDrain,
+from bamboopier_decisions.forwarding.placement import (
+    Demand,
+    WeightVersionRange,
+    choose_target,
 )
-from bamboopier_decisions.forwarding.placement import Demand, WeightVersionRange, choose_target
 from bamboopier_decisions.forwarding.rollout_order import (
     WAVE_SECONDS,
     count_concurrent_loads,
@@ -19,6 +18,11 @@
     list_loading_soon,
     list_pending,
 )
+from bamboopier_decisions.forwarding.weight_load_drain import (
+    MAX_DRAIN_SECONDS,
+    PROPAGATION_SECONDS,
+    WeightLoadDrain,
+)
 from bamboopier_decisions.forwarding.weight_versions import (
     SEND_MARGIN_SECONDS,
     WeightVersions,
@@ -40,7 +44,9 @@
         weights.record_published("m", 2, 100.0)
         self.assertEqual(weights.find_newest("m"), 2)
         self.assertEqual(weights.find_oldest_allowed(100.1, "m"), 1)
-        self.assertEqual(weights.find_oldest_allowed(112.0 - SEND_MARGIN_SECONDS, "m"), 2)
+        self.assertEqual(
+            weights.find_oldest_allowed(112.0 - SEND_MARGIN_SECONDS, "m"), 2
+        )
 
     def test_each_version_has_its_own_time(self) -> None:
         # Two versions are named four seconds apart. When the time of the first is over,
@@ -181,7 +187,9 @@
         self.drain = WeightLoadDrain(10.0)
 
     def test_the_order_waits_until_the_long_streams_end(self) -> None:
-        self.drain.record_running(10.0 + PROPAGATION_SECONDS, frozenset({"long", "short"}))
+        self.drain.record_running(
+            10.0 + PROPAGATION_SECONDS, frozenset({"long", "short"})
+        )
         self.drain.record_running(10.5, frozenset({"long", "new"}))
         self.assertFalse(self.drain.is_complete)
         self.drain.record_running(11.0, frozenset({"new", "newer"}))
@@ -223,7 +231,9 @@
         for number in range(10):
             prompt = make_prompt(f"s{number}", max_output=max_output)
             demand = Demand(DESK, 1, prompt)
-            found = choose_target(10.0, fleet, demand, set(), weights, "z1", generator).state
+            found = choose_target(
+                10.0, fleet, demand, set(), weights, "z1", generator
+            ).state
             assert found is not None
             names.add(found.entry.name)
         return names
--- a/libraries/decisions/tests/membership/test_lease.py
+++ b/libraries/decisions/tests/membership/test_lease.py
@@ -10,9 +10,9 @@
 from bamboopier_decisions.membership.lease import (
     Lease,
     LeaseRecord,
+    LeaseWrite,
     ObservedLease,
     TakeoverPolicy,
-    LeaseWrite,
 )
 
 DURATION = 60.0
@@ -100,7 +100,9 @@
 
     @invariant()
     def fencing_numbers_never_fall_and_differ_between_holders(self) -> None:
-        records = [observed.record for observed in self.past if observed.record is not None]
+        records = [
+            observed.record for observed in self.past if observed.record is not None
+        ]
         fences = [record.fence for record in records]
         assert fences == sorted(fences)
         by_fence: dict[int, str] = {}
@@ -123,9 +125,13 @@
         lease = Lease("me", "here", DURATION)
         self.observe_holder(lease)
         self.assertEqual(lease.find_wait(130.0), 30.0)
-        lease.observe(150.0, ObservedLease(4, LeaseRecord("other", "there", 7, DURATION, 2)))
+        lease.observe(
+            150.0, ObservedLease(4, LeaseRecord("other", "there", 7, DURATION, 2))
+        )
         # A replica that lags shows the earlier renewal again.
-        lease.observe(155.0, ObservedLease(3, LeaseRecord("other", "there", 7, DURATION, 1)))
+        lease.observe(
+            155.0, ObservedLease(3, LeaseRecord("other", "there", 7, DURATION, 1))
+        )
         self.assertEqual(lease.find_wait(160.0), 50.0)
         self.assertEqual(lease.find_wait(210.0), 0.0)
 
--- a/libraries/decisions/tests/routing_builders.py
+++ b/libraries/decisions/tests/routing_builders.py
@@ -7,8 +7,8 @@
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
     Distance,
-    FleetChanged,
     ExecutionStatus,
+    FleetChanged,
     RequestArrived,
     TargetView,
 )
--- a/libraries/decisions/tests/test_admission.py
+++ b/libraries/decisions/tests/test_admission.py
@@ -8,19 +8,19 @@
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from bamboopier_decisions.admission.controller import AdmissionController
 from bamboopier_decisions.admission.concurrency_limit import ConcurrencyLimit
+from bamboopier_decisions.admission.controller import AdmissionController
 from bamboopier_decisions.admission.messages import (
+    AdmissionRequested,
     FirstTokenReceived,
     Reject,
     RejectReason,
+    RequestCancelled,
+    RequestFinished,
     Start,
     StopRequested,
     TargetRestarted,
     Tick,
-    AdmissionRequested,
-    RequestFinished,
-    RequestCancelled,
 )
 
 MAX_WAITING = 5
@@ -75,7 +75,9 @@
     def end(self, pick: int, how: str) -> None:
         if self.running:
             name = self.running.pop(pick % len(self.running))
-            ended = RequestFinished(self.now, name, how == "a", 30, cancelled=how == "c")
+            ended = RequestFinished(
+                self.now, name, how == "a", 30, cancelled=how == "c"
+            )
             self.handle(ended)
 
     @rule(pick=st.integers(0, 7))
@@ -187,7 +189,9 @@
         admission = AdmissionController(32, 64, Random(1))
         for number in range(100):
             admission.handle(make_work(number, float(number)))
-            cancelled = RequestFinished(number + 0.5, f"r{number}", False, cancelled=True)
+            cancelled = RequestFinished(
+                number + 0.5, f"r{number}", False, cancelled=True
+            )
             admission.handle(cancelled)
         self.assertEqual(admission.limit, 2)
 
@@ -200,7 +204,9 @@
             now = float(number * 10)
             name = f"r{number}"
             admission.handle(
-                AdmissionRequested(now, name, "a", 1.0, 0, now + 60, 8, max_tokens=tokens)
+                AdmissionRequested(
+                    now, name, "a", 1.0, 0, now + 60, 8, max_tokens=tokens
+                )
             )
             admission.handle(FirstTokenReceived(now + 0.02, name, 0))
             ended = RequestFinished(now + seconds, name, True, tokens)
@@ -210,7 +216,9 @@
         """Ask for 1,600 tokens within a minute while others run; return the answer."""
         for number in range(running):
             admission.handle(make_work(1000 + number, 1e4, timeout=600.0))
-        arrived = AdmissionRequested(1e4, "long", "a", 1.0, 0, 1e4 + 60, 800, max_tokens=1600)
+        arrived = AdmissionRequested(
+            1e4, "long", "a", 1.0, 0, 1e4 + 60, 800, max_tokens=1600
+        )
         return admission.handle(arrived)
 
     def test_two_token_responses_do_not_inflate_long_estimates(self) -> None:
--- a/libraries/decisions/tests/test_fair_queue.py
+++ b/libraries/decisions/tests/test_fair_queue.py
@@ -47,7 +47,9 @@
             assert not self.model
             return
         assert self.model.pop(popped.request_id) is popped
-        own = [w.sort_key for w in self.model.values() if w.workspace == popped.workspace]
+        own = [
+            w.sort_key for w in self.model.values() if w.workspace == popped.workspace
+        ]
         assert all(popped.sort_key <= sort_key for sort_key in own)
 
     @rule(held=st.sampled_from(WORKSPACES))
--- a/libraries/decisions/tests/test_fetch_choice.py
+++ b/libraries/decisions/tests/test_fetch_choice.py
@@ -11,8 +11,8 @@
     FetchConditions,
     FetchReason,
     choose_fetch,
-    predict_transfer_seconds,
     is_worth_exporting,
+    predict_transfer_seconds,
 )
 
 # Ten blocks of 13 MB; recomputing one takes 0.25 s, fetching one 0.1 s.
@@ -51,7 +51,9 @@
                 conditions = replace(CONDITIONS, **change)
                 plan = choose_fetch(conditions, FIRST_TOKEN_WEIGHTS)
                 self.assertIs(plan.reason, first_token)
-                self.assertIs(choose_fetch(conditions, RECOMPUTE_WEIGHTS).reason, recomputed)
+                self.assertIs(
+                    choose_fetch(conditions, RECOMPUTE_WEIGHTS).reason, recomputed
+                )
 
     def test_each_preset_leans_to_what_it_weighs(self) -> None:
         # Over a range of link speeds Kaaspost's preset never recomputes more, and
@@ -77,7 +79,9 @@
         rows.append((replace(CONDITIONS, available_bytes=-1e9), True, True))
         rows.append((replace(CONDITIONS, link_rate=1e6), False, False))
         for conditions, first_token, recompute in rows:
-            self.assertIs(is_worth_exporting(conditions, FIRST_TOKEN_WEIGHTS), first_token)
+            self.assertIs(
+                is_worth_exporting(conditions, FIRST_TOKEN_WEIGHTS), first_token
+            )
             self.assertIs(is_worth_exporting(conditions, RECOMPUTE_WEIGHTS), recompute)
 
     def test_no_caller_waits_longer_for_a_store_than_recomputing_costs(self) -> None:
--- a/libraries/decisions/tests/test_router.py
+++ b/libraries/decisions/tests/test_router.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from bamboopier_decisions.routing.messages import (
-    FirstByteReceived,
     ExclusionReason,
     ExecutionStatus,
+    FirstByteReceived,
     Refuse,
     RefuseReason,
     Send,
@@ -33,9 +33,13 @@
         router = make_router(2)
         first = router.handle(make_request("r"))
         self.assertIsInstance(first, Send)
-        second = router.handle(make_end("r", first.target, ExecutionStatus.UNKNOWN, broken=True))
+        second = router.handle(
+            make_end("r", first.target, ExecutionStatus.UNKNOWN, broken=True)
+        )
         self.assertIsInstance(second, Send)
-        end = make_end("r", second.target, ExecutionStatus.NOT_EXECUTED, retry_after=1.0)
+        end = make_end(
+            "r", second.target, ExecutionStatus.NOT_EXECUTED, retry_after=1.0
+        )
         refusal = router.handle(end)
         self.assertIsInstance(refusal, Refuse)
         self.assertIs(refusal.ran, ExecutionStatus.UNKNOWN)
@@ -44,7 +48,9 @@
         router = make_router(2)
         request = make_request("r", idempotent=False)
         sent = router.handle(request)
-        refusal = router.handle(make_end("r", sent.target, ExecutionStatus.UNKNOWN, broken=True))
+        refusal = router.handle(
+            make_end("r", sent.target, ExecutionStatus.UNKNOWN, broken=True)
+        )
         self.assertIsInstance(refusal, Refuse)
         self.assertIs(refusal.ran, ExecutionStatus.UNKNOWN)
 
@@ -59,7 +65,9 @@
         router = make_router(4)
         sent = [router.handle(make_request(f"r{n}")) for n in range(50)]
         for number, first in enumerate(sent):
-            again = router.handle(make_end(f"r{number}", first.target, ExecutionStatus.NOT_EXECUTED))
+            again = router.handle(
+                make_end(f"r{number}", first.target, ExecutionStatus.NOT_EXECUTED)
+            )
             self.assertIsInstance(again, Send, number)
             self.assertNotEqual(again.target, first.target)
 
@@ -72,7 +80,9 @@
         router = make_router(2)
         first = router.handle(make_request("r0"))
         self.assertLess(first.max_wait, UNBOUNDED)
-        again = router.handle(make_end("r0", first.target, ExecutionStatus.NOT_EXECUTED, broken=True))
+        again = router.handle(
+            make_end("r0", first.target, ExecutionStatus.NOT_EXECUTED, broken=True)
+        )
         self.assertEqual(again.max_wait, UNBOUNDED)
         # The one that is stopped is passed over for a while.
         alone = router.handle(make_request("r1"))
@@ -87,11 +97,15 @@
         """
         router = make_router(2)
         first = router.handle(make_request("r0"))
-        again = router.handle(make_end("r0", first.target, ExecutionStatus.UNKNOWN, broken=True))
+        again = router.handle(
+            make_end("r0", first.target, ExecutionStatus.UNKNOWN, broken=True)
+        )
         router.handle(make_end("r0", again.target, ExecutionStatus.EXECUTED))
         sent = router.handle(make_request("r1"))
         self.assertEqual(sent.target, again.target)
-        refusal = router.handle(make_end("r1", sent.target, ExecutionStatus.NOT_EXECUTED))
+        refusal = router.handle(
+            make_end("r1", sent.target, ExecutionStatus.NOT_EXECUTED)
+        )
         self.assertIs(refusal.reason, RefuseReason.OVERLOADED)
         excluded = {p.target: p.reason for p in refusal.excluded}
         self.assertEqual(
@@ -106,7 +120,12 @@
         for number in range(200):
             decision = router.handle(make_request(f"r{number}", workspace=f"w{number}"))
             while isinstance(decision, Send):
-                end = make_end(f"r{number}", decision.target, ExecutionStatus.NOT_EXECUTED, retry_after=1.0)
+                end = make_end(
+                    f"r{number}",
+                    decision.target,
+                    ExecutionStatus.NOT_EXECUTED,
+                    retry_after=1.0,
+                )
                 decision = router.handle(end)
                 extra += isinstance(decision, Send)
         self.assertLessEqual(extra, 10)
@@ -117,7 +136,9 @@
         sends = 0
         while isinstance(decision, Send):
             sends += 1
-            decision = router.handle(make_end("r", decision.target, ExecutionStatus.NOT_EXECUTED))
+            decision = router.handle(
+                make_end("r", decision.target, ExecutionStatus.NOT_EXECUTED)
+            )
         self.assertEqual(sends, 8)
         self.assertIs(decision.reason, RefuseReason.ATTEMPTS)
 
@@ -166,7 +187,13 @@
             decision = router.handle(make_request(f"r{number}", now=now))
             if isinstance(decision, Send):
                 sends += 1
-                end = make_end(f"r{number}", "t0", ExecutionStatus.NOT_EXECUTED, now, retry_after=10.0 - now)
+                end = make_end(
+                    f"r{number}",
+                    "t0",
+                    ExecutionStatus.NOT_EXECUTED,
+                    now,
+                    retry_after=10.0 - now,
+                )
                 decision = router.handle(end)
             self.assertIsInstance(decision, Refuse)
             self.assertGreater(decision.retry_after, 0)
@@ -176,7 +203,9 @@
     def test_rejection_applies_to_one_workspace_only(self) -> None:
         router = make_router(1)
         router.handle(make_request("r1", workspace="hot"))
-        router.handle(make_end("r1", "t0", ExecutionStatus.NOT_EXECUTED, retry_after=10.0))
+        router.handle(
+            make_end("r1", "t0", ExecutionStatus.NOT_EXECUTED, retry_after=10.0)
+        )
         decision = router.handle(make_request("r2", workspace="other"))
         self.assertIsInstance(decision, Send)
 
@@ -194,7 +223,9 @@
             targets.append(sent.target)
             seconds = 1.2 if sent.target in slow else 0.1
             router.handle(FirstByteReceived(now + 0.05, name, sent.target, seconds))
-            router.handle(make_end(name, sent.target, ExecutionStatus.EXECUTED, now + 0.05))
+            router.handle(
+                make_end(name, sent.target, ExecutionStatus.EXECUTED, now + 0.05)
+            )
         return targets
 
     def test_slow_target_is_ejected_and_readmitted_when_fast(self) -> None:
--- a/libraries/decisions/tests/test_store_vm_health.py
+++ b/libraries/decisions/tests/test_store_vm_health.py
@@ -4,7 +4,10 @@
 
 import unittest
 
-from bamboopier_decisions.context.store_vm_health import MAX_BACKOFF_SECONDS, StoreVmHealth
+from bamboopier_decisions.context.store_vm_health import (
+    MAX_BACKOFF_SECONDS,
+    StoreVmHealth,
+)
 
 
 class StoreVmHealthTests(unittest.TestCase):
--- a/libraries/decisions/tests/test_wait_bound.py
+++ b/libraries/decisions/tests/test_wait_bound.py
@@ -7,17 +7,17 @@
 
 from bamboopier_decisions.admission.controller import AdmissionController
 from bamboopier_decisions.admission.messages import (
+    AdmissionRequested,
     Reject,
     RejectReason,
-    Start,
-    AdmissionRequested,
     RequestFinished,
+    Start,
 )
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
     Distance,
-    FleetChanged,
     ExecutionStatus,
+    FleetChanged,
     RequestArrived,
     Send,
     TargetView,
@@ -65,9 +65,13 @@
             for _ in range(3):
                 assert isinstance(decision, Send), decision
                 tried.append((decision.target, decision.max_wait))
-                ended = AttemptEnded(100.0, name, decision.target, ExecutionStatus.NOT_EXECUTED)
+                ended = AttemptEnded(
+                    100.0, name, decision.target, ExecutionStatus.NOT_EXECUTED
+                )
                 decision = router.handle(ended)
             self.assertEqual(len({target for target, _ in tried}), 3)
             bounds = [bound for _, bound in tried]
-            self.assertEqual(bounds, [BOUNDED_WAIT_SECONDS, BOUNDED_WAIT_SECONDS, UNBOUNDED])
+            self.assertEqual(
+                bounds, [BOUNDED_WAIT_SECONDS, BOUNDED_WAIT_SECONDS, UNBOUNDED]
+            )
             router.abandon(name)
--- a/libraries/gateway/src/bamboopier_gateway/application.py
+++ b/libraries/gateway/src/bamboopier_gateway/application.py
@@ -196,7 +196,9 @@
             if not self._cutting:
                 raise
             message = "cut by the end of this process"
-            cut = CallerError(ErrorCode.OUTCOME_UNKNOWN, message, ExecutionStatus.UNKNOWN)
+            cut = CallerError(
+                ErrorCode.OUTCOME_UNKNOWN, message, ExecutionStatus.UNKNOWN
+            )
             return await self._fail(call, delivery, cut)
         except SlowCallerError:
             log.info("caller too slow", request_id=call.request_id)
@@ -209,7 +211,9 @@
         except Exception:
             log.exception("request failed", request_id=call.request_id)
             # An attempt may have been made, and nothing more is known about it.
-            unknown = CallerError(ErrorCode.INTERNAL, "internal error", ExecutionStatus.UNKNOWN)
+            unknown = CallerError(
+                ErrorCode.INTERNAL, "internal error", ExecutionStatus.UNKNOWN
+            )
             return await self._fail(call, delivery, unknown)
         self._metrics.answers.labels(call.service, str(response.status)).inc()
         if call.model is not None and delivery.first_written:
--- a/libraries/gateway/src/bamboopier_gateway/attempt.py
+++ b/libraries/gateway/src/bamboopier_gateway/attempt.py
@@ -65,7 +65,9 @@
     # Seconds the target may let the call wait before it turns it away.
     max_wait: float = math.inf
     attempt_id: str = field(default_factory=lambda: uuid.uuid4().hex)
-    _result: AttemptResult = field(default_factory=lambda: AttemptResult(ExecutionStatus.UNKNOWN))
+    _result: AttemptResult = field(
+        default_factory=lambda: AttemptResult(ExecutionStatus.UNKNOWN)
+    )
     _expected_sequence: int = 0
     _body_bytes: int = 0
     # The body's length where the target gave one, and what completes it.
--- a/libraries/gateway/src/bamboopier_gateway/fleet.py
+++ b/libraries/gateway/src/bamboopier_gateway/fleet.py
@@ -92,9 +92,7 @@
         self._addresses = {vm.name: vm.address for vm in targets}
         self._agents.keep_only(set(self._addresses.values()))
         drains = self._directory.configuration.drains
-        drained = DrainedSet(
-            frozenset(drains.data_centres), frozenset(drains.targets)
-        )
+        drained = DrainedSet(frozenset(drains.data_centres), frozenset(drains.targets))
         now = time.monotonic()
         listed = [
             ListedTarget(v.name, v.data_centre, v.state != "live") for v in targets
--- a/libraries/gateway/src/bamboopier_gateway/forwarder.py
+++ b/libraries/gateway/src/bamboopier_gateway/forwarder.py
@@ -10,8 +10,8 @@
 
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
-    FirstByteReceived,
     ExecutionStatus,
+    FirstByteReceived,
     Refuse,
     RefuseReason,
     RequestArrived,
@@ -85,7 +85,10 @@
                     return await self._recall(call, result, delivery)
                 if result.cause in _CLAIM_CAUSES:
                     raise _make_claim_refusal(result)
-                if result.cause in _CRASH_CAUSES and result.ran is ExecutionStatus.UNKNOWN:
+                if (
+                    result.cause in _CRASH_CAUSES
+                    and result.ran is ExecutionStatus.UNKNOWN
+                ):
                     self._quarantine.record_crash(call, decision.target)
                 decision = self._tell_end(call, decision, result, delivery)
         finally:
@@ -94,7 +97,9 @@
             return await self._refuse(call, decision, delivery)
         if delivery.response.prepared and result.ran is not ExecutionStatus.EXECUTED:
             error = CallerError(
-                ErrorCode.OUTCOME_UNKNOWN, "the answer broke off", ExecutionStatus.UNKNOWN
+                ErrorCode.OUTCOME_UNKNOWN,
+                "the answer broke off",
+                ExecutionStatus.UNKNOWN,
             )
             return await delivery.fail(error)
         return delivery.response
@@ -110,7 +115,10 @@
         stub = await reach(address, left)
         if stub is None:
             return AttemptResult(
-                ExecutionStatus.NOT_EXECUTED, pb.CONNECTION_LOST, "no connection to the agent", broken=True
+                ExecutionStatus.NOT_EXECUTED,
+                pb.CONNECTION_LOST,
+                "no connection to the agent",
+                broken=True,
             )
 
         def note_head(load: pb.LoadReport, seconds: float) -> None:
@@ -196,10 +204,14 @@
             raise _make_unknown() from error
         if reply.state == pb.RecallReply.NEVER_RAN:
             message = "an earlier claim of this key never ran and is being released"
-            raise CallerError(ErrorCode.CLAIM_UNAVAILABLE, message, ExecutionStatus.NOT_EXECUTED, 1.0)
+            raise CallerError(
+                ErrorCode.CLAIM_UNAVAILABLE, message, ExecutionStatus.NOT_EXECUTED, 1.0
+            )
         if reply.state == pb.RecallReply.RUNNING:
             message = "a request with this idempotency key is under way"
-            raise CallerError(ErrorCode.KEY_IN_PROGRESS, message, ExecutionStatus.UNKNOWN, 1.0)
+            raise CallerError(
+                ErrorCode.KEY_IN_PROGRESS, message, ExecutionStatus.UNKNOWN, 1.0
+            )
         if reply.state != pb.RecallReply.KEPT:
             raise _make_unknown()
         await delivery.begin(reply.head)
@@ -217,7 +229,9 @@
             target=send.target,
             weight_version=_name_version(call),
             reason=send.reason.value,
-            candidates={c.target: round(c.expected_seconds, 4) for c in send.candidates},
+            candidates={
+                c.target: round(c.expected_seconds, 4) for c in send.candidates
+            },
         )
 
     def _count(self, call: Call, result: AttemptResult) -> None:
@@ -257,7 +271,9 @@
 def _make_claim_refusal(result: AttemptResult) -> CallerError:
     message = _CLAIM_CAUSES[result.cause]
     wait = result.retry_after
-    return CallerError(ErrorCode.CLAIM_UNAVAILABLE, message, ExecutionStatus.NOT_EXECUTED, wait)
+    return CallerError(
+        ErrorCode.CLAIM_UNAVAILABLE, message, ExecutionStatus.NOT_EXECUTED, wait
+    )
 
 
 def _make_quarantine_refusal(call: Call, wait: float) -> CallerError:
@@ -271,7 +287,9 @@
         retry_after=round(wait, 3),
     )
     message = "this request broke the targets that ran it"
-    return CallerError(ErrorCode.QUARANTINED, message, ExecutionStatus.NOT_EXECUTED, wait)
+    return CallerError(
+        ErrorCode.QUARANTINED, message, ExecutionStatus.NOT_EXECUTED, wait
+    )
 
 
 def _make_unknown() -> CallerError:
--- a/libraries/gateway/tests/test_attempt.py
+++ b/libraries/gateway/tests/test_attempt.py
@@ -48,27 +48,87 @@
 # Name, events, how the stream ends, what is known, whether the caller has it whole.
 STREAMS = (
     ("whole", A, None, ExecutionStatus.EXECUTED, True),
-    ("refused", [make_event(0, not_run=NOT_RUN)], None, ExecutionStatus.NOT_EXECUTED, False),
-    ("unknown", [make_event(0, unknown=pb.Unknown())], None, ExecutionStatus.UNKNOWN, False),
+    (
+        "refused",
+        [make_event(0, not_run=NOT_RUN)],
+        None,
+        ExecutionStatus.NOT_EXECUTED,
+        False,
+    ),
+    (
+        "unknown",
+        [make_event(0, unknown=pb.Unknown())],
+        None,
+        ExecutionStatus.UNKNOWN,
+        False,
+    ),
     ("nothing at all", [], None, ExecutionStatus.UNKNOWN, False),
     ("connection lost at once", [], LOST, ExecutionStatus.UNKNOWN, False),
     ("connection lost half way", A[:2], LOST, ExecutionStatus.UNKNOWN, False),
     ("connection lost before the end", A[:3], LOST, ExecutionStatus.UNKNOWN, False),
     ("never sent", [], NEVER_SENT, ExecutionStatus.NOT_EXECUTED, False),
-    ("never sent, yet an answer began", A[:1], NEVER_SENT, ExecutionStatus.UNKNOWN, False),
-    ("the agent failed with these words", [], AGENT_FAILED, ExecutionStatus.UNKNOWN, False),
+    (
+        "never sent, yet an answer began",
+        A[:1],
+        NEVER_SENT,
+        ExecutionStatus.UNKNOWN,
+        False,
+    ),
+    (
+        "the agent failed with these words",
+        [],
+        AGENT_FAILED,
+        ExecutionStatus.UNKNOWN,
+        False,
+    ),
     ("ended early", A[:3], None, ExecutionStatus.UNKNOWN, False),
     ("a piece lost", [A[0], A[2], A[3]], None, ExecutionStatus.UNKNOWN, False),
-    ("a piece twice", [A[0], A[1], A[1], A[2], A[3]], None, ExecutionStatus.UNKNOWN, False),
+    (
+        "a piece twice",
+        [A[0], A[1], A[1], A[2], A[3]],
+        None,
+        ExecutionStatus.UNKNOWN,
+        False,
+    ),
     ("pieces swapped", [A[0], A[2], A[1], A[3]], None, ExecutionStatus.UNKNOWN, False),
-    ("another's piece", [A[0], OTHER[1], A[2], A[3]], None, ExecutionStatus.UNKNOWN, False),
+    (
+        "another's piece",
+        [A[0], OTHER[1], A[2], A[3]],
+        None,
+        ExecutionStatus.UNKNOWN,
+        False,
+    ),
     ("another's answer", OTHER, None, ExecutionStatus.UNKNOWN, False),
     ("another's end", [*A[:3], OTHER[3]], None, ExecutionStatus.UNKNOWN, False),
-    ("another's refusal", [make_event(0, "x", not_run=NOT_RUN)], None, ExecutionStatus.UNKNOWN, 0),
-    ("late refusal", [A[0], make_event(1, not_run=NOT_RUN)], None, ExecutionStatus.UNKNOWN, False),
+    (
+        "another's refusal",
+        [make_event(0, "x", not_run=NOT_RUN)],
+        None,
+        ExecutionStatus.UNKNOWN,
+        0,
+    ),
+    (
+        "late refusal",
+        [A[0], make_event(1, not_run=NOT_RUN)],
+        None,
+        ExecutionStatus.UNKNOWN,
+        False,
+    ),
     ("no head", [make_event(0, chunk=BODY)], None, ExecutionStatus.UNKNOWN, False),
-    ("end only", [make_event(0, finished=pb.Finished())], None, ExecutionStatus.UNKNOWN, False),
-    ("two heads", [A[0], make_event(1, head=pb.ResponseHead())], None, ExecutionStatus.UNKNOWN, 0),
+    (
+        "end only",
+        [make_event(0, finished=pb.Finished())],
+        None,
+        ExecutionStatus.UNKNOWN,
+        False,
+    ),
+    (
+        "two heads",
+        [A[0], make_event(1, head=pb.ResponseHead())],
+        None,
+        ExecutionStatus.UNKNOWN,
+        0,
+    ),
     ("empty event", [make_event(0)], None, ExecutionStatus.UNKNOWN, False),
     (
         "pieces short",
@@ -138,7 +198,9 @@
         attempt = Attempt(call, answer_with(stream), 1, attempt_id=ATTEMPT)
         async with asyncio.timeout(HANG_SECONDS):
             result = await attempt.run(FakeDelivery())
-        self.assertEqual((result.ran, result.cause), (ExecutionStatus.UNKNOWN, pb.DEADLINE))
+        self.assertEqual(
+            (result.ran, result.cause), (ExecutionStatus.UNKNOWN, pb.DEADLINE)
+        )
         self.assertTrue(stream.cancelled)
 
     async def test_answers_crossed_between_two_calls_reach_neither(self) -> None:
@@ -151,4 +213,6 @@
             delivery = FakeDelivery()
             attempt = Attempt(make_call(), stub, 1, attempt_id=attempt_id)
             result = await attempt.run(delivery)
-            self.assertEqual((result.ran, delivery.body), (ExecutionStatus.UNKNOWN, b""))
+            self.assertEqual(
+                (result.ran, delivery.body), (ExecutionStatus.UNKNOWN, b"")
+            )
--- a/libraries/gateway/tests/test_forwarder.py
+++ b/libraries/gateway/tests/test_forwarder.py
@@ -20,8 +20,8 @@
 from bamboopier_daemon.certificates import Certificates
 from bamboopier_decisions.routing.messages import (
     Distance,
-    FleetChanged,
     ExecutionStatus,
+    FleetChanged,
     TargetView,
 )
 from bamboopier_decisions.routing.router import Router
@@ -123,7 +123,10 @@
         for relay in self.relays:
             relay.cut_unread()
         error = await self.fail_to_forward(make_call(body=ORDER))
-        self.assertEqual((error.ran, error.code), (ExecutionStatus.NOT_EXECUTED, ErrorCode.OVERLOADED))
+        self.assertEqual(
+            (error.ran, error.code),
+            (ExecutionStatus.NOT_EXECUTED, ErrorCode.OVERLOADED),
+        )
         self.assertEqual([each.received for each in self.agents], [[], []])
         for relay in self.relays:
             self.assertNotIn(ORDER, relay.taken)
@@ -151,7 +154,8 @@
         self.act = cut
         error = await self.fail_to_forward(make_call(body=ORDER))
         self.assertEqual(
-            (error.ran, error.code), (ExecutionStatus.UNKNOWN, ErrorCode.OUTCOME_UNKNOWN)
+            (error.ran, error.code),
+            (ExecutionStatus.UNKNOWN, ErrorCode.OUTCOME_UNKNOWN),
         )
         self.assertEqual([len(each.received) for each in self.agents], [1, 0])
 
@@ -173,7 +177,8 @@
         self.agents[0].when_asked = self.relays[0].cut_unread
         error = await self.fail_to_forward(make_call(body=ORDER))
         self.assertEqual(
-            (error.ran, error.code), (ExecutionStatus.UNKNOWN, ErrorCode.OUTCOME_UNKNOWN)
+            (error.ran, error.code),
+            (ExecutionStatus.UNKNOWN, ErrorCode.OUTCOME_UNKNOWN),
         )
         self.assertEqual([each.received for each in self.agents], [[], []])
 
--- a/libraries/gateway/tests/test_lost_connections.py
+++ b/libraries/gateway/tests/test_lost_connections.py
@@ -44,7 +44,9 @@
             relay.cut()
             await channel.wait_for_state_change(grpc.ChannelConnectivity.READY)
             result = await attempt.run(FakeDelivery())
-        self.assertEqual((result.ran, agent.received), (ExecutionStatus.NOT_EXECUTED, []))
+        self.assertEqual(
+            (result.ran, agent.received), (ExecutionStatus.NOT_EXECUTED, [])
+        )
         self.assertEqual((result.cause, result.broken), (pb.CONNECTION_LOST, True))
 
     async def test_cut_after_the_agent_had_the_request(self) -> None:
@@ -63,7 +65,9 @@
             attempt = Attempt(make_call(), AgentStub(channel), 1)
             result = await attempt.run(FakeDelivery())
         self.assertEqual(agent.received, [attempt.attempt_id])
-        self.assertEqual((result.ran, result.cause), (ExecutionStatus.UNKNOWN, pb.CONNECTION_LOST))
+        self.assertEqual(
+            (result.ran, result.cause), (ExecutionStatus.UNKNOWN, pb.CONNECTION_LOST)
+        )
 
     async def test_an_agent_that_fails_at_a_connection_of_its_own(self) -> None:
         # The agent has the request and fails with an error of a call that it makes
--- a/libraries/gateway/tests/test_recall.py
+++ b/libraries/gateway/tests/test_recall.py
@@ -59,7 +59,10 @@
         async with asyncio.timeout(HANG_SECONDS), Agents() as agents:
             forwarder = Forwarder(other, other, agents, other, other, other)
             claimed = AttemptResult(
-                ExecutionStatus.NOT_EXECUTED, pb.KEY_CLAIMED, claimed_by=self.address, claim_id="claim-1"
+                ExecutionStatus.NOT_EXECUTED,
+                pb.KEY_CLAIMED,
+                claimed_by=self.address,
+                claim_id="claim-1",
             )
             call = make_call(deadline=time.monotonic() + seconds)
             delivery: Any = FakeDelivery()
--- a/libraries/proxy/src/bamboopier_proxy/active_configuration.py
+++ b/libraries/proxy/src/bamboopier_proxy/active_configuration.py
@@ -6,7 +6,9 @@
 
 import structlog
 
-from bamboopier_decisions.forwarding.configuration_freshness import ConfigurationFreshness
+from bamboopier_decisions.forwarding.configuration_freshness import (
+    ConfigurationFreshness,
+)
 from bamboopier_decisions.forwarding.route_table import RouteTable
 
 if TYPE_CHECKING:
@@ -33,7 +35,11 @@
         return self.table.configuration.version if self.table is not None else 0
 
     def update(
-        self, declared: DeclaredConfiguration, asked_at: float, now: float, size: int = 0
+        self,
+        declared: DeclaredConfiguration,
+        asked_at: float,
+        now: float,
+        size: int = 0,
     ) -> None:
         """Take a configuration of ``size`` bytes that was current at ``asked_at``.
 
--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -22,20 +22,20 @@
 from bamboopier_objects.object_follower import ObjectFollower
 
 from .hint_socket import HintSocket
-from .weight_load_announcer import WeightLoadAnnouncer
 from .observers import WeightsObserver
 from .pause_monitor import PauseMonitor
+from .publish_times import PublishTimes, follow_weights
 from .settings_reloader import SettingsReloader
 from .target_directory import TargetDirectory
-from .publish_times import PublishTimes, follow_weights
+from .weight_load_announcer import WeightLoadAnnouncer
 from .weight_updater import WeightUpdater
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from .settings import ProxySettings
-    from .target_orders import TargetOrders
     from .store_schema import PublishedWeights, Store, StoreSchema
+    from .target_orders import TargetOrders
 
 # Seconds that one watch for new weights lasts.
 WATCH_TIMEOUT_SECONDS = 4.0
@@ -90,7 +90,9 @@
                 directory,
                 generator,
             )
-            publish_times = PublishTimes(store, schema.publish_times_prefix, weights, generator)
+            publish_times = PublishTimes(
+                store, schema.publish_times_prefix, weights, generator
+            )
 
             def on_published(published: PublishedWeights, since: float) -> None:
                 publish_times.read_if_late(published.model, published.version, since)
--- a/libraries/proxy/src/bamboopier_proxy/attempt_log.py
+++ b/libraries/proxy/src/bamboopier_proxy/attempt_log.py
@@ -11,11 +11,11 @@
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.fleet import InFlightRequest
 
-    from .exchange import AttemptResult
     from .active_configuration import ActiveConfiguration
+    from .attempt_planner import AttemptPlanner
+    from .exchange import AttemptResult
     from .messages import Call
     from .metrics import ProxyMetrics
-    from .attempt_planner import AttemptPlanner
 
 log = structlog.get_logger()
 
@@ -24,13 +24,18 @@
     """Counts and logs the ends of sends."""
 
     def __init__(
-        self, planner: AttemptPlanner, active_configuration: ActiveConfiguration, metrics: ProxyMetrics
+        self,
+        planner: AttemptPlanner,
+        active_configuration: ActiveConfiguration,
+        metrics: ProxyMetrics,
     ) -> None:
         self._planner = planner
         self._active_configuration = active_configuration
         self._metrics = metrics
 
-    def record(self, call: Call, in_flight: InFlightRequest, result: AttemptResult) -> None:
+    def record(
+        self, call: Call, in_flight: InFlightRequest, result: AttemptResult
+    ) -> None:
         """Take in that a send has ended."""
         now = read_clock()
         self._metrics.sends.labels(call.service, result.cause.value).inc()
--- a/libraries/proxy/src/bamboopier_proxy/attempt_planner.py
+++ b/libraries/proxy/src/bamboopier_proxy/attempt_planner.py
@@ -10,7 +10,10 @@
 
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.fleet import InFlightRequest
-    from bamboopier_decisions.forwarding.part_store_index import PartStoreIndex, PartPlan
+    from bamboopier_decisions.forwarding.part_store_index import (
+        PartPlan,
+        PartStoreIndex,
+    )
     from bamboopier_decisions.forwarding.prompt import Prompt
     from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 
@@ -59,7 +62,9 @@
         age = now - self._weights.find_published_at(call.prompt.model)
         return round(age, 3) if age < float("inf") else None
 
-    def make_metadata(self, now: float, call: Call, in_flight: InFlightRequest) -> AttemptMetadata:
+    def make_metadata(
+        self, now: float, call: Call, in_flight: InFlightRequest
+    ) -> AttemptMetadata:
         """Return what the target is told beside the caller's own headers."""
         entry = in_flight.state.entry
         workspace = call.workspace
@@ -85,7 +90,9 @@
         if prompt is None:
             return 0
         version = self._weights.find_newest(prompt.model)
-        return self._part_index.count_fetched(now, make_cache_scope(call, version), _list_shared_parts(prompt))
+        return self._part_index.count_fetched(
+            now, make_cache_scope(call, version), _list_shared_parts(prompt)
+        )
 
     def _plan_parts(
         self, now: float, scope: str, version: int, prompt: Prompt | None
--- a/libraries/proxy/src/bamboopier_proxy/configuration_loader.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_loader.py
@@ -21,7 +21,9 @@
 class ConfigurationLoader:
     """Decodes each stored version once and keeps the newest as it was stored."""
 
-    def __init__(self, schema: StoreSchema, active_configuration: ActiveConfiguration) -> None:
+    def __init__(
+        self, schema: StoreSchema, active_configuration: ActiveConfiguration
+    ) -> None:
         self._schema = schema
         self._active_configuration = active_configuration
         # The newest that could be decoded; None before the first.
@@ -49,7 +51,9 @@
             )
             return False
         if found.version == self._revision:
-            self._active_configuration.confirm(self._active_configuration.version, asked_at)
+            self._active_configuration.confirm(
+                self._active_configuration.version, asked_at
+            )
             return True
         if found.version <= self._undecodable_revision:
             return True
@@ -59,10 +63,14 @@
             self._undecodable_revision = found.version
             return True
         self.stored = found
-        self._active_configuration.update(decoded.ok_value, asked_at, read_clock(), len(found.value))
+        self._active_configuration.update(
+            decoded.ok_value, asked_at, read_clock(), len(found.value)
+        )
         return True
 
     def confirm(self, proved_at: float) -> None:
         """Take in that nothing newer had been stored at ``proved_at``."""
         if self._undecodable_revision <= self._revision:
-            self._active_configuration.confirm(self._active_configuration.version, proved_at)
+            self._active_configuration.confirm(
+                self._active_configuration.version, proved_at
+            )
--- a/libraries/proxy/src/bamboopier_proxy/configuration_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_relay.py
@@ -26,8 +26,8 @@
 
     from bamboopier_objects.http_caller import HttpCaller
 
-    from .configuration_loader import ConfigurationLoader
     from .active_configuration import ActiveConfiguration
+    from .configuration_loader import ConfigurationLoader
     from .settings import Endpoint
 
 # Seconds for one call: a configuration has a megabyte at most, and a gateway that does
--- a/libraries/proxy/src/bamboopier_proxy/event_splitter.py
+++ b/libraries/proxy/src/bamboopier_proxy/event_splitter.py
@@ -31,7 +31,10 @@
         if end < 0:
             self._incomplete = data
             return b""
-        complete_events, self._incomplete = data[: end + len(EVENT_END)], data[end + len(EVENT_END) :]
+        complete_events, self._incomplete = (
+            data[: end + len(EVENT_END)],
+            data[end + len(EVENT_END) :],
+        )
         self._record_last_id(complete_events)
         return complete_events
 
@@ -40,5 +43,7 @@
         while start > 0 and complete_events[start - 1 : start] != b"\n":
             start = complete_events.rfind(ID_FIELD, 0, start)
         if start >= 0:
-            line = complete_events[start + len(ID_FIELD) : complete_events.find(b"\n", start)]
+            line = complete_events[
+                start + len(ID_FIELD) : complete_events.find(b"\n", start)
+            ]
             self.last_event = line.strip().decode("latin-1")
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -12,11 +12,11 @@
 from bamboopier_daemon.clock import read_clock
 from bamboopier_decisions.routing.messages import ExecutionStatus
 
-from .target_response import BrokenResponseError
 from .delivery import CallerDisconnectedError
 from .event_splitter import EventSplitter
 from .limit_updates import record_limit
 from .target_pool import ConnectError
+from .target_response import BrokenResponseError
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -25,12 +25,12 @@
 
     from bamboopier_decisions.forwarding.fleet import Fleet, InFlightRequest
 
-    from .target_response import TargetResponse
-    from .weight_expiry_monitor import WeightExpiryMonitor, PendingRequest
     from .delivery import Delivery
     from .header_codec import HeaderCodec
-    from .messages import ResponseMetadata, Call, AttemptMetadata
+    from .messages import AttemptMetadata, Call, ResponseMetadata
     from .target_pool import TargetPool
+    from .target_response import TargetResponse
+    from .weight_expiry_monitor import PendingRequest, WeightExpiryMonitor
 
 # Plain answers up to this size are held until they are whole, so that a broken one
 # becomes an error and not a cut connection.
@@ -88,7 +88,11 @@
     """Sends calls to targets and passes their answers on."""
 
     def __init__(
-        self, pool: TargetPool, fleet: Fleet, codec: HeaderCodec, expiry_monitor: WeightExpiryMonitor
+        self,
+        pool: TargetPool,
+        fleet: Fleet,
+        codec: HeaderCodec,
+        expiry_monitor: WeightExpiryMonitor,
     ) -> None:
         self._pool = pool
         self._fleet = fleet
@@ -113,7 +117,9 @@
         try:
             connection = await self._pool.acquire(entry, recently_used=recently_used)
         except ConnectError as error:
-            return AttemptResult(ExecutionStatus.NOT_EXECUTED, Cause.CONNECT, str(error))
+            return AttemptResult(
+                ExecutionStatus.NOT_EXECUTED, Cause.CONNECT, str(error)
+            )
         # Nothing may be awaited between these checks and the send: a connection takes
         # up to a second, or as long as this process is suspended, and what held before
         # it may not hold any more.
@@ -132,12 +138,16 @@
         with self._expiry_monitor.watch(call, metadata, connection) as pending:
             try:
                 async with asyncio.timeout(call.timeout_at - sent_at):
-                    result = await self._send_and_relay(call, in_flight, pending, delivery)
+                    result = await self._send_and_relay(
+                        call, in_flight, pending, delivery
+                    )
                 done = True
             except TimeoutError:
                 result = AttemptResult(ExecutionStatus.UNKNOWN, Cause.TIMEOUT)
             except BrokenResponseError as error:
-                result = AttemptResult(ExecutionStatus.UNKNOWN, Cause.BROKEN, str(error))
+                result = AttemptResult(
+                    ExecutionStatus.UNKNOWN, Cause.BROKEN, str(error)
+                )
             finally:
                 if done:
                     self._pool.release(entry, connection)
@@ -149,7 +159,11 @@
         return result
 
     async def _send_and_relay(
-        self, call: Call, in_flight: InFlightRequest, pending: PendingRequest, delivery: Delivery
+        self,
+        call: Call,
+        in_flight: InFlightRequest,
+        pending: PendingRequest,
+        delivery: Delivery,
     ) -> AttemptResult:
         started_at = read_clock()
         metadata = pending.metadata
@@ -157,31 +171,44 @@
         response = await pending.connection.send_request(
             request_head, call.body, call.request_id, call.method
         )
-        response_metadata = self._codec.parse_response_headers(response.status, response.headers)
+        response_metadata = self._codec.parse_response_headers(
+            response.status, response.headers
+        )
         self._record_metadata(call, in_flight, response_metadata)
-        if (response_metadata.sealed or response_metadata.not_run) and not response_metadata.misdirected:
-            record_limit(in_flight.state, started_at, response_metadata, call.request_id)
+        if (
+            response_metadata.sealed or response_metadata.not_run
+        ) and not response_metadata.misdirected:
+            record_limit(
+                in_flight.state, started_at, response_metadata, call.request_id
+            )
         if response_metadata.not_run or response_metadata.misdirected:
             await response.read_all(MAX_BUFFERED_BYTES)
-            cause = Cause.MISDIRECTED if response_metadata.misdirected else Cause.NOT_RUN
+            cause = (
+                Cause.MISDIRECTED if response_metadata.misdirected else Cause.NOT_RUN
+            )
             return AttemptResult(
                 ExecutionStatus.NOT_EXECUTED,
                 cause,
                 f"status {response.status}, target {response_metadata.target}",
                 response.status,
                 weight_version=response_metadata.weight_version,
-                wrong_target=bool(response_metadata.target) and response_metadata.target != metadata.target,
+                wrong_target=bool(response_metadata.target)
+                and response_metadata.target != metadata.target,
             )
         if not response_metadata.sealed and response.status < 500:
             detail = f"status {response.status} without a seal"
-            return AttemptResult(ExecutionStatus.UNKNOWN, Cause.UNSEALED, detail, response.status)
+            return AttemptResult(
+                ExecutionStatus.UNKNOWN, Cause.UNSEALED, detail, response.status
+            )
         if call.route.streams and response.status == 200:
             result = await self._relay_stream(
                 call, in_flight, pending, response, delivery, started_at
             )
         else:
             self._expiry_monitor.record_started(pending)
-            result = await self._relay_complete(call, response, response_metadata, delivery, started_at)
+            result = await self._relay_complete(
+                call, response, response_metadata, delivery, started_at
+            )
         result.weight_version = response_metadata.weight_version
         return result
 
@@ -248,14 +275,26 @@
     def _write_head(self, call: Call, metadata: AttemptMetadata) -> bytes:
         lines = [f"{call.method} {call.raw_path} HTTP/1.1", f"Host: {call.host}"]
         lines += [f"{name}: {value}" for name, value in call.headers]
-        lines += [f"{name}: {value}" for name, value in self._codec.format_target_headers(metadata)]
+        lines += [
+            f"{name}: {value}"
+            for name, value in self._codec.format_target_headers(metadata)
+        ]
         if call.body or call.method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
             lines.append(f"Content-Length: {len(call.body)}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
-    def _record_metadata(self, call: Call, in_flight: InFlightRequest, response_metadata: ResponseMetadata) -> None:
+    def _record_metadata(
+        self,
+        call: Call,
+        in_flight: InFlightRequest,
+        response_metadata: ResponseMetadata,
+    ) -> None:
         state = in_flight.state
-        if call.prompt is not None and response_metadata.weight_version and not response_metadata.misdirected:
+        if (
+            call.prompt is not None
+            and response_metadata.weight_version
+            and not response_metadata.misdirected
+        ):
             state.record_version(call.prompt.model, response_metadata.weight_version)
         if response_metadata.cold_seconds > 0:
             state.cold_start.start(read_clock(), response_metadata.cold_seconds)
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -8,13 +8,13 @@
 from result import Err, Ok
 
 from bamboopier_daemon.clock import read_clock
-from bamboopier_decisions.forwarding.specs import RetrySafety
 from bamboopier_decisions.forwarding.placement import choose_target
+from bamboopier_decisions.forwarding.specs import RetrySafety
 from bamboopier_decisions.forwarding.wait_queue import draw_retry_after, find_max_wait
 
+from .attempt_log import AttemptLog
 from .exchange import Cause
 from .refusals import CallerError, ErrorCode, ExecutionStatus
-from .attempt_log import AttemptLog
 
 if TYPE_CHECKING:
     import random
@@ -23,14 +23,17 @@
 
     from bamboopier_decisions.forwarding.fleet import Fleet, InFlightRequest
     from bamboopier_decisions.forwarding.placement import Demand, Placement
-    from bamboopier_decisions.forwarding.shared_retry_budget import SharedRetryBudget, SharedRetryBudgets
+    from bamboopier_decisions.forwarding.shared_retry_budget import (
+        SharedRetryBudget,
+        SharedRetryBudgets,
+    )
 
-    from .delivery import Delivery
-    from .exchange import Exchange, AttemptResult
     from .active_configuration import ActiveConfiguration
-    from .messages import Call, AttemptMetadata
-    from .metrics import ProxyMetrics
     from .attempt_planner import AttemptPlanner
+    from .delivery import Delivery
+    from .exchange import AttemptResult, Exchange
+    from .messages import AttemptMetadata, Call
+    from .metrics import ProxyMetrics
     from .request_queues import RequestQueues
 
 # Sends of one request, those included that a target turned away unrun.
@@ -112,16 +115,22 @@
             if result.ran is not ExecutionStatus.NOT_EXECUTED:
                 runs += 1
                 call.may_have_run = True
-            if not await self._retry_or_finish(call, result, delivery, runs, retry_budget):
+            if not await self._retry_or_finish(
+                call, result, delivery, runs, retry_budget
+            ):
                 return
 
-    async def _send(self, call: Call, in_flight: InFlightRequest, delivery: Delivery) -> AttemptResult:
+    async def _send(
+        self, call: Call, in_flight: InFlightRequest, delivery: Delivery
+    ) -> AttemptResult:
         def prepare() -> Result[AttemptMetadata, Cause]:
             return self._prepare(call, in_flight)
 
         return await self._exchange.send(call, in_flight, prepare, delivery)
 
-    def _prepare(self, call: Call, in_flight: InFlightRequest) -> Result[AttemptMetadata, Cause]:
+    def _prepare(
+        self, call: Call, in_flight: InFlightRequest
+    ) -> Result[AttemptMetadata, Cause]:
         """Return what the target is told, or why nothing may be sent now.
 
         Raises ``CallerError`` once the request's key may have been taken away.
@@ -145,7 +154,9 @@
         if placement.known == 0:
             raise self._refuse(call, ErrorCode.NO_TARGET, placement)
         started_at = read_clock()
-        seconds = find_max_wait(call.route.latency_objective, call.timeout_at - started_at)
+        seconds = find_max_wait(
+            call.route.latency_objective, call.timeout_at - started_at
+        )
         self._check_limits(call, placement, started_at + seconds)
 
         def try_acquire() -> InFlightRequest | None:
@@ -174,7 +185,9 @@
         if limited.count == 0 or not limited.covers_all:
             return
         before = self._request_queues.count_before(call.service, call.priority)
-        turn = limited.next_at + before / max(limited.gateway_rate, MIN_LIMIT_SHARE_PER_SECOND)
+        turn = limited.next_at + before / max(
+            limited.gateway_rate, MIN_LIMIT_SHARE_PER_SECOND
+        )
         if turn > latest:
             raise self._refuse(call, ErrorCode.OVERLOADED, placement)
 
@@ -182,7 +195,13 @@
         now = read_clock()
         allowed_weights = self._planner.find_allowed_weights(now, call)
         return choose_target(
-            now, self._fleet, demand, tried, allowed_weights, self._data_centre, self._random
+            now,
+            self._fleet,
+            demand,
+            tried,
+            allowed_weights,
+            self._data_centre,
+            self._random,
         )
 
     def _refuse(self, call: Call, code: ErrorCode, placement: Placement) -> CallerError:
@@ -199,11 +218,19 @@
             tried=call.tried,
         )
         if call.may_have_run:
-            return CallerError(ErrorCode.OUTCOME_UNKNOWN, code.value, ExecutionStatus.UNKNOWN)
+            return CallerError(
+                ErrorCode.OUTCOME_UNKNOWN, code.value, ExecutionStatus.UNKNOWN
+            )
         limited = placement.limited
-        seconds_to_capacity = limited.next_at - now if limited.covers_all and limited.count else 0.0
-        wait = draw_retry_after(call.timeout_at - now, self._random, seconds_to_capacity)
-        return CallerError(code, "no target has room", ExecutionStatus.NOT_EXECUTED, wait)
+        seconds_to_capacity = (
+            limited.next_at - now if limited.covers_all and limited.count else 0.0
+        )
+        wait = draw_retry_after(
+            call.timeout_at - now, self._random, seconds_to_capacity
+        )
+        return CallerError(
+            code, "no target has room", ExecutionStatus.NOT_EXECUTED, wait
+        )
 
     def _check_freshness(self, call: Call, now: float) -> None:
         """Refuse a request with a key once the key may have been taken away."""
@@ -213,7 +240,9 @@
             return
         if call.may_have_run:
             message = "the configuration became too old to send this again"
-            raise CallerError(ErrorCode.OUTCOME_UNKNOWN, message, ExecutionStatus.UNKNOWN)
+            raise CallerError(
+                ErrorCode.OUTCOME_UNKNOWN, message, ExecutionStatus.UNKNOWN
+            )
         raise make_stale_configuration_error(self._active_configuration, now)
 
     def _check_quarantine(self, call: Call) -> None:
@@ -221,9 +250,13 @@
         wait = self._quarantine.find_wait(call.fingerprint)
         if wait > 0:
             message = "this request broke the targets that ran it"
-            raise CallerError(ErrorCode.OVERLOADED, message, ExecutionStatus.NOT_EXECUTED, wait)
+            raise CallerError(
+                ErrorCode.OVERLOADED, message, ExecutionStatus.NOT_EXECUTED, wait
+            )
 
-    def _record_outcome(self, call: Call, in_flight: InFlightRequest, result: AttemptResult) -> None:
+    def _record_outcome(
+        self, call: Call, in_flight: InFlightRequest, result: AttemptResult
+    ) -> None:
         """Take in what a send says of its target."""
         state = in_flight.state
         now = read_clock()
@@ -278,7 +311,9 @@
         # The caller may wait longer than its route allows, and come back.
         end = call.timeout_at if now < call.timeout_at else call.deadline
         wait = draw_retry_after(max(0.0, end - now), self._random)
-        raise CallerError(ErrorCode.OVERLOADED, result.cause.value, ExecutionStatus.NOT_EXECUTED, wait)
+        raise CallerError(
+            ErrorCode.OVERLOADED, result.cause.value, ExecutionStatus.NOT_EXECUTED, wait
+        )
 
     def _may_retry(
         self, call: Call, result: AttemptResult, delivery: Delivery, runs: int
@@ -300,8 +335,12 @@
                 return False
 
 
-def make_stale_configuration_error(active_configuration: ActiveConfiguration, now: float) -> CallerError:
+def make_stale_configuration_error(
+    active_configuration: ActiveConfiguration, now: float
+) -> CallerError:
     """Return the refusal for keys that may have been taken away meanwhile."""
     age = active_configuration.currency.find_age(now)
     message = f"the configuration was last confirmed {age:.1f} s ago"
-    return CallerError(ErrorCode.STALE_CONFIGURATION, message, ExecutionStatus.NOT_EXECUTED, 1.0)
+    return CallerError(
+        ErrorCode.STALE_CONFIGURATION, message, ExecutionStatus.NOT_EXECUTED, 1.0
+    )
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -20,7 +20,7 @@
 from bamboopier_daemon.process_metrics import add_process_metrics
 from bamboopier_daemon.stopping import StopSignals
 
-from .weight_expiry_monitor import WeightExpiryMonitor
+from .attempt_planner import AttemptPlanner
 from .caller_listener import CallerListener, serve_readiness
 from .exchange import Exchange
 from .forwarder import Forwarder
@@ -29,10 +29,10 @@
 from .ingress import Ingress
 from .metrics import ProxyMetrics
 from .pause_monitor import PauseMonitor
-from .attempt_planner import AttemptPlanner
 from .settings_reloader import SettingsReloader
 from .store_followers import StoreFollowers
 from .target_pool import TargetPool
+from .weight_expiry_monitor import WeightExpiryMonitor
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -84,7 +84,12 @@
         generator,
     )
     ingress = Ingress(
-        codec, state.active_configuration, forwarder, metrics, settings.memory_bytes, generator
+        codec,
+        state.active_configuration,
+        forwarder,
+        metrics,
+        settings.memory_bytes,
+        generator,
     )
     settings_reloader = SettingsReloader(settings, read_settings, state.apply_settings)
 
@@ -127,7 +132,9 @@
             readiness = await serve_readiness(settings.readiness, is_ready)
             stack.callback(readiness.close)
             listener = await stack.enter_async_context(
-                CallerListener(settings.callers, ingress.handle, state.find_caller_limits)
+                CallerListener(
+                    settings.callers, ingress.handle, state.find_caller_limits
+                )
             )
             log.info("gateway started", vm=settings.vm, listen=str(settings.callers))
             await signals.wait_for_first()
--- a/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
@@ -10,12 +10,12 @@
 
 from . import configuration_relay, part_relay
 from .configuration_relay import ConfigurationRelay
+from .gateway_registry import GatewayEntry, GatewayRegistry
 from .hint_exchange import HintExchange
 from .limit_records import LimitRecords
 from .part_follower import PartFollower
 from .part_relay import PartRelay
 from .peer_server import PeerServer
-from .gateway_registry import GatewayEntry, GatewayRegistry
 from .settings import Endpoint
 
 if TYPE_CHECKING:
@@ -61,7 +61,9 @@
             state.loader, state.active_configuration, self._caller
         )
         relay = PartRelay(state.kept, self._caller)
-        self._parts = PartFollower(part_store_client, state.kept, relay, self._registry, random)
+        self._parts = PartFollower(
+            part_store_client, state.kept, relay, self._registry, random
+        )
         self._limits = LimitRecords(
             store, schema.rate_limits_prefix, state.fleet, self._registry
         )
@@ -87,7 +89,12 @@
         self._stack = AsyncExitStack()
 
     async def __aenter__(self) -> Self:
-        for part in (self._caller, self._configuration_relay, self._server, self.hint_exchange):
+        for part in (
+            self._caller,
+            self._configuration_relay,
+            self._server,
+            self.hint_exchange,
+        ):
             await self._stack.enter_async_context(part)
         return self
 
@@ -102,7 +109,9 @@
     def list_coroutines(self) -> list[Coroutine[Any, Any, None]]:
         """Return what has to run until the gateway stops."""
         settings = self._settings
-        entry = GatewayEntry(settings.host, settings.first_port, self.hint_exchange.started_ms)
+        entry = GatewayEntry(
+            settings.host, settings.first_port, self.hint_exchange.started_ms
+        )
         return [
             self._registry.register(settings.vm, entry),
             self._registry.run(),
--- a/libraries/proxy/src/bamboopier_proxy/gateway_registry.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_registry.py
@@ -193,7 +193,9 @@
 
     def _drop_silent(self) -> None:
         now = self._read_run_time()
-        silent = [n for n in self._peers if now - self._last_hint_at[n] >= SILENT_SECONDS]
+        silent = [
+            n for n in self._peers if now - self._last_hint_at[n] >= SILENT_SECONDS
+        ]
         for name in silent:
             del self._peers[name]
             log.info("gateway silent", gateway=name)
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -8,18 +8,18 @@
 
 from bamboopier_decisions.forwarding.fleet import Fleet
 from bamboopier_decisions.forwarding.part_store_index import PartStoreIndex
-from bamboopier_decisions.forwarding.specs import CallerLimits
 from bamboopier_decisions.forwarding.shared_retry_budget import SharedRetryBudgets
+from bamboopier_decisions.forwarding.specs import CallerLimits
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 
-from .configuration_loader import ConfigurationLoader
 from .active_configuration import ActiveConfiguration
-from .store_availability import StoreAvailability
+from .configuration_loader import ConfigurationLoader
 from .request_queues import RequestQueues
+from .store_availability import StoreAvailability
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.specs import DeclaredConfiguration
     from bamboopier_decisions.forwarding.pause_tracker import PauseTracker
+    from bamboopier_decisions.forwarding.specs import DeclaredConfiguration
 
     from .settings import ProxySettings
     from .store_schema import StoreSchema
@@ -46,7 +46,9 @@
         self.shares = SharedRetryBudgets(settings.retries)
         self.availability = StoreAvailability()
         self.request_queues = RequestQueues()
-        self.active_configuration = ActiveConfiguration(settings.key_seconds, self._apply)
+        self.active_configuration = ActiveConfiguration(
+            settings.key_seconds, self._apply
+        )
         self.loader = ConfigurationLoader(schema, self.active_configuration)
         self._services: tuple[str, ...] = ()
 
--- a/libraries/proxy/src/bamboopier_proxy/header_codec.py
+++ b/libraries/proxy/src/bamboopier_proxy/header_codec.py
@@ -9,7 +9,7 @@
 
     from result import Result
 
-    from .messages import ResponseMetadata, RequestMetadata, HeaderList, AttemptMetadata
+    from .messages import AttemptMetadata, HeaderList, RequestMetadata, ResponseMetadata
 
 
 class HeaderCodec(Protocol):
--- a/libraries/proxy/src/bamboopier_proxy/hint_exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/hint_exchange.py
@@ -21,12 +21,12 @@
 from .hint_socket import HintSocket
 from .hints import (
     CrashHint,
+    FreshnessRequest,
+    FreshnessResponse,
     Hint,
     LoadHint,
-    WeightLoadHint,
-    FreshnessResponse,
-    FreshnessRequest,
     TargetLoadHint,
+    WeightLoadHint,
     encode,
 )
 from .limit_hints import LimitHints
@@ -155,7 +155,12 @@
         busy = [s for s in states if s is not None and s.own_load.requests]
         busy.sort(key=lambda s: -s.own_load.requests)
         return [
-            TargetLoadHint(s.entry.name, s.own_load.requests, s.own_load.memory, s.own_load.pending_prefill)
+            TargetLoadHint(
+                s.entry.name,
+                s.own_load.requests,
+                s.own_load.memory,
+                s.own_load.pending_prefill,
+            )
             for s in busy[:MAX_TARGETS]
         ]
 
@@ -167,7 +172,11 @@
 
     def _request_freshness(self) -> None:
         now = read_clock()
-        old = [n for n, at in self._freshness_requests.items() if now - at > FRESHNESS_TIMEOUT_SECONDS]
+        old = [
+            n
+            for n, at in self._freshness_requests.items()
+            if now - at > FRESHNESS_TIMEOUT_SECONDS
+        ]
         for nonce in old:
             del self._freshness_requests[nonce]
         if self._active_configuration.version == 0:
@@ -224,7 +233,9 @@
             short_ms=hint.short_ms,
         )
 
-    def _handle_freshness_request(self, request: FreshnessRequest, sender: tuple[str, int]) -> None:
+    def _handle_freshness_request(
+        self, request: FreshnessRequest, sender: tuple[str, int]
+    ) -> None:
         age = self._active_configuration.currency.find_age(read_clock())
         if age > MAX_FRESH_SECONDS * 3 or self._active_configuration.version == 0:
             return
@@ -234,14 +245,18 @@
         )
         self._socket.send(answer, Endpoint(*sender))
 
-    def _handle_freshness_response(self, answer: FreshnessResponse, sender: tuple[str, int]) -> None:
+    def _handle_freshness_response(
+        self, answer: FreshnessResponse, sender: tuple[str, int]
+    ) -> None:
         sent_at = self._freshness_requests.get(answer.nonce)
         if sent_at is None:
             return
         if answer.version > self._active_configuration.version:
             self._on_newer(Endpoint(*sender))
             return
-        self._active_configuration.confirm(answer.version, sent_at - answer.age_ms / 1000)
+        self._active_configuration.confirm(
+            answer.version, sent_at - answer.age_ms / 1000
+        )
 
     def _apply_loads(self) -> None:
         now = read_clock()
@@ -252,5 +267,9 @@
                 continue
             for load_hint in hint.loads:
                 load = loads.setdefault(load_hint.target, Load())
-                load.add(Load(load_hint.requests, load_hint.memory, load_hint.pending_prefill))
+                load.add(
+                    Load(
+                        load_hint.requests, load_hint.memory, load_hint.pending_prefill
+                    )
+                )
         self._fleet.set_other_loads(loads)
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -23,12 +23,12 @@
 
     from aiohttp import web
 
-    from bamboopier_decisions.forwarding.specs import Route, Workspace
     from bamboopier_decisions.forwarding.route_table import RouteTable
+    from bamboopier_decisions.forwarding.specs import Route, Workspace
 
-    from .header_codec import HeaderCodec
-    from .forwarder import Forwarder
     from .active_configuration import ActiveConfiguration
+    from .forwarder import Forwarder
+    from .header_codec import HeaderCodec
     from .messages import RequestMetadata
     from .metrics import ProxyMetrics
 
@@ -102,7 +102,9 @@
             raise
         except Exception:
             log.exception("request failed", request_id=trace.request_id)
-            ran = ExecutionStatus.UNKNOWN if trace.sent else ExecutionStatus.NOT_EXECUTED
+            ran = (
+                ExecutionStatus.UNKNOWN if trace.sent else ExecutionStatus.NOT_EXECUTED
+            )
             fault = CallerError(ErrorCode.INTERNAL, "internal error", ran)
             await self._send_error(request, delivery, trace, fault)
         finally:
@@ -124,12 +126,20 @@
     ) -> None:
         if self.refusing:
             message = "this process is stopping"
-            raise CallerError(ErrorCode.STOPPING, message, ExecutionStatus.NOT_EXECUTED, STOPPING_RETRY_SECONDS)
+            raise CallerError(
+                ErrorCode.STOPPING,
+                message,
+                ExecutionStatus.NOT_EXECUTED,
+                STOPPING_RETRY_SECONDS,
+            )
         table = self._active_configuration.table
         if table is None:
             message = "no configuration is known yet"
             raise CallerError(
-                ErrorCode.STALE_CONFIGURATION, message, ExecutionStatus.NOT_EXECUTED, STARTING_RETRY_SECONDS
+                ErrorCode.STALE_CONFIGURATION,
+                message,
+                ExecutionStatus.NOT_EXECUTED,
+                STARTING_RETRY_SECONDS,
             )
         metadata = self._parse_metadata(request, trace)
         path = request.raw_path.partition("?")[0]
@@ -147,7 +157,9 @@
         trace.call = call
         await self._forwarder.forward(call, delivery)
 
-    def _parse_metadata(self, request: web.BaseRequest, trace: _RequestTrace) -> RequestMetadata:
+    def _parse_metadata(
+        self, request: web.BaseRequest, trace: _RequestTrace
+    ) -> RequestMetadata:
         read = self._codec.parse_request_headers(request.headers.items())
         if isinstance(read, Err):
             raise CallerError(ErrorCode.BAD_REQUEST, read.err_value)
@@ -181,7 +193,9 @@
         arrived: float,
     ) -> Call:
         wait_seconds = metadata.deadline_seconds
-        deadline = arrived + (DEFAULT_DEADLINE_SECONDS if wait_seconds is None else wait_seconds)
+        deadline = arrived + (
+            DEFAULT_DEADLINE_SECONDS if wait_seconds is None else wait_seconds
+        )
         priority = route.priority
         if workspace is not None and workspace.priority is not None:
             priority = workspace.priority
@@ -232,7 +246,9 @@
         except CallerDisconnectedError as gone:
             trace.outcome += f"; caller gone: {gone}"
 
-    def _log_request(self, delivery: Delivery, trace: _RequestTrace, arrived: float) -> None:
+    def _log_request(
+        self, delivery: Delivery, trace: _RequestTrace, arrived: float
+    ) -> None:
         status = delivery.response.status if delivery.started else 0
         self._metrics.requests.labels(trace.route, status).inc()
         call = trace.call
--- a/libraries/proxy/src/bamboopier_proxy/limit_hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_hints.py
@@ -41,7 +41,8 @@
         reported = [
             state
             for state in states
-            if state is not None and now - state.rate_limit.last_response_at < REPEAT_SECONDS
+            if state is not None
+            and now - state.rate_limit.last_response_at < REPEAT_SECONDS
         ]
         if len(reported) > MAX_TARGETS:
             reported = self._random.sample(reported, MAX_TARGETS)
--- a/libraries/proxy/src/bamboopier_proxy/limit_records.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_records.py
@@ -58,7 +58,9 @@
 class LimitRecords:
     """Entries below a prefix, one for each target in need."""
 
-    def __init__(self, store: Store, prefix: str, fleet: Fleet, registry: GatewayRegistry) -> None:
+    def __init__(
+        self, store: Store, prefix: str, fleet: Fleet, registry: GatewayRegistry
+    ) -> None:
         self._store = store
         self._prefix = prefix
         self._fleet = fleet
@@ -144,7 +146,9 @@
             reason = str(removed.err_value)
             log.warning("limit not removed", target=name, reason=reason)
 
-    def _handle_failure(self, name: str, entry: LimitEntry, error: PlatformError) -> None:
+    def _handle_failure(
+        self, name: str, entry: LimitEntry, error: PlatformError
+    ) -> None:
         """Take in why nothing was written; the next look tries again."""
         if isinstance(error, VersionConflictError):
             # Another start's, or a former writer's, which this one replaces.
--- a/libraries/proxy/src/bamboopier_proxy/messages.py
+++ b/libraries/proxy/src/bamboopier_proxy/messages.py
@@ -8,8 +8,8 @@
 
 if TYPE_CHECKING:
     from bamboopier_decisions.forwarding.part_store_index import PartPlan
-    from bamboopier_decisions.forwarding.specs import Route, Workspace
     from bamboopier_decisions.forwarding.prompt import Prompt
+    from bamboopier_decisions.forwarding.specs import Route, Workspace
 
 HeaderList = tuple[tuple[str, str], ...]
 
--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -14,8 +14,8 @@
     from collections.abc import Callable
 
     from bamboopier_decisions.forwarding.fleet import Fleet
-    from bamboopier_decisions.forwarding.specs import TargetEntry
     from bamboopier_decisions.forwarding.pause_tracker import PauseTracker
+    from bamboopier_decisions.forwarding.specs import TargetEntry
     from bamboopier_decisions.forwarding.weight_versions import WeightVersions
     from bamboopier_objects.objects import ChangedObject, Listing
 
@@ -176,7 +176,9 @@
             log.warning("entry set aside", key=key, reason=decoded.err_value)
             return
         named = decoded.ok_value
-        if not self._weights.record_published(named.model, named.version, since, guessed=guessed):
+        if not self._weights.record_published(
+            named.model, named.version, since, guessed=guessed
+        ):
             return
         age = read_clock() - self._weights.find_published_at(named.model)
         log.info(
--- a/libraries/proxy/src/bamboopier_proxy/part_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_follower.py
@@ -18,10 +18,13 @@
 if TYPE_CHECKING:
     import random
 
-    from bamboopier_decisions.forwarding.part_store_index import PartStoreIndex, PartUpdate
+    from bamboopier_decisions.forwarding.part_store_index import (
+        PartStoreIndex,
+        PartUpdate,
+    )
 
-    from .part_relay import PartRelay
     from .gateway_registry import GatewayRegistry
+    from .part_relay import PartRelay
 
 # Seconds a question waits for news; stores charge for shorter ones than 0.2 s.
 POLL_TIMEOUT_SECONDS = 0.4
@@ -126,7 +129,9 @@
         answered = False
         while True:
             sent_at = read_clock()
-            answer = await self._client.read_updates(address, position, POLL_TIMEOUT_SECONDS)
+            answer = await self._client.read_updates(
+                address, position, POLL_TIMEOUT_SECONDS
+            )
             store = self._kept.find(address)
             if store is None:
                 return
--- a/libraries/proxy/src/bamboopier_proxy/part_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_relay.py
@@ -20,7 +20,10 @@
 from bamboopier_decisions.forwarding.part_store_index import PartChange, PartUpdate
 
 if TYPE_CHECKING:
-    from bamboopier_decisions.forwarding.part_store_index import PartStoreIndex, PartStore
+    from bamboopier_decisions.forwarding.part_store_index import (
+        PartStore,
+        PartStoreIndex,
+    )
     from bamboopier_objects.http_caller import HttpCaller
 
     from .settings import Endpoint
@@ -134,7 +137,9 @@
         self._positions[found.address] = found.position
 
 
-def _make_update(now: float, store: PartStore, known: UpdatePosition | None) -> StoreUpdate:
+def _make_update(
+    now: float, store: PartStore, known: UpdatePosition | None
+) -> StoreUpdate:
     changes = None
     if known is not None and known.epoch == store.epoch:
         changes = store.list_changes(known.position)
--- a/libraries/proxy/src/bamboopier_proxy/publish_times.py
+++ b/libraries/proxy/src/bamboopier_proxy/publish_times.py
@@ -95,7 +95,11 @@
     that removed old entries first would not be ready until the store has taken all.
     """
     await publish_times.read_entries()
-    await asyncio.gather(follower.run(), publish_times.retry_unknown(follower.loaded), publish_times.clean_up_later())
+    await asyncio.gather(
+        follower.run(),
+        publish_times.retry_unknown(follower.loaded),
+        publish_times.clean_up_later(),
+    )
 
 
 class PublishTimes:
@@ -203,7 +207,9 @@
             guessed=entry.guessed,
         )
 
-    async def _remove_all_but_newest(self, entries: list[tuple[int, StoredObject]]) -> None:
+    async def _remove_all_but_newest(
+        self, entries: list[tuple[int, StoredObject]]
+    ) -> None:
         """Remove entries of a model whose time is long over, but for the newest.
 
         That one still says that what is older may not serve. Nothing in the store
--- a/libraries/proxy/src/bamboopier_proxy/request_queues.py
+++ b/libraries/proxy/src/bamboopier_proxy/request_queues.py
@@ -59,7 +59,9 @@
         """
         queue = self._queues.setdefault(service, WaitQueue())
         ticket = queue.add(priority)
-        acquired: asyncio.Future[InFlightRequest] = asyncio.get_running_loop().create_future()
+        acquired: asyncio.Future[InFlightRequest] = (
+            asyncio.get_running_loop().create_future()
+        )
         self._pending[service, ticket] = _PendingRequest(try_acquire, acquired)
         try:
             async with asyncio.timeout(seconds):
--- a/libraries/proxy/src/bamboopier_proxy/store_availability.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_availability.py
@@ -22,7 +22,13 @@
 class StoreAvailability:
     """Remembers the store's last return."""
 
-    __slots__ = ("_first_failed_at", "_resumed_at", "_recovered_at", "_last_accepted_at", "_pending")
+    __slots__ = (
+        "_first_failed_at",
+        "_resumed_at",
+        "_recovered_at",
+        "_last_accepted_at",
+        "_pending",
+    )
 
     def __init__(self) -> None:
         # The last time at which the store is known to have taken a call.
--- a/libraries/proxy/src/bamboopier_proxy/store_followers.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_followers.py
@@ -45,7 +45,9 @@
     ) -> None:
         self._store = MonitoredStore(store, state.availability)
         self._random = random
-        self._publish_times = PublishTimes(store, schema.publish_times_prefix, state.weights, random)
+        self._publish_times = PublishTimes(
+            store, schema.publish_times_prefix, state.weights, random
+        )
         self._configuration = ConfigurationFollower(
             store, schema, state.loader, state.availability, random
         )
--- a/libraries/proxy/src/bamboopier_proxy/target_connection.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_connection.py
@@ -16,7 +16,7 @@
 
 import httptools
 
-from .target_response import TargetResponse, BrokenResponseError
+from .target_response import BrokenResponseError, TargetResponse
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -97,7 +97,13 @@
         unsent = transport is not None and transport.get_write_buffer_size() > 0
         self._pending_response = None
         self._response = None
-        if not complete or unsent or self._protocol_violated or not self._keep_alive or self._closed:
+        if (
+            not complete
+            or unsent
+            or self._protocol_violated
+            or not self._keep_alive
+            or self._closed
+        ):
             self.abort()
             return False
         self.idle_since = self._read_clock()
@@ -123,7 +129,9 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse; anything that comes while no answer is due spoils the connection."""
-        if self._pending_response is None or (self._response is not None and self._response.complete):
+        if self._pending_response is None or (
+            self._response is not None and self._response.complete
+        ):
             self._reject_unexpected_data()
             return
         try:
@@ -140,7 +148,12 @@
         """
         socket_error = self._find_socket_error()
         unknown_length = self._response is not None and not self._length_known
-        if self._response is not None and unknown_length and not self._skipping and not socket_error:
+        if (
+            self._response is not None
+            and unknown_length
+            and not self._skipping
+            and not socket_error
+        ):
             self._response.finish()
         self._fail(socket_error or "the connection was closed")
         return False
@@ -169,7 +182,11 @@
             return
         response_request_id = self._find_header(self._id_header)
         # A success without an id cannot be told from another request's answer.
-        is_foreign = response_request_id != self._request_id if response_request_id else status < 300
+        is_foreign = (
+            response_request_id != self._request_id
+            if response_request_id
+            else status < 300
+        )
         if is_foreign:
             self._skip_response()
             return
@@ -177,7 +194,9 @@
         self._length_known = self._is_length_known(status)
         self._keep_alive = self._parser.should_keep_alive() and self._length_known
         self._record_idle_limit()
-        self._response = TargetResponse(status, tuple(self._headers), self._set_reading_paused)
+        self._response = TargetResponse(
+            status, tuple(self._headers), self._set_reading_paused
+        )
         if self._pending_response is not None and not self._pending_response.done():
             self._pending_response.set_result(self._response)
         if self._method == "HEAD":
@@ -186,7 +205,11 @@
 
     def on_body(self, body: bytes) -> None:
         """Take a piece of the body."""
-        if self._response is not None and not self._skipping and not self._protocol_violated:
+        if (
+            self._response is not None
+            and not self._skipping
+            and not self._protocol_violated
+        ):
             self._response.feed(body)
 
     def on_message_complete(self) -> None:
--- a/libraries/proxy/src/bamboopier_proxy/target_directory.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_directory.py
@@ -16,9 +16,7 @@
 class TargetDirectory:
     """Reads the registered targets of one service when they are needed."""
 
-    def __init__(
-        self, store: FollowedStore, schema: StoreSchema, service: str
-    ) -> None:
+    def __init__(self, store: FollowedStore, schema: StoreSchema, service: str) -> None:
         self._store = store
         self._schema = schema
         self._service = service
--- a/libraries/proxy/src/bamboopier_proxy/target_pool.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_pool.py
@@ -56,7 +56,9 @@
             for connection in connections:
                 connection.abort()
 
-    async def acquire(self, entry: TargetEntry, *, recently_used: bool) -> TargetConnection:
+    async def acquire(
+        self, entry: TargetEntry, *, recently_used: bool
+    ) -> TargetConnection:
         """Return a connection; raises ``ConnectError``.
 
         ``recently_used`` asks for one that was used a moment ago, or a new one.
@@ -83,9 +85,7 @@
         else:
             self._close(key, connection)
 
-    def release_unused(
-        self, entry: TargetEntry, connection: TargetConnection
-    ) -> None:
+    def release_unused(self, entry: TargetEntry, connection: TargetConnection) -> None:
         """Keep a connection on which nothing was sent."""
         connection.idle_since = read_clock()
         self._idle.setdefault((entry.name, entry.started_ms), []).append(connection)
--- a/libraries/proxy/src/bamboopier_proxy/weight_expiry_monitor.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_expiry_monitor.py
@@ -24,7 +24,7 @@
 
     from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 
-    from .messages import Call, AttemptMetadata
+    from .messages import AttemptMetadata, Call
     from .target_connection import TargetConnection
 
 # Seconds between two looks at what waits.
--- a/libraries/proxy/src/bamboopier_proxy/weight_load_announcer.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_load_announcer.py
@@ -8,12 +8,12 @@
 
 from bamboopier_daemon.clock import read_clock
 
-from .hints import WeightLoadHint
 from .gateway_registry import list_gateways
+from .hints import WeightLoadHint
 
 if TYPE_CHECKING:
-    from .hint_socket import HintSocket
     from .gateway_registry import GatewayEntry
+    from .hint_socket import HintSocket
     from .store_schema import Store
 
 # Seconds for which a hint holds. It is told again in half of that while it is true, so
--- a/libraries/proxy/src/bamboopier_proxy/weight_updater.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_updater.py
@@ -17,8 +17,11 @@
 from result import Err, Ok
 
 from bamboopier_daemon.clock import read_clock
+from bamboopier_decisions.forwarding.rollout_order import (
+    count_concurrent_loads,
+    find_wave_delay,
+)
 from bamboopier_decisions.forwarding.weight_load_drain import WeightLoadDrain
-from bamboopier_decisions.forwarding.rollout_order import count_concurrent_loads, find_wave_delay
 
 from .target_orders import OrderError, WeightOrder
 
@@ -29,10 +32,10 @@
     from bamboopier_agent.load_slots import LoadSlots
     from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 
-    from .weight_load_announcer import WeightLoadAnnouncer
     from .settings import Endpoint
     from .target_directory import TargetDirectory
     from .target_orders import TargetOrders, TargetReport
+    from .weight_load_announcer import WeightLoadAnnouncer
 
 # Seconds between two looks at the target while nothing is to be done: it may have come
 # back with older weights. Its report costs nothing on its own machine.
@@ -119,7 +122,9 @@
         )
         if not await self._is_drained(wanted, report):
             return True
-        async with self._slots.take(count_concurrent_loads(self._directory.count)) as slot:
+        async with self._slots.take(
+            count_concurrent_loads(self._directory.count)
+        ) as slot:
             if slot is None:
                 return True
             await self._load(wanted, slot)
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -8,6 +8,11 @@
 
 from bamboopier_decisions.forwarding.fleet import Fleet
 from bamboopier_decisions.forwarding.part_store_index import PartStoreIndex
+from bamboopier_decisions.forwarding.prompt import Prompt, PromptPart
+from bamboopier_decisions.forwarding.shared_retry_budget import (
+    RetryBudgetLimits,
+    SharedRetryBudgets,
+)
 from bamboopier_decisions.forwarding.specs import (
     CallerLimits,
     DeclaredConfiguration,
@@ -19,18 +24,16 @@
     WeightedService,
     Workspace,
 )
-from bamboopier_decisions.forwarding.prompt import Prompt, PromptPart
-from bamboopier_decisions.forwarding.shared_retry_budget import RetryBudgetLimits, SharedRetryBudgets
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
-from bamboopier_proxy.target_response import TargetResponse
-from bamboopier_proxy.weight_expiry_monitor import WeightExpiryMonitor
+from bamboopier_proxy.active_configuration import ActiveConfiguration
+from bamboopier_proxy.attempt_planner import AttemptPlanner
 from bamboopier_proxy.exchange import Exchange
 from bamboopier_proxy.forwarder import Forwarder
-from bamboopier_proxy.active_configuration import ActiveConfiguration
-from bamboopier_proxy.messages import ResponseMetadata, Call, AttemptMetadata
+from bamboopier_proxy.messages import AttemptMetadata, Call, ResponseMetadata
 from bamboopier_proxy.metrics import ProxyMetrics
-from bamboopier_proxy.attempt_planner import AttemptPlanner
 from bamboopier_proxy.request_queues import RequestQueues
+from bamboopier_proxy.target_response import TargetResponse
+from bamboopier_proxy.weight_expiry_monitor import WeightExpiryMonitor
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -80,7 +83,9 @@
 class StubCodec:
     """Writes what a target is told as plain headers; all answers are whole."""
 
-    def format_target_headers(self, metadata: AttemptMetadata) -> tuple[tuple[str, str], ...]:
+    def format_target_headers(
+        self, metadata: AttemptMetadata
+    ) -> tuple[tuple[str, str], ...]:
         return (
             ("Seconds-Left", f"{metadata.remaining_seconds:.3f}"),
             ("Wanted-Weights", str(metadata.weight_version)),
@@ -99,7 +104,9 @@
         self.pool = StubPool(lambda: self.on_connect())
         self.weights = WeightVersions(VERSION_SECONDS)
         self.active_configuration = ActiveConfiguration(KEY_SECONDS, lambda _: None)
-        self.active_configuration.update(make_declared(), self.clock.now, self.clock.now)
+        self.active_configuration.update(
+            make_declared(), self.clock.now, self.clock.now
+        )
         self.fleet = Fleet()
         self.fleet.set_services(make_declared().services)
         self.fleet.put(self.clock.now, make_entry())
@@ -112,7 +119,10 @@
             self.active_configuration,
             AttemptPlanner(self.weights, PartStoreIndex()),
             Exchange(
-                cast("Any", self.pool), self.fleet, codec, WeightExpiryMonitor(self.weights)
+                cast("Any", self.pool),
+                self.fleet,
+                codec,
+                WeightExpiryMonitor(self.weights),
             ),
             RequestQueues(),
             ProxyMetrics(),
--- a/libraries/proxy/tests/test_active_configuration.py
+++ b/libraries/proxy/tests/test_active_configuration.py
@@ -16,7 +16,9 @@
 class ActiveConfigurationTests(unittest.TestCase):
     def setUp(self) -> None:
         self.applied: list[int] = []
-        self.active_configuration = ActiveConfiguration(5.0, lambda d: self.applied.append(d.version))
+        self.active_configuration = ActiveConfiguration(
+            5.0, lambda d: self.applied.append(d.version)
+        )
         patch = mock.patch("bamboopier_proxy.active_configuration.log")
         patch.start()
         self.addCleanup(patch.stop)
--- a/libraries/proxy/tests/test_attempts.py
+++ b/libraries/proxy/tests/test_attempts.py
@@ -88,7 +88,9 @@
         # a second more. The connection takes 0.9 s, and a caller was answered on
         # weights that were to serve no longer.
         now = self.harness.clock.now
-        self.harness.weights.record_published(MODEL, 2, now - VERSION_SECONDS + 2.6 + 0.5)
+        self.harness.weights.record_published(
+            MODEL, 2, now - VERSION_SECONDS + 2.6 + 0.5
+        )
         self.advance_while_connecting(0.9)
         error = await self.expect_refusal(keyed=False, prompt=True)
         self.assertIs(error.ran, ExecutionStatus.NOT_EXECUTED)
--- a/libraries/proxy/tests/test_configuration_loader.py
+++ b/libraries/proxy/tests/test_configuration_loader.py
@@ -10,8 +10,8 @@
 
 from bamboopier_decisions.forwarding.specs import CallerLimits, DeclaredConfiguration
 from bamboopier_objects.objects import StoredObject
-from bamboopier_proxy.configuration_loader import ConfigurationLoader
 from bamboopier_proxy.active_configuration import ActiveConfiguration
+from bamboopier_proxy.configuration_loader import ConfigurationLoader
 
 if TYPE_CHECKING:
     from bamboopier_proxy.store_schema import StoreSchema
--- a/libraries/proxy/tests/test_delivery.py
+++ b/libraries/proxy/tests/test_delivery.py
@@ -24,7 +24,9 @@
 
 
 class DisconnectingCallerTests(unittest.IsolatedAsyncioTestCase):
-    async def test_disconnecting_after_the_last_byte_completes_the_response(self) -> None:
+    async def test_disconnecting_after_the_last_byte_completes_the_response(
+        self,
+    ) -> None:
         # The caller has the whole answer and closes, which cancels the task in its
         # final write. The task goes on: it has to keep the target's connection and
         # count the answer.
--- a/libraries/proxy/tests/test_exchange.py
+++ b/libraries/proxy/tests/test_exchange.py
@@ -13,9 +13,9 @@
 
 from bamboopier_daemon.clock import read_clock
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
-from bamboopier_proxy.weight_expiry_monitor import WeightExpiryMonitor
 from bamboopier_proxy.delivery import CallerDisconnectedError, Delivery
-from bamboopier_proxy.exchange import Exchange, AttemptResult
+from bamboopier_proxy.exchange import AttemptResult, Exchange
+from bamboopier_proxy.weight_expiry_monitor import WeightExpiryMonitor
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -15,8 +15,8 @@
 from bamboopier_decisions.forwarding.shared_retry_budget import RetryBudgetLimits
 from bamboopier_objects.objects import Listing, StoredObject
 from bamboopier_proxy.gateway_peers import GatewayPeers
-from bamboopier_proxy.gateway_state import GatewayState
 from bamboopier_proxy.gateway_registry import READ_SECONDS, SILENT_SECONDS, GatewayEntry
+from bamboopier_proxy.gateway_state import GatewayState
 from bamboopier_proxy.settings import Endpoint
 
 if TYPE_CHECKING:
@@ -98,7 +98,9 @@
                 if Endpoint(other.host, PORT) == to and not self.lost:
                     other.hint_exchange._receive(hint, (gateway.host, PORT))
 
-        patch = mock.patch.object(gateway.hint_exchange._socket, "send", side_effect=send)
+        patch = mock.patch.object(
+            gateway.hint_exchange._socket, "send", side_effect=send
+        )
         patch.start()
         self.addCleanup(patch.stop)
 
--- a/libraries/proxy/tests/test_gateway_registry.py
+++ b/libraries/proxy/tests/test_gateway_registry.py
@@ -35,7 +35,9 @@
             if len(pauses) > 3:
                 raise asyncio.CancelledError
 
-        registry = GatewayRegistry(store, "g/", random.Random(1), mock.Mock(), PauseTracker(0.0))
+        registry = GatewayRegistry(
+            store, "g/", random.Random(1), mock.Mock(), PauseTracker(0.0)
+        )
         with (
             mock.patch("bamboopier_proxy.gateway_registry.asyncio.sleep", sleep),
             self.assertRaises(asyncio.CancelledError),
--- a/libraries/proxy/tests/test_hints.py
+++ b/libraries/proxy/tests/test_hints.py
@@ -7,12 +7,12 @@
 from bamboopier_proxy.hints import (
     MAX_BYTES,
     CrashHint,
+    FreshnessRequest,
+    FreshnessResponse,
     Hint,
     LoadHint,
-    WeightLoadHint,
-    FreshnessResponse,
-    FreshnessRequest,
     TargetLoadHint,
+    WeightLoadHint,
     decode,
     encode,
 )
--- a/libraries/proxy/tests/test_limit_hints.py
+++ b/libraries/proxy/tests/test_limit_hints.py
@@ -95,7 +95,9 @@
         state = self.sent.find("i-1")
         assert state is not None
         state.rate_limit.record_limit(99.0, 1.5)
-        said = ResponseMetadata("r", True, False, False, "i-1", 0, 0.0, reports_limit=True)
+        said = ResponseMetadata(
+            "r", True, False, False, "i-1", 0, 0.0, reports_limit=True
+        )
         record_limit(state, 99.5, said, "r")
         self.assertTrue(state.rate_limit.in_force)
         self.assertEqual(state.rate_limit.per_second, 1.5)
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -18,13 +18,13 @@
 )
 from bamboopier_decisions.forwarding.pause_tracker import PauseTracker
 from bamboopier_objects.http_caller import HttpCaller
+from bamboopier_proxy.gateway_registry import GatewayRegistry
 from bamboopier_proxy.part_follower import (
     DIRECT_GATEWAYS,
-    PartReply,
     PartFollower,
+    PartReply,
 )
 from bamboopier_proxy.part_relay import PartRelay
-from bamboopier_proxy.gateway_registry import GatewayRegistry
 
 if TYPE_CHECKING:
     from bamboopier_proxy.settings import Endpoint
@@ -35,7 +35,9 @@
 def make_roster(generator: random.Random) -> GatewayRegistry:
     """Return a list of gateways that reads no store."""
     store = mock.AsyncMock()
-    return GatewayRegistry(store, "", generator, lambda *_: None, PauseTracker(read_clock()))
+    return GatewayRegistry(
+        store, "", generator, lambda *_: None, PauseTracker(read_clock())
+    )
 
 
 class CountedStores:
@@ -102,7 +104,9 @@
             mock.patch(f"{module}.log"),
         ):
             stores = RestartedStore(clock)
-            follower = PartFollower(stores, kept, CountedRelay(kept), registry, generator)
+            follower = PartFollower(
+                stores, kept, CountedRelay(kept), registry, generator
+            )
             task = asyncio.create_task(follower.run())
             async with asyncio.timeout(5):
                 while stores.requested < 4:  # noqa: ASYNC110
--- a/libraries/proxy/tests/test_part_relay.py
+++ b/libraries/proxy/tests/test_part_relay.py
@@ -13,8 +13,8 @@
 from bamboopier_decisions.forwarding.part_store_index import (
     SAVE_HOLD_OFF_SECONDS,
     UPDATE_VALID_SECONDS,
-    PartStoreIndex,
     PartChange,
+    PartStoreIndex,
     PartUpdate,
 )
 from bamboopier_objects.http_caller import HttpCaller, Reply
@@ -158,7 +158,10 @@
                 seen = self.now
                 self.pass_time(rest)
                 await self.request()
-                for now in (seen + SAVE_HOLD_OFF_SECONDS - 1e-6, seen + SAVE_HOLD_OFF_SECONDS + 1):
+                for now in (
+                    seen + SAVE_HOLD_OFF_SECONDS - 1e-6,
+                    seen + SAVE_HOLD_OFF_SECONDS + 1,
+                ):
                     # It still answers, under the same start.
                     other.apply_update(now, now, PartUpdate(epoch, 5000, ()))
                     self.assertEqual(other.can_save(now, 500), now > seen + 3)
@@ -208,7 +211,11 @@
         patch.start()
         self.addCleanup(patch.stop)
         self.caller = DirectCaller()
-        self.quick, self.slow, self.third = PartStoreIndex(), PartStoreIndex(), PartStoreIndex()
+        self.quick, self.slow, self.third = (
+            PartStoreIndex(),
+            PartStoreIndex(),
+            PartStoreIndex(),
+        )
         for kept in (self.quick, self.slow, self.third):
             kept.set_stores({ADDRESS: 1_000_000})
         self.relay = PartRelay(self.third, self.caller)
@@ -269,7 +276,9 @@
         while self.now < self.began + SAVE_HOLD_OFF_SECONDS:
             self.hear(self.slow, self.latest)
             await self.request(self.slow, SECOND)
-            self.assertEqual(self.saves("new"), self.now >= self.began + SAVE_HOLD_OFF_SECONDS)
+            self.assertEqual(
+                self.saves("new"), self.now >= self.began + SAVE_HOLD_OFF_SECONDS
+            )
 
     async def test_an_instance_later_than_the_known_one_is_accepted(self) -> None:
         # The other one has heard more by now, and of one more start.
--- a/libraries/proxy/tests/test_publish_times.py
+++ b/libraries/proxy/tests/test_publish_times.py
@@ -19,7 +19,6 @@
 )
 from bamboopier_objects.objects import ABSENT, Listing, StoredObject
 from bamboopier_proxy.observers import WeightsObserver
-from bamboopier_proxy.store_schema import PublishedWeights
 from bamboopier_proxy.publish_times import (
     CLOCK_ERROR_SECONDS,
     ENTRY_ERROR_SECONDS,
@@ -27,6 +26,7 @@
     PublishTimes,
     follow_weights,
 )
+from bamboopier_proxy.store_schema import PublishedWeights
 
 if TYPE_CHECKING:
     from result import Result
@@ -45,7 +45,9 @@
         self.enterContext(mock.patch(f"{module}.log"))
         self.store = mock.AsyncMock()
         self.weights = WeightVersions(12.0)
-        self.publish_times = PublishTimes(self.store, "ages/", self.weights, random.Random(1))
+        self.publish_times = PublishTimes(
+            self.store, "ages/", self.weights, random.Random(1)
+        )
 
     async def name(self, since: float) -> None:
         """Hear of version 2, named at ``since`` at the earliest."""
@@ -167,7 +169,9 @@
         publish_times = {1: 9000.0, 2: 8000.0, 3: 7000.0, 4: 60.0}
         entries = [
             StoredObject(
-                f"ages/m/{version}", version, msgspec.json.encode(PublishedAt(TODAY - age))
+                f"ages/m/{version}",
+                version,
+                msgspec.json.encode(PublishedAt(TODAY - age)),
             )
             for version, age in publish_times.items()
         ]
@@ -182,10 +186,14 @@
         # gateway starts, removes the entries that are long over one after the other,
         # and only then reads which weights are named: callers find it not ready for
         # twelve seconds. Here the store answers no removal at all.
-        publish_times = {version: 90_000.0 - 2000.0 * version for version in range(1, 41)}
+        publish_times = {
+            version: 90_000.0 - 2000.0 * version for version in range(1, 41)
+        }
         entries = [
             StoredObject(
-                f"ages/m/{version}", version, msgspec.json.encode(PublishedAt(TODAY - age))
+                f"ages/m/{version}",
+                version,
+                msgspec.json.encode(PublishedAt(TODAY - age)),
             )
             for version, age in publish_times.items()
         ]
@@ -252,7 +260,9 @@
             weights = WeightVersions(12.0)
             publish_times = PublishTimes(self.store, "ages/", weights, random.Random(1))
 
-            def note(named: PublishedWeights, since: float, to: PublishTimes = publish_times) -> None:
+            def note(
+                named: PublishedWeights, since: float, to: PublishTimes = publish_times
+            ) -> None:
                 to.record_published(named.model, named.version, since)
 
             observer = WeightsObserver(schema, weights, pauses, note)
--- a/libraries/proxy/tests/test_request_queues.py
+++ b/libraries/proxy/tests/test_request_queues.py
@@ -25,7 +25,9 @@
         return SLOT
 
     def wait(self, seconds: float) -> asyncio.Task[InFlightRequest | None]:
-        waiting = self.queues.wait("desk", 1, seconds, self.acquire, self.released.append)
+        waiting = self.queues.wait(
+            "desk", 1, seconds, self.acquire, self.released.append
+        )
         return asyncio.create_task(waiting)
 
     async def test_a_waiting_request_gets_a_free_slot(self) -> None:
--- a/libraries/proxy/tests/test_store_followers.py
+++ b/libraries/proxy/tests/test_store_followers.py
@@ -15,9 +15,9 @@
 from bamboopier_decisions.forwarding.pause_tracker import PauseTracker
 from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 from bamboopier_objects.objects import Listing, StoredObject
+from bamboopier_proxy.publish_times import PublishedAt, follow_weights
 from bamboopier_proxy.store_followers import StoreFollowers
 from bamboopier_proxy.store_schema import PublishedWeights
-from bamboopier_proxy.publish_times import PublishedAt, follow_weights
 
 NAMED = StoredObject("v/m", 7, b"2")
 # Seconds after which the entry that another gateway wrote should have been read.
--- a/libraries/proxy/tests/test_target_connection.py
+++ b/libraries/proxy/tests/test_target_connection.py
@@ -29,7 +29,9 @@
         # A target stands still with a request on its way, and the caller leaves. Closed
         # in good order, the connection would still deliver the request: the target runs
         # it when it goes on, seconds after its caller has left.
-        sending = asyncio.create_task(self.connection.send_request(HEAD, b"", "id", "POST"))
+        sending = asyncio.create_task(
+            self.connection.send_request(HEAD, b"", "id", "POST")
+        )
         await asyncio.sleep(0)
         sending.cancel()
         self.connection.abort()
--- a/libraries/proxy/tests/test_weight_expiry_monitor.py
+++ b/libraries/proxy/tests/test_weight_expiry_monitor.py
@@ -9,7 +9,7 @@
     WAIT_MARGIN_SECONDS,
     WeightVersions,
 )
-from bamboopier_proxy.weight_expiry_monitor import WeightExpiryMonitor, PendingRequest
+from bamboopier_proxy.weight_expiry_monitor import PendingRequest, WeightExpiryMonitor
 
 MODEL = "m1"
 ALLOWED_SECONDS = 12.0
--- a/libraries/proxy/tests/test_weight_load_announcer.py
+++ b/libraries/proxy/tests/test_weight_load_announcer.py
@@ -10,19 +10,20 @@
 
 from bamboopier_objects.errors import PlatformUnavailableError
 from bamboopier_objects.objects import Listing, StoredObject
+from bamboopier_proxy.gateway_registry import GatewayEntry
 from bamboopier_proxy.weight_load_announcer import (
     GATEWAYS_SECONDS,
     HINT_SECONDS,
     WeightLoadAnnouncer,
 )
-from bamboopier_proxy.gateway_registry import GatewayEntry
 
 
 class AnnouncerTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.now = 100.0
         patch = mock.patch(
-            "bamboopier_proxy.weight_load_announcer.read_clock", side_effect=lambda: self.now
+            "bamboopier_proxy.weight_load_announcer.read_clock",
+            side_effect=lambda: self.now,
         )
         patch.start()
         self.addCleanup(patch.stop)
--- a/libraries/proxy/tests/test_weights_observer.py
+++ b/libraries/proxy/tests/test_weights_observer.py
@@ -50,9 +50,7 @@
         self.pauses = PauseTracker(self.now)
         self.weights = WeightVersions(12.0)
         self.changed = mock.Mock()
-        self.observer = WeightsObserver(
-            schema, self.weights, self.pauses, self.changed
-        )
+        self.observer = WeightsObserver(schema, self.weights, self.pauses, self.changed)
 
     def send_by_watch(self, version: int) -> None:
         """Tell of a version as a watch does."""
@@ -112,9 +110,7 @@
         )
         self.pauses = PauseTracker(self.now)
         self.weights = WeightVersions(12.0)
-        self.observer = WeightsObserver(
-            schema, self.weights, self.pauses, mock.Mock()
-        )
+        self.observer = WeightsObserver(schema, self.weights, self.pauses, mock.Mock())
 
     def run_for(self, seconds: float) -> None:
         """Let the process run."""
--- a/tools/bench_context/__main__.py
+++ b/tools/bench_context/__main__.py
@@ -7,7 +7,10 @@
 
 import fire
 
-from bamboopier_decisions.context.fetch_choice import FIRST_TOKEN_WEIGHTS, RECOMPUTE_WEIGHTS
+from bamboopier_decisions.context.fetch_choice import (
+    FIRST_TOKEN_WEIGHTS,
+    RECOMPUTE_WEIGHTS,
+)
 from bamboopier_decisions.context.link_budget import BURST_SECONDS
 
 from .drive import Drive, Policy
--- a/tools/bench_context/drive.py
+++ b/tools/bench_context/drive.py
@@ -22,8 +22,8 @@
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
     Distance,
-    FleetChanged,
     ExecutionStatus,
+    FleetChanged,
     RequestArrived,
     Send,
     TargetLoad,
@@ -138,7 +138,9 @@
         )
         assert isinstance(decision, Send)
         name = decision.target
-        self.router.handle(AttemptEnded(now, request_id, name, ExecutionStatus.EXECUTED))
+        self.router.handle(
+            AttemptEnded(now, request_id, name, ExecutionStatus.EXECUTED)
+        )
         return next(engine for engine in self.engines if engine.name == name)
 
     def _fetch(self, now: float, engine: Engine, prompt: Prompt) -> float:
@@ -215,7 +217,9 @@
     def _offer(self, now: float, engine: Engine, prompt: Prompt) -> None:
         assert self.policy.weights is not None
         worth = is_worth_exporting(self._ask(now, engine, 1), self.policy.weights)
-        for depth, likelihood in enumerate(engine.reuse_tracker.record_prompt(prompt.keys)):
+        for depth, likelihood in enumerate(
+            engine.reuse_tracker.record_prompt(prompt.keys)
+        ):
             key = prompt.keys[depth]
             if worth and key not in engine.known:
                 item = ExportItem("", prompt.workspace, "", "", key, depth)
@@ -250,7 +254,9 @@
             self.exported_bytes += size
             store.write(name, self.shares)
             engine.known.add(item.key)
-        elif likelihood is not ReuseLikelihood.NEW or waited + wait <= SHORT_LINK_SECONDS:
+        elif (
+            likelihood is not ReuseLikelihood.NEW or waited + wait <= SHORT_LINK_SECONDS
+        ):
             again = (engine, likelihood, item, waited + wait)
             self._at(now + max(wait, 1e-3), lambda at: self._export(at, *again))
             return
--- a/tools/bench_load/baselines.py
+++ b/tools/bench_load/baselines.py
@@ -6,16 +6,16 @@
 from typing import TYPE_CHECKING
 
 from bamboopier_decisions.admission.messages import (
-    Start,
     AdmissionRequested,
-    RequestFinished,
     RequestCancelled,
+    RequestFinished,
+    Start,
 )
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
     Deliver,
-    FleetChanged,
     ExecutionStatus,
+    FleetChanged,
     Refuse,
     RefuseReason,
     RequestArrived,
--- a/tools/bench_load/cost.py
+++ b/tools/bench_load/cost.py
@@ -13,17 +13,17 @@
 
 from bamboopier_decisions.admission.controller import AdmissionController
 from bamboopier_decisions.admission.messages import (
-    Start,
-    Tick,
     AdmissionRequested,
     RequestFinished,
+    Start,
+    Tick,
 )
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
     Distance,
+    ExecutionStatus,
     FirstByteReceived,
     FleetChanged,
-    ExecutionStatus,
     RequestArrived,
     Send,
     TargetLoad,
@@ -79,7 +79,9 @@
             raise AssertionError(sent)
         router.handle(TargetReported(now, sent.target, load))
         router.handle(FirstByteReceived(now, str(number), sent.target, 0.1))
-        router.handle(AttemptEnded(now, str(number), sent.target, ExecutionStatus.EXECUTED))
+        router.handle(
+            AttemptEnded(now, str(number), sent.target, ExecutionStatus.EXECUTED)
+        )
     whole = time.perf_counter() - started
     scale = MICROSECONDS / REQUESTS
     return choosing * scale, whole * scale
--- a/tools/bench_load/simulation.py
+++ b/tools/bench_load/simulation.py
@@ -9,22 +9,22 @@
 from typing import TYPE_CHECKING, Protocol
 
 from bamboopier_decisions.admission.messages import (
+    AdmissionRequested,
     FirstTokenReceived,
     Reject,
+    RequestCancelled,
+    RequestFinished,
     Start,
     StopRequested,
     TargetRestarted,
     Tick,
-    AdmissionRequested,
-    RequestFinished,
-    RequestCancelled,
 )
 from bamboopier_decisions.routing.messages import (
     AttemptEnded,
     Distance,
+    ExecutionStatus,
     FirstByteReceived,
     FleetChanged,
-    ExecutionStatus,
     Refuse,
     RequestArrived,
     Send,
@@ -232,7 +232,9 @@
         self.tell(RequestFinished(self._clock.now, ask_id, True, tokens))
         self._answer(attempt, ExecutionStatus.EXECUTED)
 
-    def _fail(self, ask_id: str, ran: ExecutionStatus = ExecutionStatus.UNKNOWN) -> None:
+    def _fail(
+        self, ask_id: str, ran: ExecutionStatus = ExecutionStatus.UNKNOWN
+    ) -> None:
         attempt = self._attempts.pop(ask_id)
         self.tell(RequestCancelled(self._clock.now, ask_id))
         self.tell(RequestFinished(self._clock.now, ask_id, succeeded=False))
@@ -255,7 +257,11 @@
         self._simulation.abandon(order_id)
 
     def _answer(
-        self, attempt: _Attempt, ran: ExecutionStatus, wait: float = 0.0, broken: bool = False
+        self,
+        attempt: _Attempt,
+        ran: ExecutionStatus,
+        wait: float = 0.0,
+        broken: bool = False,
     ) -> None:
         ended = AttemptEnded(
             now=self._clock.now + HOP_SECONDS,
@@ -264,7 +270,8 @@
             ran=ran,
             retry_after=wait,
             broken=broken,
-            delivered=attempt.first_byte > 0 and ran is not ExecutionStatus.NOT_EXECUTED,
+            delivered=attempt.first_byte > 0
+            and ran is not ExecutionStatus.NOT_EXECUTED,
             first_byte=attempt.first_byte,
         )
         load = self.report()
@@ -336,7 +343,9 @@
         router = self._homes[str(attempt.order.order_id)]
         now, request_id = self.clock.now, str(attempt.order.order_id)
         router.handle(TargetReported(now, agent.name, agent.report()))
-        router.handle(FirstByteReceived(now, request_id, agent.name, attempt.first_byte))
+        router.handle(
+            FirstByteReceived(now, request_id, agent.name, attempt.first_byte)
+        )
 
     def end(self, attempt: _Attempt, ended: AttemptEnded, load: TargetLoad) -> None:
         """Bring an attempt's end to its gateway and carry out the decision."""
@@ -372,7 +381,9 @@
         )
         self._follow(order, router.handle(event), ExecutionStatus.NOT_EXECUTED)
 
-    def _follow(self, order: Order, decision: RoutingDecision | None, ran: ExecutionStatus) -> None:
+    def _follow(
+        self, order: Order, decision: RoutingDecision | None, ran: ExecutionStatus
+    ) -> None:
         if isinstance(decision, Send):
             order.targets.append(decision.target)
             sent = self.clock.now
