--- a/libraries/proxy/src/bamboopier_proxy/__init__.py
+++ b/libraries/proxy/src/bamboopier_proxy/__init__.py
@@ -1,1 +1,1 @@
-"""Forwards callers' requests straight to targets; the agent orders weight versions."""
+"""Forwards callers' requests directly to targets; agents request weight updates."""
--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -1,4 +1,4 @@
-"""The agent process beside a target: the one that gives it orders."""
+"""The agent process: runs next to a target and requests its weight updates."""
 
 from __future__ import annotations
 
@@ -37,9 +37,9 @@
     from .store_schema import PublishedWeights, Store, StoreSchema
     from .target_orders import TargetOrders
 
-# Seconds that one watch for new weights lasts.
+# Seconds until a watch for published weight versions is renewed.
 WATCH_TIMEOUT_SECONDS = 4.0
-# Seconds a slot is held at most by an agent that was killed: longer than a load.
+# Seconds after which the load slot of a killed agent expires: longer than a load.
 SLOT_LEASE_SECONDS = 8.0
 
 log = structlog.get_logger()
@@ -52,15 +52,15 @@
     orders: TargetOrders,
     read_settings: Callable[[], ProxySettings],
 ) -> None:
-    """Keep the target's weights as named until SIGTERM."""
+    """Keep the target on the published weight versions until SIGTERM."""
     if settings.target is None:
         raise ValueError("an agent needs the address of its target")
     generator = random.Random(f"{settings.vm}:{os.getpid()}:{read_clock()}")
     weights = WeightVersions(settings.version_seconds)
-    place = str(settings.target)
+    target_address = str(settings.target)
     lease = LeaseKeeper(
         store,
-        f"{schema.leases_prefix}{place}",
+        f"{schema.leases_prefix}{target_address}",
         Lease(settings.vm, settings.host, settings.lease_seconds),
     )
     slots = LoadSlots(
@@ -117,7 +117,7 @@
                 lambda changed: weights.set_grace(changed.version_seconds),
             )
             await stack.enter_async_context(keep_running(settings_reloader.run()))
-            # An agent follows no configuration, only the weights that are named.
+            # An agent follows published weight versions only, no configuration.
             add_process_metrics(
                 registry, "agent", settings, follower.loaded.is_set, lambda: 0
             )
@@ -128,6 +128,6 @@
                     follower.loaded.is_set,
                 )
             )
-            log.info("agent started", vm=settings.vm, target=place)
+            log.info("agent started", vm=settings.vm, target=target_address)
             await signals.wait_for_first()
             log.info("agent stopped", vm=settings.vm)
--- a/libraries/proxy/src/bamboopier_proxy/attempt_log.py
+++ b/libraries/proxy/src/bamboopier_proxy/attempt_log.py
@@ -1,4 +1,4 @@
-"""Says of each send how it ended, and what it rested on."""
+"""Logs and counts how attempts ended, and the state that they were based on."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class AttemptLog:
-    """Counts and logs the ends of sends."""
+    """Counts and logs ended attempts."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
     def record(
         self, call: Call, in_flight: InFlightRequest, result: AttemptResult
     ) -> None:
-        """Take in that a send has ended."""
+        """Record that an attempt has ended."""
         now = read_clock()
         self._metrics.sends.labels(call.service, result.cause.value).inc()
         if result.first_byte:
@@ -45,7 +45,7 @@
         metadata, sent_at = result.metadata, result.sent_at or now
         parts = metadata.part_plan if metadata else None
         log.info(
-            "sent",
+            "attempt ended",
             request_id=call.request_id,
             service=call.service,
             target=state.entry.name,
--- a/libraries/proxy/src/bamboopier_proxy/attempt_planner.py
+++ b/libraries/proxy/src/bamboopier_proxy/attempt_planner.py
@@ -1,4 +1,4 @@
-"""What a call needs of a target, and what the chosen target is told."""
+"""Computes what a call requires of a target, and the metadata for its target."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
     from .messages import Call
 
-# A target serves requests with this priority last.
+# The lowest priority: targets serve such requests last.
 LAST_PRIORITY = 9
 
 
 class AttemptPlanner:
-    """Knows which weights are wanted and where parts of prompts are kept."""
+    """Plans attempts by the allowed weight versions and the index of part stores."""
 
     def __init__(self, weights: WeightVersions, part_index: PartStoreIndex) -> None:
         self._weights = weights
         self._part_index = part_index
 
     def make_demand(self, now: float, call: Call) -> Demand:
-        """Return what the call needs of a target."""
+        """Return what the call requires of a target."""
         fetched = self._count_fetched(now, call)
         return Demand(call.service, call.priority, call.prompt, fetched)
 
     def find_allowed_weights(self, now: float, call: Call) -> WeightVersionRange:
-        """Return the weights on which the call may begin."""
+        """Return the weight versions with which the call may start."""
         if call.prompt is None:
             return WeightVersionRange()
         model = call.prompt.model
@@ -46,16 +46,16 @@
         )
 
     def may_start(self, now: float, call: Call, in_flight: InFlightRequest) -> bool:
-        """Say whether the call may begin on the weights that the target has now."""
+        """Return whether the call may start with the target's current weights."""
         if call.prompt is None:
             return True
         version = in_flight.state.versions.get(call.prompt.model, 0)
         return version >= self.find_allowed_weights(now, call).oldest
 
     def find_newest_age(self, now: float, call: Call) -> float | None:
-        """Return the seconds for which the newest weights are taken to be named.
+        """Return the seconds since the newest weight version was published, if known.
 
-        None where that is not known: they were named before this process looked.
+        None if it was published before this process first read it.
         """
         if call.prompt is None:
             return None
@@ -65,7 +65,7 @@
     def make_metadata(
         self, now: float, call: Call, in_flight: InFlightRequest
     ) -> AttemptMetadata:
-        """Return what the target is told beside the caller's own headers."""
+        """Return the metadata that is sent in addition to the caller's headers."""
         entry = in_flight.state.entry
         workspace = call.workspace
         prompt = call.prompt
@@ -85,7 +85,7 @@
         )
 
     def _count_fetched(self, now: float, call: Call) -> int:
-        """Return the leading tokens of the prompt that a target could fetch."""
+        """Return the number of leading prompt tokens that a target could fetch."""
         prompt = call.prompt
         if prompt is None:
             return 0
@@ -99,8 +99,8 @@
     ) -> PartPlan | None:
         """Return where the target fetches and saves the prompt's shared parts.
 
-        Without a version that the target must have, a part could be read that other
-        weights made.
+        Returns None without a required weight version: the target could otherwise read
+        a part that was computed with another version.
         """
         if prompt is None or not version or not prompt.shared_parts:
             return None
@@ -109,9 +109,9 @@
 
 
 def make_cache_scope(call: Call, made_with: int | str) -> str:
-    """Return the text under which parts of the call's prompt are cached.
+    """Return the cache scope for parts of the call's prompt.
 
-    Parts made on other weights, or for a workspace that shares none, are never found.
+    Scopes separate the parts of different weight versions and of isolated workspaces.
     """
     workspace = call.workspace
     owner = workspace.name if workspace and workspace.isolated else ""
--- a/libraries/proxy/src/bamboopier_proxy/caller_listener.py
+++ b/libraries/proxy/src/bamboopier_proxy/caller_listener.py
@@ -1,4 +1,4 @@
-"""Listens for callers with the operator's limits."""
+"""Accepts callers' connections within the limits of the configuration."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
     Handle = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
-# Connections that may wait to be taken; a burst of callers after a restart.
+# Connections that may wait to be accepted, as in a burst of callers after a restart.
 BACKLOG = 1024
-# Open connections: the smallest machine has 4,100 descriptors, of which targets and
-# the system's own take a part.
+# Open connections: the smallest machine has 4,100 file descriptors, which are shared
+# with connections to targets and internal ones.
 MAX_CONNECTIONS = 2800
-# Seconds a peer may be silent with bytes unacknowledged.
+# Seconds for which a peer may leave sent bytes unacknowledged.
 WRITE_STALL_SECONDS = 5.0
-# How long the rest of a refused body is read and dropped.
+# Seconds for which the remainder of a refused body is read and discarded.
 LINGERING_SECONDS = 1.0
 MAX_HEADERS = 100
 
@@ -35,7 +35,7 @@
 
 
 class _Limits:
-    """The operator's limits in the form that a connection asks for."""
+    """Adapts ``CallerLimits`` to the attributes that ``CallerConnection`` reads."""
 
     __slots__ = ("header_timeout_seconds", "idle_timeout_seconds")
     write_timeout_seconds = WRITE_STALL_SECONDS
@@ -46,7 +46,7 @@
 
 
 class CallerListener:
-    """Listens while its context is open."""
+    """Listens for callers while its context is open."""
 
     def __init__(
         self,
@@ -81,13 +81,13 @@
         await self._manager.shutdown(0.2)
 
     def close_when_idle(self) -> None:
-        """Close idle connections; the others close after their request."""
+        """Close idle connections; the others close after their current request."""
         for connection in self._manager.connections:
             if isinstance(connection, CallerConnection):
                 connection.close_when_idle()
 
     def add(self) -> bool:
-        """Note a connection that opened; False when there are too many."""
+        """Count an opened connection; False when ``MAX_CONNECTIONS`` is reached."""
         if self._count >= MAX_CONNECTIONS:
             log.warning("connection refused", open=self._count)
             return False
@@ -95,7 +95,7 @@
         return True
 
     def remove(self) -> None:
-        """Note a connection that is gone."""
+        """Count a closed connection."""
         self._count -= 1
 
     def _make_connection(self) -> asyncio.Protocol:
@@ -116,7 +116,7 @@
 async def serve_readiness(
     listen: Endpoint, is_ready: Callable[[], bool]
 ) -> asyncio.Server:
-    """Answer every request with 200 while ``is_ready``, else with 503."""
+    """Respond to every request with 200 while ``is_ready``, else with 503."""
 
     async def answer(_: web.BaseRequest) -> web.StreamResponse:
         return web.Response(status=200 if is_ready() else 503)
--- a/libraries/proxy/src/bamboopier_proxy/delivery.py
+++ b/libraries/proxy/src/bamboopier_proxy/delivery.py
@@ -1,4 +1,4 @@
-"""Writes a target's answer to its caller, so that a part never looks whole."""
+"""Writes a target's response to its caller; a truncated one never looks complete."""
 
 from __future__ import annotations
 
@@ -15,60 +15,61 @@
 
     from .messages import HeaderList
 
-# Seconds a caller may take no byte of its answer.
+# Seconds for which a caller may accept no byte of its response.
 WRITE_TIMEOUT_SECONDS = 5.0
 
 
 class CallerDisconnectedError(Exception):
-    """The caller left, or takes nothing more."""
+    """The caller disconnected, or no longer reads its response."""
 
 
 class Delivery:
-    """One caller's answer: whole at once, or a head and then pieces."""
+    """One caller's response: sent complete at once, or as a head and then chunks."""
 
     def __init__(
         self, request: web.BaseRequest, is_stopping: Callable[[], bool]
     ) -> None:
         self._request = request
         self._is_stopping = is_stopping
-        # The connection cannot be used again.
+        # The response announces that the connection closes after it.
         self.close_connection = False
         self._response: web.StreamResponse | None = None
 
     @property
     def started(self) -> bool:
-        """Say whether the caller has received anything."""
+        """Return whether any part of the response was sent."""
         return self._response is not None
 
     @property
     def response(self) -> web.StreamResponse:
         """Return the response for the HTTP server."""
         if self._response is None:
-            raise RuntimeError("no answer was begun")
+            raise RuntimeError("no response was started")
         return self._response
 
     @property
     def is_disconnected(self) -> bool:
-        """Say whether the caller's connection has ended, or its sending half.
-
-        Failure answered: a process that stood still finds a request, or a place for one
-        that waits, together with the end of its caller's connection. The event loop
-        tells of the end a turn later, when a target already works for nobody. The
-        kernel knows of it from the moment it arrives, behind whatever is unread, and
-        all waits of a send are over when it is asked. An end that arrives later cancels
-        the task as ever.
+        """Return whether the caller has closed its connection, or its sending half.
+
+        Guards against a target that works for a caller that has disconnected. A process
+        that resumes after a suspension finds a request, or a free slot for a waiting
+        one, at the same time as the end of its caller's connection. The event loop
+        reports that end one iteration later, after the request was sent. The kernel
+        reports it from its arrival on, even behind unread bytes; an attempt therefore
+        polls the socket after its last wait before the send. An end that arrives later
+        cancels the task.
         """
         transport = self._request.transport
         if transport is None or transport.is_closing():
-            # Its descriptor may already be another connection's.
+            # Its file descriptor may already belong to another connection.
             return True
         poll = select.poll()
-        # A reset shows without being asked for.
+        # A reset is reported without being registered for.
         poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
         return bool(poll.poll(0))
 
     async def send(self, status: int, headers: HeaderList, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         response = web.Response(status=status, body=body)
         response.headers.popall("Content-Type", None)
         await self._start(response, headers)
@@ -79,17 +80,17 @@
         await self._start(web.StreamResponse(status=status), headers)
 
     async def write(self, data: bytes) -> None:
-        """Send a piece of a stream."""
+        """Send a chunk of a stream."""
         await self._write_with_timeout(self.response.write(data))
 
     async def finish(self) -> None:
-        """End a whole stream."""
+        """End a complete stream."""
         if self._is_stopping():
             self.response.force_close()
         await self._finish()
 
     def abort(self) -> None:
-        """End the connection: what was sent is a part and must look like one."""
+        """Abort the connection, so that a truncated response does not look complete."""
         if self._request.transport is not None:
             self._request.transport.abort()
 
@@ -102,11 +103,11 @@
         await self._write_with_timeout(response.prepare(self._request))
 
     async def _finish(self) -> None:
-        """Send the last bytes of a whole answer.
+        """Send the last bytes of a complete response.
 
-        A caller that has them and closes at once cancels this task before it runs
-        again. The answer is served all the same: its target's connection is kept, and
-        it is counted.
+        A caller that closes at once after receiving them cancels this task before it
+        runs again. The response still counts as delivered: it is recorded, and the
+        target's connection is reused.
         """
         try:
             await self._write_with_timeout(self.response.write_eof())
--- a/libraries/proxy/src/bamboopier_proxy/event_splitter.py
+++ b/libraries/proxy/src/bamboopier_proxy/event_splitter.py
@@ -1,4 +1,4 @@
-"""Cuts a stream of events at event ends, and knows the last event's id."""
+"""Splits a stream of server-sent events at event boundaries."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 
 
 class EventSplitter:
-    """Holds back the part of an event that has arrived.
+    """Buffers an incomplete event until the remainder arrives.
 
-    Failure answered: a target breaks off in the middle of an event. Had that part gone
-    to the caller, what another target goes on with would be joined to it.
+    Guards against events that are joined from two targets: when a target fails in the
+    middle of an event, the stream that another target resumes would be appended to the
+    part that the caller already has.
     """
 
     __slots__ = ("_incomplete", "last_event")
@@ -21,11 +22,11 @@
 
     @property
     def incomplete(self) -> bytes:
-        """Return what is held back."""
+        """Return the bytes of the last, incomplete event."""
         return self._incomplete
 
     def feed(self, data: bytes) -> bytes:
-        """Take a piece of the stream; return the whole events."""
+        """Add a chunk of the stream; return the events that are now complete."""
         data = self._incomplete + data
         end = data.rfind(EVENT_END)
         if end < 0:
--- a/libraries/proxy/src/bamboopier_proxy/exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/exchange.py
@@ -1,4 +1,4 @@
-"""One request at one target: what was sent, and what is known of its run."""
+"""Runs one attempt of a request at one target, and relays the response."""
 
 from __future__ import annotations
 
@@ -32,20 +32,20 @@
     from .target_response import TargetResponse
     from .weight_expiry_monitor import PendingRequest, WeightExpiryMonitor
 
-# Plain answers up to this size are held until they are whole, so that a broken one
-# becomes an error and not a cut connection.
+# Responses that are not streams are buffered up to this size until they are complete,
+# so that a broken one becomes an error response and not an aborted connection.
 MAX_BUFFERED_BYTES = 1024 * 1024
 
 
 class Cause(StrEnum):
-    """Why a send ended without an answer for the caller."""
+    """Why an attempt ended without a response for the caller."""
 
     NONE = ""
     CONNECT = "connect"
     CLOSED = "target-closed"
-    # The time of its route was over before it was sent.
+    # The timeout of its route had passed before it was sent.
     LATE = "late"
-    # It had not begun when the time of its target's weights was over.
+    # It had not started when its target's weight version expired.
     OUTDATED = "outdated-weights"
     NOT_RUN = "not-run"
     MISDIRECTED = "misdirected"
@@ -56,28 +56,28 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How one send ended. ``ran`` is the truth as far as it is known."""
+    """How an attempt ended; ``ran`` is what is certain about its execution."""
 
     ran: ExecutionStatus
     cause: Cause = Cause.NONE
     detail: str = ""
     status: int = 0
-    # The caller has the whole answer.
+    # The caller has the complete response.
     delivered: bool = False
-    # A whole answer of the target's own that reports a failure; may be passed on.
+    # A complete error response of the target itself, which may be relayed.
     failure: BufferedResponse | None = None
     weight_version: int = 0
     first_byte: float = 0.0
-    # Another target than the one expected answered.
+    # A target other than the expected one responded.
     wrong_target: bool = False
-    # What the target was told, and when; None where nothing was sent.
+    # Metadata sent to the target, and its time; None if nothing was sent.
     metadata: AttemptMetadata | None = None
     sent_at: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class BufferedResponse:
-    """A whole answer that has not been passed on."""
+    """A complete response that has not been relayed."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -85,7 +85,7 @@
 
 
 class Exchange:
-    """Sends calls to targets and passes their answers on."""
+    """Sends calls to targets and relays their responses."""
 
     def __init__(
         self,
@@ -106,11 +106,11 @@
         prepare: Callable[[], Result[AttemptMetadata, Cause]],
         delivery: Delivery,
     ) -> AttemptResult:
-        """Send ``call`` to the target of ``in_flight`` and pass its answer on.
+        """Send ``call`` to the target of ``in_flight`` and relay its response.
 
-        ``prepare`` is asked right before the send what the target is told, or why
-        nothing may be sent; it may raise. Raises ``CallerDisconnectedError`` when nobody waits
-        for the answer.
+        ``prepare`` is called right before the send; it returns the metadata for the
+        target, or why nothing may be sent, and may raise. Raises
+        ``CallerDisconnectedError`` when the caller has disconnected.
         """
         entry = in_flight.state.entry
         recently_used = not call.route.repeat.allows_rerun
@@ -120,12 +120,14 @@
             return AttemptResult(
                 ExecutionStatus.NOT_EXECUTED, Cause.CONNECT, str(error)
             )
-        # Nothing may be awaited between these checks and the send: a connection takes
-        # up to a second, or as long as this process is suspended, and what held before
-        # it may not hold any more.
+        # Nothing may be awaited between these checks and the send: connecting takes up
+        # to a second, or as long as this process is suspended, and checks made before
+        # it may be outdated.
         try:
             if delivery.is_disconnected:
-                raise CallerDisconnectedError("left before the request was sent")
+                raise CallerDisconnectedError(
+                    "disconnected before the request was sent"
+                )
             prepared = prepare()
         except BaseException:
             self._pool.release_unused(entry, connection)
@@ -196,7 +198,7 @@
                 and response_metadata.target != metadata.target,
             )
         if not response_metadata.sealed and response.status < 500:
-            detail = f"status {response.status} without a seal"
+            detail = f"status {response.status} without a response seal"
             return AttemptResult(
                 ExecutionStatus.UNKNOWN, Cause.UNSEALED, detail, response.status
             )
@@ -225,7 +227,7 @@
         result.first_byte = read_clock() - started_at
         buffered = BufferedResponse(response.status, response.headers, body)
         if response.status >= 500:
-            # A safe request may find another target that does not fail it.
+            # A safe request may succeed at another target.
             result.failure = buffered
             return result
         await delivery.send(buffered.status, buffered.headers, buffered.body)
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -1,4 +1,4 @@
-"""Carries a call through its sends until the caller has its final answer."""
+"""Runs the attempts of a call until the caller has its final response."""
 
 from __future__ import annotations
 
@@ -36,35 +36,36 @@
     from .metrics import ProxyMetrics
     from .request_queues import RequestQueues
 
-# Sends of one request, those included that a target turned away unrun.
+# Attempts of one request, including those that a target rejected without running.
 MAX_ATTEMPTS = 4
-# Seconds a target that turned a request away gets no other; it is full, stopping, or
-# loads weights.
+# Seconds for which a target gets no requests after it rejected one without running it:
+# it is full, stopping, or loading weights.
 NOT_RUN_BACKOFF_SECONDS = 0.15
-
-# Seconds for which a target is left alone at whose address another one answers. Its own
-# entry lapses after three missed heartbeats; a new start has an entry of its own.
+# Seconds for which a target gets no requests after another target responded at its
+# address. Its entry expires after three missed heartbeats; a new instance has an entry
+# of its own.
 REPLACED_BACKOFF_SECONDS = 5.0
-# Requests a second below which a part of targets' limits is taken for none.
+# Requests per second below which a gateway's share of the targets' limits counts as
+# none.
 MIN_LIMIT_SHARE_PER_SECOND = 1e-6
 
 log = structlog.get_logger()
 
 
 class CrashQuarantine(Protocol):
-    """What is known of requests that broke targets, here and at other gateways."""
+    """Requests that crashed targets, at this gateway and at others."""
 
     def record_crash(self, fingerprint: bytes, target: str) -> None:
-        """Take in that a target broke while it had the request."""
+        """Record that a target crashed while it had the request."""
         ...
 
     def find_wait(self, fingerprint: bytes) -> float:
-        """Return the seconds for which the request is refused; 0 when it is not."""
+        """Return the seconds for which the request is refused; 0 if it is not."""
         ...
 
 
 class Forwarder:
-    """Places, sends, and decides what follows each end of a send."""
+    """Selects targets, runs attempts, and decides whether to retry."""
 
     def __init__(
         self,
@@ -92,7 +93,7 @@
         self._random = random
 
     async def forward(self, call: Call, delivery: Delivery) -> None:
-        """Answer the caller; raises ``CallerError`` when this system must answer."""
+        """Respond to the caller; raises ``CallerError`` for an error of this system."""
         self._check_quarantine(call)
         retry_budget = self._retry_budgets.find(call.service)
         retry_budget.record_request(read_clock())
@@ -131,9 +132,9 @@
     def _prepare(
         self, call: Call, in_flight: InFlightRequest
     ) -> Result[AttemptMetadata, Cause]:
-        """Return what the target is told, or why nothing may be sent now.
+        """Return the metadata for the target, or why nothing may be sent now.
 
-        Raises ``CallerError`` once the request's key may have been taken away.
+        Raises ``CallerError`` once the request's key may have been revoked.
         """
         now = read_clock()
         if now >= call.timeout_at:
@@ -145,7 +146,7 @@
         return Ok(self._planner.make_metadata(now, call, in_flight))
 
     async def _acquire_target(self, call: Call) -> InFlightRequest:
-        """Return a place at a target; raises ``CallerError`` when there is none."""
+        """Acquire a slot at a target; raises ``CallerError`` if there is none."""
         demand = self._planner.make_demand(read_clock(), call)
         tried = set(call.tried)
         placement = self._select_target(call, demand, tried)
@@ -176,10 +177,10 @@
         return in_flight
 
     def _check_limits(self, call: Call, placement: Placement, latest: float) -> None:
-        """Refuse a request whose turn at all its targets is known to come too late.
+        """Refuse a request whose turn at all its targets comes after ``latest``.
 
-        They are in need, and take so many requests a second; those that wait before it
-        go first.
+        All its targets are rate-limited: each accepts as many requests per second as it
+        reports, and the waiting requests ahead of this one are sent first.
         """
         limited = placement.limited
         if limited.count == 0 or not limited.covers_all:
@@ -207,7 +208,7 @@
     def _refuse(self, call: Call, code: ErrorCode, placement: Placement) -> CallerError:
         now = read_clock()
         log.info(
-            "no place",
+            "no target available",
             request_id=call.request_id,
             service=call.service,
             known=placement.known,
@@ -233,7 +234,7 @@
         )
 
     def _check_freshness(self, call: Call, now: float) -> None:
-        """Refuse a request with a key once the key may have been taken away."""
+        """Refuse a request with a key once the key may have been revoked."""
         if call.workspace is None:
             return
         if self._active_configuration.currency.is_fresh(now):
@@ -246,7 +247,7 @@
         raise make_stale_configuration_error(self._active_configuration, now)
 
     def _check_quarantine(self, call: Call) -> None:
-        """Refuse a request that broke the targets that ran it."""
+        """Refuse a request that crashed the targets that ran it."""
         wait = self._quarantine.find_wait(call.fingerprint)
         if wait > 0:
             message = "this request broke the targets that ran it"
@@ -257,7 +258,7 @@
     def _record_outcome(
         self, call: Call, in_flight: InFlightRequest, result: AttemptResult
     ) -> None:
-        """Take in what a send says of its target."""
+        """Update the state of the target by the result of an attempt."""
         state = in_flight.state
         now = read_clock()
         match result.cause:
@@ -273,7 +274,7 @@
             case Cause.MISDIRECTED:
                 state.circuit_breaker.record_inconclusive()
                 if result.wrong_target:
-                    # This start of the target is over; its entry only says so later.
+                    # This instance of the target has ended; its entry expires later.
                     state.busy_until = now + REPLACED_BACKOFF_SECONDS
             case Cause.CLOSED | Cause.LATE | Cause.OUTDATED:
                 state.circuit_breaker.record_inconclusive()
@@ -290,7 +291,7 @@
         runs: int,
         retry_budget: SharedRetryBudget,
     ) -> bool:
-        """Say whether another send follows; if not, the caller has its answer."""
+        """Return whether to retry; if not, the caller has its final response."""
         if self._may_retry(call, result, delivery, runs):
             free = result.cause in (Cause.CONNECT, Cause.CLOSED)
             if free or retry_budget.try_spend(read_clock(), self._fleet.gateway_count):
@@ -308,7 +309,7 @@
                 code = ErrorCode.OUTCOME_UNKNOWN
             raise CallerError(code, result.cause.value, ExecutionStatus.UNKNOWN)
         now = read_clock()
-        # The caller may wait longer than its route allows, and come back.
+        # The caller may wait longer than its route's timeout, and retry.
         end = call.timeout_at if now < call.timeout_at else call.deadline
         wait = draw_retry_after(max(0.0, end - now), self._random)
         raise CallerError(
@@ -338,7 +339,7 @@
 def make_stale_configuration_error(
     active_configuration: ActiveConfiguration, now: float
 ) -> CallerError:
-    """Return the refusal for keys that may have been taken away meanwhile."""
+    """Return the error for a key that may have been revoked in the meantime."""
     age = active_configuration.currency.find_age(now)
     message = f"the configuration was last confirmed {age:.1f} s ago"
     return CallerError(
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -42,10 +42,10 @@
     from .settings import ProxySettings
     from .store_schema import Store, StoreSchema
 
-# Share of the grace time in which requests may end; the rest is for closing.
+# Share of the grace period for open requests; the remainder is for closing.
 GRACE_SHARE = 0.95
-# After not-ready shows, the balancer asks twice, a second apart, before it sends new
-# connections elsewhere. Callers are let go only then.
+# Seconds between turning not ready and closing callers' connections: the load balancer
+# probes twice, a second apart, before it sends new connections elsewhere.
 UNREADY_DELAY_SECONDS = 2.4
 
 log = structlog.get_logger()
@@ -59,7 +59,7 @@
     part_store_client: PartStoreClient,
     read_settings: Callable[[], ProxySettings],
 ) -> None:
-    """Serve until SIGTERM, then let every request finish."""
+    """Serve until SIGTERM, then complete the open requests."""
     if settings.callers is None or settings.readiness is None:
         raise ValueError("a gateway needs addresses for callers and for readiness")
     generator = random.Random(f"{settings.vm}:{os.getpid()}:{read_clock()}")
@@ -144,13 +144,13 @@
 async def _stop(
     settings: ProxySettings, ingress: Ingress, listener: CallerListener
 ) -> None:
-    """Finish what is open; callers that still come are served, too."""
+    """Complete the open requests; new ones get a response, too."""
     started_at = read_clock()
     ingress.stopping = True
     log.info("gateway stopping", open_requests=ingress.open_requests)
     await asyncio.sleep(UNREADY_DELAY_SECONDS)
-    # Callers may still come: a listener that is closed leaves those that are already
-    # connected without a word until the process ends.
+    # The listener stays open: after closing it, callers that are already connected
+    # would get no response until the process ends.
     ingress.refusing = True
     listener.close_when_idle()
     remaining = settings.grace_seconds * GRACE_SHARE - (read_clock() - started_at)
--- a/libraries/proxy/src/bamboopier_proxy/header_codec.py
+++ b/libraries/proxy/src/bamboopier_proxy/header_codec.py
@@ -1,4 +1,4 @@
-"""How requests and answers are marked on the wire; an adapter provides it."""
+"""Interface to the encoding of metadata in headers; an adapter provides it."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 class HeaderCodec(Protocol):
-    """Reads and writes the headers that carry meaning."""
+    """Parses and formats the headers that this system interprets."""
 
     def parse_request_headers(
         self, headers: Iterable[tuple[str, str]]
     ) -> Result[RequestMetadata, str]:
-        """Return what a caller's headers say, or what is wrong with them."""
+        """Return the metadata in a caller's headers, or why they are invalid."""
         ...
 
     def format_target_headers(self, metadata: AttemptMetadata) -> HeaderList:
-        """Return the headers that this system sets on a request to a target."""
+        """Return the headers that the gateway sets on a request to a target."""
         ...
 
     def parse_response_headers(
         self, status: int, headers: Iterable[tuple[str, str]]
     ) -> ResponseMetadata:
-        """Return what a target's answer says."""
+        """Return the metadata in a target's response."""
         ...
 
     def get_request_id_header(self) -> str:
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -1,4 +1,4 @@
-"""Callers' requests: read, checked against the configuration, answered once."""
+"""Reads callers' requests, checks them against the configuration, and responds."""
 
 from __future__ import annotations
 
@@ -32,24 +32,24 @@
     from .messages import RequestMetadata
     from .metrics import ProxyMetrics
 
-# Seconds a body may take to arrive.
+# Seconds within which a request body must arrive.
 BODY_TIMEOUT_SECONDS = 10.0
-# Seconds a caller waits that does not say how long.
+# Seconds for which a caller waits if it sends no deadline.
 DEFAULT_DEADLINE_SECONDS = 60.0
-# Share of this process's memory that bodies of open requests may take.
+# Share of this process's memory for the bodies of open requests.
 BODY_MEMORY_SHARE = 0.15
-# Seconds after which a caller should come back to a process that knows nothing yet.
+# Retry-After, in seconds, while this process has no configuration yet.
 STARTING_RETRY_SECONDS = 0.5
-# Seconds after which a caller should come back to another process.
+# Retry-After, in seconds, while this process is stopping: another one can serve.
 STOPPING_RETRY_SECONDS = 0.05
-# Methods that belong to a connection and not to a resource.
+# Methods that apply to a connection and not to a resource.
 REFUSED_METHODS = frozenset({"CONNECT", "TRACE"})
 
 log = structlog.get_logger()
 
 
 class Ingress:
-    """Answers every request of every caller."""
+    """Handles every request of every caller."""
 
     def __init__(
         self,
@@ -69,20 +69,20 @@
             int(memory_bytes * BODY_MEMORY_SHARE), metrics.held_body_bytes
         )
         self._open = 0
-        # Answers say that their connection closes.
+        # Responses announce that their connection closes.
         self.stopping = False
-        # What comes now could be cut by the end of this process; another one takes it.
+        # The process may end before new requests complete; another one serves them.
         self.refusing = False
         self.idle = asyncio.Event()
         self.idle.set()
 
     @property
     def open_requests(self) -> int:
-        """Return the number of requests without a final answer."""
+        """Return the number of requests without a final response."""
         return self._open
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Handle one request."""
         arrived = read_clock()
         delivery = Delivery(request, lambda: self.stopping)
         self._open += 1
@@ -105,8 +105,8 @@
             ran = (
                 ExecutionStatus.UNKNOWN if trace.sent else ExecutionStatus.NOT_EXECUTED
             )
-            fault = CallerError(ErrorCode.INTERNAL, "internal error", ran)
-            await self._send_error(request, delivery, trace, fault)
+            internal_error = CallerError(ErrorCode.INTERNAL, "internal error", ran)
+            await self._send_error(request, delivery, trace, internal_error)
         finally:
             self._open -= 1
             self._metrics.open_requests.set(self._open)
@@ -114,7 +114,7 @@
                 self.idle.set()
             self._log_request(delivery, trace, arrived)
         if not delivery.started:
-            raise ConnectionResetError("the caller is gone")
+            raise ConnectionResetError("the caller disconnected")
         return delivery.response
 
     async def _process(
@@ -238,13 +238,13 @@
             return
         headers = make_error_headers(error, trace.request_id)
         if not request.content.at_eof():
-            # The rest of the body is not read, so nothing can follow it.
+            # The rest of the body is not read, so the connection cannot be reused.
             delivery.close_connection = True
         try:
             body = error.make_body(trace.request_id)
             await delivery.send(error.status, headers, body)
-        except CallerDisconnectedError as gone:
-            trace.outcome += f"; caller gone: {gone}"
+        except CallerDisconnectedError as disconnected:
+            trace.outcome += f"; caller gone: {disconnected}"
 
     def _log_request(
         self, delivery: Delivery, trace: _RequestTrace, arrived: float
@@ -266,7 +266,7 @@
 
 
 class _RequestTrace:
-    """What the last log line of a request tells."""
+    """Fields of the log line that is written when a request ends."""
 
     __slots__ = ("call", "outcome", "request_id", "route")
 
@@ -278,7 +278,7 @@
 
     @property
     def sent(self) -> bool:
-        """Say whether a target may have the request."""
+        """Return whether the request may have reached a target."""
         return self.call is not None and bool(self.call.tried)
 
 
--- a/libraries/proxy/src/bamboopier_proxy/messages.py
+++ b/libraries/proxy/src/bamboopier_proxy/messages.py
@@ -1,4 +1,4 @@
-"""What a caller asked, what a target is told, and what is known of its answer."""
+"""Requests of callers, and the metadata of requests, attempts and responses."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMetadata:
-    """What a caller's headers say."""
+    """Metadata in the headers of a caller's request."""
 
     request_id: str
-    # Seconds the caller waits; None where it does not say.
+    # Seconds for which the caller waits; None if it sends no deadline.
     deadline_seconds: float | None
     key: str | None
     prompt: Prompt | None
-    # The caller has the events up to this one of a stream that broke off.
+    # Id of the last event that the caller received of an interrupted stream.
     last_event: str | None
-    # End-to-end headers that go on unchanged.
+    # End-to-end headers that are forwarded unchanged.
     forwarded_headers: HeaderList
 
 
 def make_fingerprint(method: str, raw_path: str, workspace: str, body: bytes) -> bytes:
-    """Return what is the same each time a caller sends the same request."""
+    """Return a digest that is the same whenever a caller repeats a request."""
     digest = hashlib.blake2b(body, digest_size=12)
     digest.update(f"{method} {raw_path} {workspace}".encode())
     return digest.digest()
@@ -38,14 +38,14 @@
 
 @dataclass(slots=True)
 class Call:
-    """One request with all that decides how it is treated.
+    """One request of a caller, with all that determines how it is handled.
 
-    Times are seconds on the clock that counts while a machine is suspended.
+    Times are in seconds on the clock that includes the time of suspensions.
     """
 
     request_id: str
     method: str
-    # As it stands in the request line, with its query.
+    # Path and query as in the request line.
     raw_path: str
     host: str
     headers: HeaderList
@@ -56,55 +56,55 @@
     prompt: Prompt | None
     priority: int
     arrived: float
-    # When the caller leaves.
+    # When the caller stops waiting.
     deadline: float
-    # When the operator wants a final answer, not after ``deadline``.
+    # When the timeout of the route ends; not after ``deadline``.
     timeout_at: float
-    # Version of the configuration that let it in.
+    # Version of the configuration that admitted it.
     version: int
     fingerprint: bytes
     last_event: str | None = None
-    # Names of targets it was sent to.
+    # Names of the targets of its attempts.
     tried: list[str] = field(default_factory=list)
-    # A target began to work on it, or may have.
+    # A target started it, or may have.
     may_have_run: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptMetadata:
-    """What a target is told beside the caller's own headers."""
+    """Metadata sent to a target in addition to the caller's own headers."""
 
     target: str
     remaining_seconds: float
     workspace: str
-    # Requests find cached parts only under the same text.
+    # Requests share cached parts of prompts only within the same scope.
     cache_scope: str
-    # 0 is served first; None for services that know no priorities.
+    # 0 is served first; None for services without priorities.
     priority: int | None
-    # The target is to refuse under another weight version; 0 for any.
+    # The target refuses the request if it has another weight version; 0 for any.
     weight_version: int
     last_event: str | None
-    # Where the target fetches and saves parts of the prompt.
+    # Stores from which the target fetches parts of the prompt, and to which it saves.
     part_plan: PartPlan | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseMetadata:
-    """What a target's answer says beside status and body."""
+    """Metadata of a target's response in addition to status and body."""
 
     request_id: str
-    # The target vouches for this answer.
+    # The target authenticated the response by its seal.
     sealed: bool
-    # The target says that it did not run the request and never will.
+    # The target reports that it did not run the request and will not run it.
     not_run: bool
-    # The answer comes from another target than the one expected, or from one with
-    # other weights.
+    # The response comes from a target other than the expected one, or from one with
+    # another weight version.
     misdirected: bool
     target: str
     weight_version: int
-    # Seconds that the target stays cold.
+    # Seconds for which the target remains cold, and accepts few requests.
     cold_seconds: float
-    # The target names the requests a second that it takes from all gateways together,
-    # for as long as its answers do so; None where it cannot be read.
+    # The target reports the requests per second that it accepts from all gateways
+    # together; valid as long as its responses report it; None if it is unreadable.
     reports_limit: bool = False
     limit_per_second: float | None = None
--- a/libraries/proxy/src/bamboopier_proxy/metrics.py
+++ b/libraries/proxy/src/bamboopier_proxy/metrics.py
@@ -4,7 +4,7 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
-# Seconds; the operators' aims lie between 0.1 and 0.6 s, deadlines at 12 s.
+# Seconds; latency objectives are between 0.1 and 0.6 s, deadlines at 12 s.
 LATENCY_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 12.0)
 
 
@@ -21,7 +21,7 @@
         )
         self.sends = Counter(
             "bamboopier_sends",
-            "Requests sent to targets, by service and cause of their end",
+            "Attempts of requests at targets, by service and cause of their end",
             ["service", "cause"],
             registry=self.registry,
         )
@@ -33,30 +33,30 @@
         )
         self.first_byte = Histogram(
             "bamboopier_first_byte_seconds",
-            "Seconds from a request's arrival to the first byte of its answer",
+            "Seconds from a request's arrival to the first byte of its response",
             ["service"],
             buckets=LATENCY_BUCKETS,
             registry=self.registry,
         )
         self.waited = Histogram(
             "bamboopier_waited_seconds",
-            "Seconds that requests waited here for room at a target",
+            "Seconds for which requests waited for capacity at a target",
             ["service"],
             buckets=LATENCY_BUCKETS,
             registry=self.registry,
         )
         self.held_body_bytes = Gauge(
             "bamboopier_held_body_bytes",
-            "Bytes of request bodies held by open requests",
+            "Bytes of the bodies of open requests",
             registry=self.registry,
         )
         self.open_requests = Gauge(
             "bamboopier_open_requests",
-            "Requests without a final answer",
+            "Requests without a final response",
             registry=self.registry,
         )
         self.dropped_lines = Gauge(
             "bamboopier_log_lines_dropped",
-            "Log lines that were dropped to stay within bounds",
+            "Log lines that were dropped by the bounds of the log sink",
             registry=self.registry,
         )
--- a/libraries/proxy/src/bamboopier_proxy/pause_monitor.py
+++ b/libraries/proxy/src/bamboopier_proxy/pause_monitor.py
@@ -1,4 +1,4 @@
-"""Notes when this process paused, and tells of it."""
+"""Detects suspensions of this process, and reports them."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 class PauseMonitor:
-    """Ticks as long as it runs; a pause is logged when it is over."""
+    """Ticks while it runs; a late tick shows a pause, which is logged and counted."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         self.pauses = PauseTracker(read_clock())
         self._paused = Counter(
             "bamboopier_paused_seconds",
-            "Seconds for which this process or its machine stood still",
+            "Seconds for which this process or its machine was suspended",
             registry=registry,
         )
-        # Each is told when a pause ended, and its seconds.
+        # Each is called with the time at which a pause ended, and its seconds.
         self.listeners: list[Callable[[float, float], None]] = []
 
     async def run(self) -> None:
@@ -37,7 +37,7 @@
             await asyncio.sleep(TICK_SECONDS)
 
     def tick(self) -> None:
-        """Take in that the process runs now."""
+        """Record that the process is running; report a pause that has ended."""
         now = read_clock()
         seconds = self.pauses.record_tick(now)
         if not seconds:
--- a/libraries/proxy/src/bamboopier_proxy/refusals.py
+++ b/libraries/proxy/src/bamboopier_proxy/refusals.py
@@ -1,4 +1,4 @@
-"""Final answers of this system's own: what happened, whether it ran, when to return."""
+"""Error responses of this system: what happened, whether it ran, when to retry."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def make_error_headers(error: CallerError, request_id: str) -> HeaderList:
-    """Return the headers of an error's answer.
+    """Return the headers of an error response.
 
-    The time to return is given with its fraction: whole seconds would let callers
-    that were refused together return together.
+    Retry-After includes fractions of a second: with whole seconds, callers that are
+    refused at the same time would also retry at the same time.
     """
     headers = [("Content-Type", "application/json"), ("X-Request-Id", request_id)]
     if error.retry_after > 0:
--- a/libraries/proxy/src/bamboopier_proxy/request_queues.py
+++ b/libraries/proxy/src/bamboopier_proxy/request_queues.py
@@ -1,4 +1,4 @@
-"""Requests that wait for room at a target, and wakes them in order."""
+"""Queues requests that wait for capacity at a target, and wakes them in order."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
     from bamboopier_decisions.forwarding.fleet import InFlightRequest
 
-# Requests tried at each end of another: the first that still finds no room shows that
-# those behind it need not be tried, unless they need less.
+# Requests tried whenever another one ends. If the first finds no capacity, those behind
+# it rarely do, unless they require less.
 MAX_TRIED_PER_WAKE = 4
-# Seconds between two searches without any event: pauses of targets end with time.
+# Seconds between two searches without an event: the back-off of a target ends by time.
 WAKE_INTERVAL_SECONDS = 0.05
 
 
@@ -27,19 +27,19 @@
 
 
 class RequestQueues:
-    """Holds waiting requests by service."""
+    """Holds the waiting requests of each service."""
 
     def __init__(self) -> None:
         self._queues: dict[str, WaitQueue] = {}
         self._pending: dict[tuple[str, int], _PendingRequest] = {}
 
     def count(self, service: str) -> int:
-        """Return the requests that wait for a service."""
+        """Return the number of requests that wait for a service."""
         queue = self._queues.get(service)
         return len(queue) if queue is not None else 0
 
     def count_before(self, service: str, priority: int) -> int:
-        """Return the waiting requests that go before a new one of ``priority``."""
+        """Return the number of waiting requests ahead of a new one of ``priority``."""
         queue = self._queues.get(service)
         return queue.count_before(priority) if queue is not None else 0
 
@@ -51,11 +51,11 @@
         try_acquire: Callable[[], InFlightRequest | None],
         release: Callable[[InFlightRequest], None],
     ) -> InFlightRequest | None:
-        """Wait until ``try_acquire`` returns a place; None when ``seconds`` have passed.
+        """Wait until ``try_acquire`` returns a slot; None after ``seconds``.
 
-        A caller may leave between the moment in which a place is counted for it and
-        the one in which its task runs again. Nobody would end that request, and its
-        target would look busier for ever: the place is given to ``release``.
+        A caller may disconnect after a slot was acquired for it and before its task
+        runs again. No request would use the slot, and its target would look busier for
+        ever; the slot is therefore passed to ``release``.
         """
         queue = self._queues.setdefault(service, WaitQueue())
         ticket = queue.add(priority)
@@ -78,7 +78,7 @@
             queue.remove(ticket)
 
     def wake(self, service: str) -> None:
-        """Look for places for the first waiting requests of a service."""
+        """Try to acquire slots for the first waiting requests of a service."""
         queue = self._queues.get(service)
         if queue is None or not len(queue):
             return
@@ -99,5 +99,5 @@
 
 
 def _get_acquired(acquired: asyncio.Future[InFlightRequest]) -> InFlightRequest | None:
-    """Return the place that was found, if one was."""
+    """Return the acquired slot, or None."""
     return acquired.result() if acquired.done() and not acquired.cancelled() else None
--- a/libraries/proxy/src/bamboopier_proxy/settings.py
+++ b/libraries/proxy/src/bamboopier_proxy/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a proxy gateway and of a proxy agent."""
+"""Settings of the gateway and agent processes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """An IP number and a TCP or UDP port."""
+    """An IP address and a TCP or UDP port."""
 
     host: str
     port: int
@@ -28,25 +28,25 @@
     data_centre: str
     region: str
     host: str
-    # Where callers connect; None on an agent.
+    # Address on which callers connect; None for an agent.
     callers: Endpoint | None
-    # Where the balancer asks whether new connections may come; None on an agent.
+    # Address for the load balancer's readiness probes; None for an agent.
     readiness: Endpoint | None
-    # Where metrics are served.
+    # Address on which metrics are served.
     metrics: Endpoint
-    # Ports for the system's own messages.
+    # First port of the range for messages between processes of this system.
     first_port: int
-    # The target beside an agent.
+    # Address of an agent's target; None for a gateway.
     target: Endpoint | None
     target_service: str
-    # A request with a key may be passed on for so long after the configuration was
-    # last proved current; None for no such bound.
+    # A request with a key may be forwarded for this long after the configuration was
+    # last confirmed; None for no limit.
     key_seconds: float | None
     # From SIGTERM to SIGKILL.
     grace_seconds: float
-    # From the naming of weights until older ones may serve no more.
+    # From the publication of a weight version until older ones expire.
     version_seconds: float
-    # For which a holder of a target's orders must be silent before another gives one.
+    # Without a renewal, after which another agent may acquire the lease on a target.
     lease_seconds: float
     retries: RetryBudgetLimits
     memory_bytes: int
--- a/libraries/proxy/src/bamboopier_proxy/settings_reloader.py
+++ b/libraries/proxy/src/bamboopier_proxy/settings_reloader.py
@@ -1,4 +1,4 @@
-"""Takes changed settings into a running process, on SIGHUP or without a word."""
+"""Reloads changed settings in a running process, on SIGHUP or at intervals."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
     from .settings import ProxySettings
 
-# Seconds between two looks at the file: it may change without a signal. It is read from
-# memory, and bounds change a few times a day at most.
+# Seconds between two checks of the file, which may change without a signal. It is read
+# from memory, and limits change a few times a day at most.
 CHECK_INTERVAL_SECONDS = 5.0
 
 log = structlog.get_logger()
 
 
 class SettingsReloader:
-    """Reads the settings again and hands on those that changed.
+    """Reads the settings again and applies them if they changed.
 
-    Without a handler SIGHUP would end the process, and every request it has.
+    Without a signal handler, SIGHUP would end the process and all its open requests.
     """
 
     def __init__(
@@ -41,14 +41,14 @@
         self._reload_requested = asyncio.Event()
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Reload on SIGHUP and at intervals until cancelled."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self._reload_requested.set)
         while True:
             try:
                 async with asyncio.timeout(CHECK_INTERVAL_SECONDS):
                     await self._reload_requested.wait()
-                log.info("reload asked for")
+                log.info("reload requested")
             except TimeoutError:
                 pass
             self._reload_requested.clear()
@@ -56,18 +56,18 @@
 
     def _reload_if_changed(self) -> None:
         try:
-            found = self._read()
+            settings = self._read()
         except BamboopierError as error:
-            # What is in force stays: a file that is being written is whole later.
-            log.warning("settings set aside", reason=str(error))
+            # The current settings stay: a file that is being written is complete later.
+            log.warning("invalid settings ignored", reason=str(error))
             return
-        if found == self._settings:
+        if settings == self._settings:
             return
         names = [
             field.name
-            for field in fields(found)
-            if getattr(found, field.name) != getattr(self._settings, field.name)
+            for field in fields(settings)
+            if getattr(settings, field.name) != getattr(self._settings, field.name)
         ]
-        self._settings = found
-        self._apply(found)
+        self._settings = settings
+        self._apply(settings)
         log.info("settings reloaded", changed=names)
--- a/libraries/proxy/src/bamboopier_proxy/store_schema.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_schema.py
@@ -1,4 +1,4 @@
-"""Where things lie in the store and how they are written; an adapter provides it."""
+"""Interface to the keys and the encoding of stored objects; an adapter provides it."""
 
 from __future__ import annotations
 
@@ -15,43 +15,43 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishedWeights:
-    """A weight version that the operator named for a model."""
+    """A weight version that the operator published for a model."""
 
     model: str
     version: int
 
 
 class Store(ObjectStore, FollowedStore, Protocol):
-    """The platform's store: conditional writes, lists and watches."""
+    """The platform's object store, with conditional writes, lists and watches."""
 
 
 class StoreSchema(Protocol):
-    """Keys of what others write, and how it is decoded."""
+    """Keys of the objects in the store, and how they are decoded."""
 
     configuration_key: str
     targets_prefix: str
     weights_prefix: str
-    # Each name below it is a data centre that gets nothing.
+    # Each key below it names a data centre that gets no requests.
     drained_data_centres_prefix: str
-    # Where gateways register themselves.
+    # Registrations of gateways.
     gateways_prefix: str
-    # Where the holders of targets' orders are written.
+    # Leases of the agents that may update a target.
     leases_prefix: str
-    # Where the places to load weights are held.
+    # Slots that bound the number of concurrent weight loads.
     load_slots_prefix: str
-    # Where it is written when weights were named.
+    # Times at which weight versions were published.
     publish_times_prefix: str
-    # Where it is written what targets in need take.
+    # Rate limits that targets report.
     rate_limits_prefix: str
 
     def decode_configuration(self, value: bytes) -> Result[DeclaredConfiguration, str]:
-        """Return a configuration, or what is wrong with it."""
+        """Return a configuration, or why it is invalid."""
         ...
 
     def decode_target(self, name: str, value: bytes) -> Result[TargetEntry, str]:
-        """Return a target's entry, or why it names no target to use."""
+        """Return a target's entry, or why the target cannot be used."""
         ...
 
     def decode_weights(self, value: bytes) -> Result[PublishedWeights, str]:
-        """Return a named weight version, or what is wrong with it."""
+        """Return a published weight version, or why it is invalid."""
         ...
--- a/libraries/proxy/src/bamboopier_proxy/target_connection.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_connection.py
@@ -1,9 +1,9 @@
-"""One HTTP connection to a target: a request at a time, and no byte of another answer.
+"""An HTTP connection to a target, which carries one request at a time.
 
-Failures answered: a second answer that comes late where the next one is due (its id
-tells), bytes after a whole answer (the connection is not used again), an answer that
-breaks off (never taken for whole), a connection that went silent (the kernel's user
-timeout ends it).
+Guards against a late response to an earlier request (its request id differs), bytes
+after a complete response (the connection is not reused), a truncated response (it never
+counts as complete), and a peer that stopped responding (the kernel's user timeout
+closes the connection).
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
     from collections.abc import Callable
 
 
-# Milliseconds that bytes may stay unacknowledged, and the seconds of silence before a
-# connection is probed: a peer that is gone shows within about two seconds.
+# Milliseconds for which sent bytes may stay unacknowledged, and seconds of silence
+# before a keep-alive probe: a dead peer is detected within about two seconds.
 USER_TIMEOUT_MS = 1500
 PROBE_INTERVAL_SECONDS = 1
 MAX_PROBES = 2
-# Answers under another request's id that are read and dropped before giving up.
+# Responses with another request's id that are discarded before the attempt fails.
 MAX_FOREIGN_RESPONSES = 2
-# Seconds an idle connection is kept where the target does not say.
+# Seconds for which an idle connection is kept if the target sends no Keep-Alive.
 DEFAULT_IDLE_LIMIT_SECONDS = 3.0
-# The target counts from its last byte and closes at a whole second.
+# The target measures idleness from its last byte and closes at a full second.
 IDLE_MARGIN_SECONDS = 0.8
 
 
 class TargetConnection(asyncio.Protocol):
-    """A connection that is idle, or carries one request and its answer."""
+    """A connection that is idle, or carries one request and its response."""
 
     def __init__(self, id_header: str, read_clock: Callable[[], float]) -> None:
         self._id_header = id_header.lower()
@@ -54,16 +54,16 @@
         self._protocol_violated = False
         self._closed = False
         self._keep_alive = True
-        # Seconds it may stay idle before the target closes it.
+        # Seconds of idleness after which the target closes it.
         self.idle_limit = DEFAULT_IDLE_LIMIT_SECONDS
         self.idle_since = 0.0
         self.served = 0
 
-    # What the pool and the exchange use.
+    # Interface for the pool and the exchange.
 
     @property
     def is_open(self) -> bool:
-        """Say whether a request may be sent now."""
+        """Return whether a request may be sent now."""
         return (
             not self._closed
             and not self._protocol_violated
@@ -76,9 +76,9 @@
     async def send_request(
         self, head: bytes, body: bytes, request_id: str, method: str
     ) -> TargetResponse:
-        """Send a request and return its answer once status and headers are there.
+        """Send a request and return its response once its headers have arrived.
 
-        Raises ``BrokenResponseError`` when there will be none.
+        Raises ``BrokenResponseError`` if the connection fails before that.
         """
         if self._transport is None:
             raise BrokenResponseError("not connected")
@@ -91,7 +91,7 @@
         return await self._pending_response
 
     def release(self) -> bool:
-        """Free the connection after a whole answer; False when it cannot be reused."""
+        """Make the connection idle after a response; False if it cannot be reused."""
         complete = self._response is not None and self._response.complete
         transport = self._transport
         unsent = transport is not None and transport.get_write_buffer_size() > 0
@@ -110,7 +110,7 @@
         return True
 
     def abort(self) -> None:
-        """End the connection now; a target drops what it was working on."""
+        """Abort the connection; the target drops the request it was working on."""
         self._closed = True
         if self._transport is None:
             return
@@ -121,14 +121,14 @@
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Bound how long a silent peer goes unnoticed."""
+        """Configure the detection of dead peers."""
         self._transport = cast("asyncio.Transport", transport)
         connection = transport.get_extra_info("socket")
         if connection is not None:
             set_dead_peer_timeouts(connection)
 
     def data_received(self, data: bytes) -> None:
-        """Parse; anything that comes while no answer is due spoils the connection."""
+        """Parse data; any that arrives while no response is due prevents reuse."""
         if self._pending_response is None or (
             self._response is not None and self._response.complete
         ):
@@ -137,14 +137,14 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._fail(f"no HTTP: {error}")
+            self._fail(f"invalid HTTP response: {error}")
 
     def eof_received(self) -> bool:
-        """Take in the target's end of the connection.
+        """Handle the end of the stream from the target.
 
-        libuv reports a reset that it finds together with the last bytes as an end in
-        good order. An answer without length would pass for whole; the socket's own
-        error tells the two apart.
+        libuv reports a reset that arrives together with the last bytes as a regular
+        end. A response without a length would then count as complete; the pending error
+        of the socket distinguishes the two.
         """
         socket_error = self._find_socket_error()
         unknown_length = self._response is not None and not self._length_known
@@ -159,29 +159,29 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take in that the connection is gone."""
+        """Handle the loss of the connection."""
         self._closed = True
         self._fail(str(exc) if exc else "the connection was closed")
 
     # httptools
 
     def on_message_begin(self) -> None:
-        """Begin an answer; a second one on top of a whole one belongs to nobody."""
+        """Start a response; a second one after a complete one belongs to no request."""
         self._headers = []
         if self._response is not None and self._response.complete:
             self._protocol_violated = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header."""
+        """Add a header."""
         self._headers.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Hand the answer on, or skip one that belongs to another request."""
+        """Publish the response, or skip it if it belongs to another request."""
         status = self._parser.get_status_code()
         if self._protocol_violated or status < 200:
             return
         response_request_id = self._find_header(self._id_header)
-        # A success without an id cannot be told from another request's answer.
+        # A success without an id could be the response to another request.
         is_foreign = (
             response_request_id != self._request_id
             if response_request_id
@@ -204,7 +204,7 @@
             self._response.finish()
 
     def on_body(self, body: bytes) -> None:
-        """Take a piece of the body."""
+        """Add a chunk of the body."""
         if (
             self._response is not None
             and not self._skipping
@@ -213,7 +213,7 @@
             self._response.feed(body)
 
     def on_message_complete(self) -> None:
-        """Take in the end of an answer."""
+        """Handle the end of a response."""
         if self._parser.get_status_code() < 200 or self._protocol_violated:
             return
         if self._skipping:
@@ -221,15 +221,15 @@
         elif self._response is not None:
             self._response.finish()
 
-    # Inside
+    # Internals
 
     def _skip_response(self) -> None:
         self._foreign_responses += 1
         self._skipping = True
-        # Whatever the target mixed up, no further request goes this way.
+        # The target mixed up responses: no further request uses this connection.
         self._keep_alive = False
         if self._foreign_responses > MAX_FOREIGN_RESPONSES:
-            self._fail("answers of other requests")
+            self._fail("too many responses to other requests")
 
     def _reject_unexpected_data(self) -> None:
         self._protocol_violated = True
@@ -246,7 +246,7 @@
             self._transport.close()
 
     def _find_socket_error(self) -> str:
-        """Return the socket's pending error; empty when there is none."""
+        """Return the socket's pending error; empty if there is none."""
         connection = self._transport and self._transport.get_extra_info("socket")
         if not connection:
             return ""
@@ -281,9 +281,9 @@
 
 
 def set_dead_peer_timeouts(connection: socket.socket) -> None:
-    """Let the kernel end a connection whose peer is gone without a word.
+    """Let the kernel close a connection whose peer stops acknowledging.
 
-    Without it a request that was sent on such a connection waits for its deadline.
+    Without it, a request on such a connection would wait until its deadline.
     """
     options = (
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
@@ -298,11 +298,11 @@
 
 
 def enable_reset_on_close(connection: socket.socket) -> None:
-    """Let the kernel drop what is unsent, and reset the connection, at its close.
+    """Let the kernel discard unsent bytes and reset the connection on close.
 
-    Closed in good order, a connection still delivers its request to a target that
-    stands still: the target would run it seconds after its caller has left. A reset
-    takes back what has not arrived.
+    A regular close would still deliver the request to a target that is suspended, which
+    would run it seconds after its caller has disconnected. A reset discards what the
+    target has not received.
     """
     linger_no_seconds = struct.pack("ii", 1, 0)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger_no_seconds)
--- a/libraries/proxy/src/bamboopier_proxy/target_directory.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_directory.py
@@ -1,4 +1,4 @@
-"""How many targets a service has, and which one stands at an address."""
+"""Looks up the targets of a service by the entries in the store."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class TargetDirectory:
-    """Reads the registered targets of one service when they are needed."""
+    """Reads the registered targets of one service on demand."""
 
     def __init__(self, store: FollowedStore, schema: StoreSchema, service: str) -> None:
         self._store = store
@@ -24,11 +24,11 @@
 
     @property
     def count(self) -> int:
-        """Return the number of targets last read, at least one."""
+        """Return the number of targets last read, but at least one."""
         return max(1, len(self._entries))
 
     async def read(self) -> bool:
-        """Read the list; False when the store did not answer."""
+        """Read the list; False if the store did not respond."""
         listing = await self._store.list(self._schema.targets_prefix)
         if isinstance(listing, Err):
             return False
@@ -50,6 +50,6 @@
         }
 
     def find_name(self, host: str, port: int) -> str:
-        """Return the name of the target at an address; empty when there is none."""
+        """Return the name of the newest target at an address, or an empty string."""
         found = [e for e in self._entries if e.host == host and e.port == port]
         return max(found, key=lambda e: e.started_ms).name if found else ""
--- a/libraries/proxy/src/bamboopier_proxy/target_pool.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_pool.py
@@ -1,9 +1,9 @@
-"""Connections to targets, kept while they are likely to stand.
+"""A pool of keep-alive connections to targets.
 
 Load pattern: hundreds of short requests a second, each of which would cost a handshake
-at the target. Kept connections cost none, but one that the target has just closed loses
-the request that is sent on it; what may run only once is sent only on a connection that
-was used a moment ago.
+at the target. Reusing connections avoids it, but a request is lost if the target has
+just closed its connection; a request that may run only once is therefore sent only on a
+recently used connection.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 
     from bamboopier_decisions.forwarding.specs import TargetEntry
 
-# A connection in the same region stands within milliseconds; a lost packet is sent
-# again after a second, by which time another target is the better choice.
+# Connecting within a region takes milliseconds; a lost packet is retransmitted after a
+# second, by which time another target is the better choice.
 CONNECT_TIMEOUT_SECONDS = 0.9
-# Seconds of idleness after which a connection is not trusted with a request that may
-# run only once.
+# Seconds of idleness after which a connection is not used for a request that may run
+# only once.
 MAX_RECENT_IDLE_SECONDS = 2.0
-# Seconds between two searches for connections that stood idle too long.
+# Seconds between two searches for connections that were idle for too long.
 SWEEP_INTERVAL_SECONDS = 1.0
 
 
 class ConnectError(Exception):
-    """No connection came about: nothing was sent."""
+    """The connection could not be established; nothing was sent."""
 
 
 class TargetPool:
-    """Idle connections by target start; close all by leaving the context."""
+    """Keeps connections by target instance; leaving the context closes them all."""
 
     def __init__(self, id_header: str) -> None:
         self._id_header = id_header
@@ -61,7 +61,8 @@
     ) -> TargetConnection:
         """Return a connection; raises ``ConnectError``.
 
-        ``recently_used`` asks for one that was used a moment ago, or a new one.
+        With ``recently_used``, an idle connection is reused only if it was used within
+        ``MAX_RECENT_IDLE_SECONDS``.
         """
         key = (entry.name, entry.started_ms)
         now = read_clock()
@@ -78,7 +79,7 @@
         return await self._connect(key, entry)
 
     def release(self, entry: TargetEntry, connection: TargetConnection) -> None:
-        """Keep a connection after a whole answer, or drop it."""
+        """Return a connection to the pool after a complete response, or close it."""
         key = (entry.name, entry.started_ms)
         if connection.release():
             self._idle.setdefault(key, []).append(connection)
@@ -86,16 +87,16 @@
             self._close(key, connection)
 
     def release_unused(self, entry: TargetEntry, connection: TargetConnection) -> None:
-        """Keep a connection on which nothing was sent."""
+        """Return an unused connection to the pool."""
         connection.idle_since = read_clock()
         self._idle.setdefault((entry.name, entry.started_ms), []).append(connection)
 
     def discard(self, entry: TargetEntry, connection: TargetConnection) -> None:
-        """End a connection whose answer is not wanted, or not whole."""
+        """Close a connection whose response is not needed, or is incomplete."""
         self._close((entry.name, entry.started_ms), connection)
 
     def close_expired(self) -> None:
-        """End connections that stood idle too long."""
+        """Close connections that were idle for too long."""
         now = read_clock()
         for key, idle in list(self._idle.items()):
             for connection in list(idle):
@@ -107,7 +108,7 @@
                 del self._idle[key]
 
     async def run(self) -> None:
-        """Sweep until cancelled."""
+        """Close expired connections at intervals until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
             self.close_expired()
--- a/libraries/proxy/src/bamboopier_proxy/target_response.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_response.py
@@ -1,4 +1,4 @@
-"""One target's answer while it arrives."""
+"""A target's response while it is being received."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
     from .messages import HeaderList
 
-# Bytes held for a caller that reads slowly, before the target's connection is no
-# longer read.
+# Bytes buffered for a caller that reads slowly, above which reading from the target's
+# connection is paused.
 HIGH_WATER_MARK_BYTES = 64 * 1024
 
 
 class BrokenResponseError(Exception):
-    """The answer ended before it was whole, or is no answer in the protocol."""
+    """The response is incomplete, or is not a valid HTTP response."""
 
 
 class TargetResponse:
-    """Status, headers and body of one answer. One reader at a time."""
+    """Status, headers and body of a response; supports one reader at a time."""
 
     __slots__ = (
         "_chunks",
@@ -48,7 +48,7 @@
         self.complete = False
 
     def feed(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Append a chunk of the body."""
         self._chunks.append(data)
         self._buffered_bytes += len(data)
         if self._buffered_bytes > HIGH_WATER_MARK_BYTES:
@@ -56,18 +56,21 @@
         self._wake()
 
     def finish(self) -> None:
-        """Take in that the body is whole."""
+        """Mark the body as complete."""
         self.complete = True
         self._wake()
 
     def fail(self, reason: str) -> None:
-        """Take in that nothing more comes."""
+        """Mark the response as broken, unless it is complete."""
         if not self.complete:
             self._error = reason
             self._wake()
 
     async def read(self) -> bytes:
-        """Return what has arrived; empty at the end; raises ``BrokenResponseError``."""
+        """Return the buffered bytes, waiting for some; empty at the end of the body.
+
+        Raises ``BrokenResponseError`` when the response ends before it is complete.
+        """
         while not self._chunks:
             if self.complete:
                 return b""
@@ -83,12 +86,16 @@
         return data
 
     async def read_all(self, limit: int) -> bytes:
-        """Return the whole body; raises ``BrokenResponseError`` above ``limit`` bytes."""
+        """Return the complete body.
+
+        Raises ``BrokenResponseError`` for an incomplete body, or for one of more than
+        ``limit`` bytes.
+        """
         body = bytearray()
         while data := await self.read():
             body += data
             if len(body) > limit:
-                raise BrokenResponseError(f"more than {limit} bytes")
+                raise BrokenResponseError(f"response body exceeds {limit} bytes")
         return bytes(body)
 
     def _wake(self) -> None:
--- a/libraries/proxy/src/bamboopier_proxy/weight_expiry_monitor.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_expiry_monitor.py
@@ -1,11 +1,12 @@
-"""Takes back requests that wait at a target until its weights may serve no more.
+"""Aborts requests that a target has not started before its weight version expires.
 
-Failure answered: a request leaves while older weights may still serve, and its target
-is suspended or full for seconds. It would begin when their time is over, and its caller
-be answered on weights that were replaced. What has not begun by then is taken back: its
-connection is reset, and a target that goes on finds nobody to work for.
+Guards against responses from an expired weight version: a request is sent while an
+older version is still allowed, and its target is suspended or full for seconds. By the
+time the target starts it, the version has expired. The monitor resets the connection of
+every request that has not started by then, so that the target drops it.
 
-Load pattern: as many requests as are under way without a first answer, some tens.
+Load pattern: the number of in-flight requests whose response has not started, some
+tens.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
     from .messages import AttemptMetadata, Call
     from .target_connection import TargetConnection
 
-# Seconds between two looks at what waits.
+# Seconds between two checks of the pending requests.
 CHECK_INTERVAL_SECONDS = 0.1
 
 log = structlog.get_logger()
@@ -35,7 +36,7 @@
 
 @dataclass(eq=False, slots=True)
 class PendingRequest:
-    """A request at a target whose answer has not begun."""
+    """A request at a target whose response has not started."""
 
     call: Call
     metadata: AttemptMetadata
@@ -44,7 +45,7 @@
 
 
 class WeightExpiryMonitor:
-    """Knows the requests that wait at targets, and ends those that wait too long."""
+    """Tracks requests pending at targets, and aborts those that wait too long."""
 
     def __init__(self, weights: WeightVersions) -> None:
         self._weights = weights
@@ -54,7 +55,7 @@
     def watch(
         self, call: Call, metadata: AttemptMetadata, connection: TargetConnection
     ) -> Iterator[PendingRequest]:
-        """Watch a request from its sending to its end, or until it has begun."""
+        """Track a request from its send until its response starts or it ends."""
         pending = PendingRequest(call, metadata, connection)
         if call.prompt is not None:
             self._pending.add(pending)
@@ -64,11 +65,11 @@
             self.record_started(pending)
 
     def record_started(self, pending: PendingRequest) -> None:
-        """Take in that the target's answer has begun."""
+        """Record that the target's response has started."""
         self._pending.discard(pending)
 
     def abort_expired(self, now: float) -> None:
-        """Take back what may not begin any more."""
+        """Abort the requests that may no longer start at time ``now``, in seconds."""
         for pending in list(self._pending):
             prompt = pending.call.prompt
             if prompt is None:
@@ -80,7 +81,7 @@
             pending.aborted = True
             pending.connection.abort()
             log.info(
-                "request taken back",
+                "pending request aborted",
                 request_id=pending.call.request_id,
                 target=pending.metadata.target,
                 weight_version=pending.metadata.weight_version,
@@ -88,7 +89,7 @@
             )
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check at intervals until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             self.abort_expired(read_clock())
--- a/libraries/proxy/tests/forwarder_builders.py
+++ b/libraries/proxy/tests/forwarder_builders.py
@@ -1,4 +1,4 @@
-"""A forwarder before one target, with a clock that tests move."""
+"""A forwarder with one stub target, and a clock that tests control."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
     from collections.abc import Callable
 
 MODEL, SERVICE = "m1", "desk"
-# Seconds for which a configuration may be relied on, and for which older weights serve.
+# Maximum age of the configuration, and the time for which older weights are allowed.
 KEY_SECONDS, VERSION_SECONDS = 5.0, 12.0
 TIMEOUT_SECONDS = 3.0
 WORKSPACE = Workspace("midlands", ("k1",), None, isolated=False)
 
 
 class Clock:
-    """Stands still unless it is moved."""
+    """A clock that advances only when a test sets it."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -56,7 +56,7 @@
 
 
 class StubPool:
-    """Lets something happen while a connection is made; keeps what was sent on it."""
+    """Calls back while a connection is made; records the request heads sent on it."""
 
     def __init__(self, on_connect: Callable[[], None]) -> None:
         self._on_connect = on_connect
@@ -77,11 +77,11 @@
         self.unused += 1
 
     def release(self, *_: object) -> None:
-        """Take a used connection."""
+        """Accept a used connection."""
 
 
 class StubCodec:
-    """Writes what a target is told as plain headers; all answers are whole."""
+    """Formats attempt metadata as plain headers; all responses are sealed."""
 
     def format_target_headers(
         self, metadata: AttemptMetadata
@@ -96,7 +96,7 @@
 
 
 class ForwarderHarness:
-    """A forwarder, what it believes, and what reached its one target."""
+    """A forwarder, its state, and what reached its one target."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -146,7 +146,7 @@
 
 
 def make_route() -> Route:
-    """Return the one route, whose requests may run once."""
+    """Return the only route, whose requests may run once."""
     return Route(
         name="desk",
         host="desk.example",
@@ -173,7 +173,7 @@
 
 
 def make_entry() -> TargetEntry:
-    """Return the one target's entry."""
+    """Return the entry of the only target."""
     return TargetEntry(
         "i-1", 1, SERVICE, "10.0.0.1", 80, "z1", 8, False, 0.0, {MODEL: 1}
     )
--- a/libraries/proxy/tests/test_attempts.py
+++ b/libraries/proxy/tests/test_attempts.py
@@ -1,7 +1,7 @@
-"""What holds right before a send, after a connection to the target was made.
+"""Checks right before a send, after the connection to the target was made.
 
-A connection takes up to a second where a packet is lost, and longer where the gateway
-is suspended meanwhile. What was checked before that may no longer hold.
+Connecting takes up to a second if a packet is lost, and longer if the gateway is
+suspended meanwhile. Checks made before it may be outdated.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
         self.harness.on_connect = on_connect
 
     async def expect_refusal(self, **options: bool) -> CallerError:
-        """Forward a request that gets no answer; nothing may be sent."""
+        """Forward a request that is refused; nothing may be sent."""
         with self.assertRaises(CallerError) as caught:
             await self.harness.forward(**options)
         self.assertEqual(self.harness.pool.heads, [])
@@ -41,40 +41,41 @@
         return caught.exception
 
     async def test_the_target_gets_the_time_remaining_at_the_send(self) -> None:
-        # A packet is lost and the connection takes 0.9 s. The target was told of the
-        # time that was left before it, and worked on 0.9 s after the caller had gone.
+        # Guards against a target that works for 0.9 s after its caller disconnected: a
+        # lost packet delays the connection by 0.9 s, and the target was sent the time
+        # that remained before the delay.
         self.advance_while_connecting(0.9)
         await self.harness.forward()
         remaining = TIMEOUT_SECONDS - 0.9
         self.assertIn(f"Seconds-Left: {remaining:.3f}", self.harness.pool.heads[0])
 
     async def test_nothing_is_sent_after_the_route_timeout(self) -> None:
-        # The gateway is suspended while it connects. As it runs again the time is over
-        # in which the caller was to have its answer, and the order went out all the
-        # same: a van was dispatched for a caller who was told the end, or had left.
+        # Guards against an order that runs after its caller got a timeout error or
+        # disconnected: the gateway is suspended while it connects, and resumes after
+        # the timeout of the route.
         self.advance_while_connecting(TIMEOUT_SECONDS + 1)
         error = await self.expect_refusal()
         self.assertIs(error.ran, ExecutionStatus.NOT_EXECUTED)
         self.assertFalse(self.harness.quarantine.record_crash.called)
-        standing = self.harness.fleet.list_targets("desk", 0.0)[0].circuit_breaker
-        self.assertEqual(standing.failure_rate, 0.0)
+        breaker = self.harness.fleet.list_targets("desk", 0.0)[0].circuit_breaker
+        self.assertEqual(breaker.failure_rate, 0.0)
 
     async def test_retry_after_is_not_before_there_is_capacity(self) -> None:
-        # Guards against a caller that is refused a second time by a target in need: it
-        # takes the next request in two seconds.
+        # Guards against a caller that retries too early and is refused again: the
+        # target is rate-limited, and accepts the next request in two seconds.
         state = self.harness.fleet.list_targets("desk", 0.0)[0]
         state.rate_limit.record_limit(self.harness.clock.now, 0.5)
         with self.assertRaises(CallerError) as caught:
             await self.harness.forward()
         self.assertIs(caught.exception.ran, ExecutionStatus.NOT_EXECUTED)
-        # Callers wait for a third of the time that they have at the most.
+        # Retry-After is at most a third of the caller's remaining time.
         min_retry_after = min(2.0, 0.3 * TIMEOUT_SECONDS)
         self.assertGreaterEqual(caught.exception.retry_after, min_retry_after)
 
     async def test_a_key_is_refused_when_the_configuration_gets_stale(self) -> None:
-        # The configuration was confirmed 4.5 s ago, and keys may be relied on for five.
-        # The connection takes 0.9 s: the key may be taken away by then, and its request
-        # ran. One without a key is sent.
+        # Guards against running the request of a revoked key: the configuration was
+        # confirmed 4.5 s ago and may be used for keys for 5 s, and connecting takes
+        # 0.9 s. A request without a key is sent.
         self.harness.clock.now += KEY_SECONDS - 0.5
         self.advance_while_connecting(0.9)
         error = await self.expect_refusal()
@@ -84,9 +85,8 @@
         self.assertEqual(len(self.harness.pool.heads), 1)
 
     async def test_nothing_is_sent_to_a_target_whose_weights_expired(self) -> None:
-        # Newer weights were named long ago, and the target has the older ones for half
-        # a second more. The connection takes 0.9 s, and a caller was answered on
-        # weights that were to serve no longer.
+        # Guards against a response from expired weights: the target's older weights
+        # expire in half a second, and connecting takes 0.9 s.
         now = self.harness.clock.now
         self.harness.weights.record_published(
             MODEL, 2, now - VERSION_SECONDS + 2.6 + 0.5
--- a/libraries/proxy/tests/test_delivery.py
+++ b/libraries/proxy/tests/test_delivery.py
@@ -1,4 +1,4 @@
-"""Answers to callers that leave."""
+"""Responses to callers that disconnect."""
 
 from __future__ import annotations
 
@@ -24,12 +24,10 @@
 
 
 class DisconnectingCallerTests(unittest.IsolatedAsyncioTestCase):
-    async def test_disconnecting_after_the_last_byte_completes_the_response(
-        self,
-    ) -> None:
-        # The caller has the whole answer and closes, which cancels the task in its
-        # final write. The task goes on: it has to keep the target's connection and
-        # count the answer.
+    async def test_disconnecting_after_the_last_byte_completes_it(self) -> None:
+        # A caller that closes after the complete response cancels the task in its final
+        # write. The task continues: it has to release the target's connection and count
+        # the response.
         delivery = Delivery(REQUEST, lambda: False)
         with (
             mock.patch.object(web.Response, "prepare", mock.AsyncMock()),
--- a/libraries/proxy/tests/test_event_splitter.py
+++ b/libraries/proxy/tests/test_event_splitter.py
@@ -1,4 +1,4 @@
-"""Streams are cut only at the end of an event."""
+"""Streams are split only at event boundaries."""
 
 from __future__ import annotations
 
--- a/libraries/proxy/tests/test_exchange.py
+++ b/libraries/proxy/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""What is known of the caller right before a send."""
+"""The check for disconnected callers right before a send."""
 
 from __future__ import annotations
 
@@ -28,39 +28,39 @@
 
 
 def close(caller: socket.socket) -> None:
-    """End the connection in good order."""
+    """Close the connection regularly."""
     caller.close()
 
 
 def reset(caller: socket.socket) -> None:
-    """End the connection with a reset."""
+    """Reset the connection."""
     linger = struct.pack("ii", 1, 0)
     caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     caller.close()
 
 
 def end_sending(caller: socket.socket) -> None:
-    """End only what the caller sends."""
+    """Close only the sending half."""
     caller.shutdown(socket.SHUT_WR)
 
 
 def end_behind_bytes(caller: socket.socket) -> None:
-    """Close behind bytes that nobody has read."""
+    """Close after sending bytes that are not read."""
     caller.sendall(b"GET /more HTTP/1.1\r\n")
     caller.close()
 
 
 def stay(_: socket.socket) -> None:
-    """Wait for the answer."""
+    """Wait for the response."""
 
 
 def send_more(caller: socket.socket) -> None:
-    """Send bytes of a next request, and wait for the answer."""
+    """Send bytes of the next request, and wait for the response."""
     caller.sendall(b"GET /more HTTP/1.1\r\n")
 
 
 class ActingCallerPool:
-    """Its caller does something at the last moment before a send."""
+    """A pool whose caller acts while the connection is acquired."""
 
     def __init__(self, caller: socket.socket, act: CallerAction) -> None:
         self._caller = caller
@@ -81,7 +81,7 @@
 
 @asynccontextmanager
 async def connect() -> AsyncIterator[tuple[socket.socket, asyncio.Transport]]:
-    """Connect a caller; its end is read by nobody until the event loop runs again."""
+    """Connect a caller, whose close the event loop notices in its next iteration."""
     made: asyncio.Future[asyncio.BaseTransport] = asyncio.Future()
     protocol = mock.Mock(spec=asyncio.Protocol)
     protocol.connection_made = made.set_result
@@ -99,7 +99,7 @@
 
 class DisconnectingCallerTests(unittest.IsolatedAsyncioTestCase):
     async def send(self, act: CallerAction) -> tuple[ActingCallerPool, mock.AsyncMock]:
-        """Send for a caller that leaves; return the pool and what was asked."""
+        """Send for a caller that acts; return the pool and the mock of the send."""
         call = cast("Any", mock.Mock(timeout_at=read_clock() + 60))
         async with connect() as (caller, transport):
             request = cast("web.BaseRequest", SimpleNamespace(transport=transport))
@@ -115,9 +115,9 @@
         return pool, sent
 
     async def test_nothing_is_sent_for_a_disconnected_caller(self) -> None:
-        # A request waited for a place, or is sent again. Its caller's end is at the
-        # kernel, and the event loop has not looked yet. The target's connection is
-        # kept for the next request.
+        # Guards against work for a caller that disconnected while its request waited
+        # for a slot or a retry: the kernel has received the close, and the event loop
+        # has not reported it yet. The target's connection is reused.
         for act in (close, reset, end_sending, end_behind_bytes):
             with self.subTest(act.__name__):
                 pool, sent = await self.send(act)
--- a/libraries/proxy/tests/test_pause_monitor.py
+++ b/libraries/proxy/tests/test_pause_monitor.py
@@ -1,4 +1,4 @@
-"""What is told of a process that stood still."""
+"""How suspensions of the process are reported."""
 
 from __future__ import annotations
 
--- a/libraries/proxy/tests/test_request_queues.py
+++ b/libraries/proxy/tests/test_request_queues.py
@@ -1,4 +1,4 @@
-"""Places that waiting requests are given."""
+"""Slots that waiting requests get."""
 
 from __future__ import annotations
 
@@ -37,12 +37,10 @@
         self.assertIs(await waiting, SLOT)
         self.assertEqual((self.released, self.queues.count("desk")), ([], 0))
 
-    async def test_a_slot_is_released_when_its_caller_disconnects(
-        self,
-    ) -> None:
-        # A place falls free and is counted for a waiting request. Before its task runs
-        # again its caller closes the connection. Nobody would ever end that request,
-        # and its target would look busier for as long as the gateway runs.
+    async def test_a_slot_is_released_when_its_caller_disconnects(self) -> None:
+        # Guards against a leaked slot: a slot is acquired for a waiting request, whose
+        # caller disconnects before its task runs again. The target would look busier
+        # for as long as the gateway runs.
         waiting = self.wait(5.0)
         await asyncio.sleep(0)
         self.queues.wake("desk")
--- a/libraries/proxy/tests/test_target_connection.py
+++ b/libraries/proxy/tests/test_target_connection.py
@@ -1,4 +1,4 @@
-"""How a request whose caller has left is taken back from its target."""
+"""How the request of a disconnected caller is aborted at its target."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
         self.peer.settimeout(5)
 
     async def test_aborting_a_request_resets_the_connection(self) -> None:
-        # A target stands still with a request on its way, and the caller leaves. Closed
-        # in good order, the connection would still deliver the request: the target runs
-        # it when it goes on, seconds after its caller has left.
+        # Guards against a target that runs a request seconds after its caller
+        # disconnected: the target is suspended while the request is sent, and a regular
+        # close would still deliver the request.
         sending = asyncio.create_task(
             self.connection.send_request(HEAD, b"", "id", "POST")
         )
