--- a/libraries/proxy/src/bamboopier_proxy/caller_listener.py
+++ b/libraries/proxy/src/bamboopier_proxy/caller_listener.py
@@ -118,9 +118,9 @@
 ) -> asyncio.Server:
     """Respond to every request with 200 while ``is_ready``, else with 503."""
 
-    async def answer(_: web.BaseRequest) -> web.StreamResponse:
+    async def respond(_: web.BaseRequest) -> web.StreamResponse:
         return web.Response(status=200 if is_ready() else 503)
 
-    manager = web.Server(answer, access_log=None)
+    manager = web.Server(respond, access_log=None)
     loop = asyncio.get_running_loop()
     return await loop.create_server(manager, listen.host, listen.port)
