--- a/libraries/proxy/src/bamboopier_proxy/active_configuration.py
+++ b/libraries/proxy/src/bamboopier_proxy/active_configuration.py
@@ -1,4 +1,4 @@
-"""What one process believes of the configuration, and how fresh that is."""
+"""The configuration that is active in one process, and its freshness."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ActiveConfiguration:
-    """The configuration in force with its proof of currency."""
+    """The active configuration and when it was last confirmed as current."""
 
     def __init__(
         self, key_seconds: float | None, apply: Callable[[DeclaredConfiguration], None]
@@ -31,7 +31,7 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force; 0 before the first."""
+        """Return the active version; 0 before the first."""
         return self.table.configuration.version if self.table is not None else 0
 
     def update(
@@ -41,10 +41,10 @@
         now: float,
         size: int = 0,
     ) -> None:
-        """Take a configuration of ``size`` bytes that was current at ``asked_at``.
+        """Activate a configuration of ``size`` bytes that was current at ``sent_at``.
 
-        An older version than the one in force says that the answer was held up or
-        came from a store that lags; it proves nothing.
+        A version older than the active one comes from a delayed response or from a
+        store that lags behind; it is ignored and confirms nothing.
         """
         if declared.version < self.version:
             log.warning(
@@ -68,6 +68,6 @@
         )
 
     def confirm(self, version: int, asked_at: float) -> None:
-        """Take in that ``version`` was still current at ``asked_at``."""
+        """Record that ``version`` was still current at ``sent_at``."""
         if version == self.version and self.table is not None:
             self.currency.confirm(asked_at)
--- a/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
@@ -1,9 +1,10 @@
-"""Keeps the configuration current, and proves all the time that it is.
+"""Keeps the configuration up to date and continually confirms its freshness.
 
-A watch brings a new version as soon as there is one. A small configuration is read
-after each watch, which proves it without any doubt. A large one is not: a gateway on a
-weak link would spend all of it on reads of what has not changed, and the next version
-would wait behind them. There the answer of the watch is the proof.
+A watch delivers a new version as soon as it is stored. A small configuration is also
+read after each watch, which confirms it beyond doubt. A large one is not: a gateway on
+a weak link would use all its bandwidth to read unchanged content, and the next version
+would queue behind these reads. For a large configuration the response of the watch is
+the confirmation.
 """
 
 from __future__ import annotations
@@ -29,17 +30,18 @@
     from .store_availability import StoreAvailability
     from .store_schema import Store, StoreSchema
 
-# Bytes up to which a configuration is read after each watch: half of the 22 KB a second
-# that a node may spend on control.
+# Maximum size, in bytes, of a configuration that is read after each watch: half of the
+# 22 KB a second that a node may use for control traffic.
 SMALL_CONFIGURATION_BYTES = 10_000
-# Seconds that a watch lasts after which a small configuration is read. A read is also
-# what first shows that the store is away, before entries of targets lapse.
+# Duration of a watch of a small configuration, after which it is read. The read is also
+# the first call that reveals a store outage, before entries of targets expire.
 SMALL_WATCH_SECONDS = 0.9
-# Seconds that a watch lasts which has to prove a large one.
+# Duration of a watch that has to confirm a large configuration.
 LARGE_WATCH_SECONDS = 0.8
-# The same after a new version: one that took long to arrive is an old proof by then.
+# The same after a new version: the confirmation of a version that was transferred
+# slowly is already old when it arrives.
 SHORT_WATCH_SECONDS = 0.05
-# Seconds between two questions while they fail.
+# Delay before a failed request is retried.
 RETRY_SECONDS = 0.25
 
 log = structlog.get_logger()
@@ -62,12 +64,12 @@
         self._availability = availability
         self._random = random
         self._failing_since: float | None = None
-        # None until it was read, and when it has to be read again.
+        # None before the first read, and when the configuration has to be read again.
         self._position: WatchPosition | None = None
         self._wait_seconds = SMALL_WATCH_SECONDS
-        # Watches in a row whose history was gone.
+        # Consecutive watches that failed because the store no longer had the history.
         self._gap_count = 0
-        # Bytes of the configuration as it lies in the store.
+        # Size of the stored configuration in bytes.
         self._size = 0
 
     async def run(self) -> None:
@@ -84,7 +86,7 @@
                 await asyncio.sleep(pause)
 
     def _has_repeated_gap(self) -> bool:
-        """Say whether a watch failed right after the read that a gap made necessary."""
+        """Return whether a watch hit a gap right after the read that repaired one."""
         return self._position is None and self._gap_count > 1
 
     @property
@@ -92,13 +94,13 @@
         return self._size <= SMALL_CONFIGURATION_BYTES
 
     async def read(self) -> bool:
-        """Read once; False when it must be tried again soon."""
+        """Read once; return False if the read has to be retried soon."""
         sent_at = read_clock()
         if self._is_small:
-            # The answer of a large one is long on its way, from a store that serves.
+            # The transfer of a large one is slow even from a store that is available.
             self._availability.record_sent(sent_at)
-        # A list says at which revision of the store it holds; the object's own may be
-        # older than the store's history.
+        # A list reports the revision of the store at which it is valid; the revision of
+        # the object itself may be older than the store's history.
         answer = await self._store.list(self._key)
         now = read_clock()
         if isinstance(answer, Err):
@@ -116,7 +118,7 @@
         return True
 
     async def _watch(self, position: WatchPosition) -> bool:
-        """Watch once; False when it must be tried again soon."""
+        """Watch once; return False if the watch has to be retried soon."""
         seconds = self._wait_seconds
         sent_at = read_clock()
         answer = await self._store.watch_values(self._key, position.revision, seconds)
@@ -129,14 +131,14 @@
         batch = answer.ok_value
         if batch.changes:
             return self._apply_changes(sent_at, batch)
-        # Without a change it is made at the end of the wait.
+        # Without a change the store creates its response at the end of the wait.
         made = min(sent_at + seconds, now)
         self._loader.confirm(position.record_unchanged(made, now, batch.revision))
         self._choose_wait(short=False)
         return True
 
     def _apply_changes(self, sent_at: float, batch: ChangeBatch) -> bool:
-        """Take the newest version told; read again where there is none."""
+        """Load the newest version received; request a new read if there is none."""
         found = [c for c in batch.changes if c.key == self._key]
         if not found or found[-1].value is None:
             self._position = None
@@ -169,7 +171,7 @@
             self._position = None
             return True
         self._record_failure(sent_at, str(error))
-        # The revision stands: what changed since is told when the store is back.
+        # The revision stays valid: the store sends later changes once it has recovered.
         self._choose_wait(short=True)
         return False
 
--- a/libraries/proxy/src/bamboopier_proxy/configuration_loader.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_loader.py
@@ -1,4 +1,4 @@
-"""Takes configurations as they lie in the store, or as another gateway has them."""
+"""Loads stored configurations, read from the store or relayed by another gateway."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 
 class ConfigurationLoader:
-    """Decodes each stored version once and keeps the newest as it was stored."""
+    """Decodes each stored version once and retains the newest in its stored form."""
 
     def __init__(
         self, schema: StoreSchema, active_configuration: ActiveConfiguration
     ) -> None:
         self._schema = schema
         self._active_configuration = active_configuration
-        # The newest that could be decoded; None before the first.
+        # The newest value that could be decoded; None before the first.
         self.stored: StoredObject | None = None
-        # Whether the store answered the last question for it.
+        # Whether the store answered the last request for the configuration.
         self.store_available = True
-        # Revision of a newer one that could not be decoded.
+        # Revision of a newer value that could not be decoded.
         self._undecodable_revision = 0
 
     @property
@@ -38,10 +38,10 @@
         return self.stored.version if self.stored is not None else 0
 
     def load(self, found: StoredObject, asked_at: float) -> bool:
-        """Take what was current at ``asked_at``; False for an older one.
+        """Load a value that was current at ``sent_at``; return False for an older one.
 
-        What cannot be decoded is set aside: what is in force stays, but nothing proves
-        any more that it is current.
+        A value that cannot be decoded is ignored: the active configuration stays, but
+        its freshness is no longer confirmed.
         """
         if found.version < self._revision:
             log.warning(
@@ -59,7 +59,7 @@
             return True
         decoded = self._schema.decode_configuration(found.value)
         if isinstance(decoded, Err):
-            log.error("configuration set aside", reason=decoded.err_value)
+            log.error("undecodable configuration ignored", reason=decoded.err_value)
             self._undecodable_revision = found.version
             return True
         self.stored = found
@@ -69,7 +69,7 @@
         return True
 
     def confirm(self, proved_at: float) -> None:
-        """Take in that nothing newer had been stored at ``proved_at``."""
+        """Record that nothing newer had been stored at ``confirmed_at``."""
         if self._undecodable_revision <= self._revision:
             self._active_configuration.confirm(
                 self._active_configuration.version, proved_at
--- a/libraries/proxy/src/bamboopier_proxy/configuration_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_relay.py
@@ -1,11 +1,11 @@
-"""Hands the configuration on between gateways.
-
-Failure answered: the store turns some gateways away while it serves the others and the
-operator, and a new version comes. Those gateways learn from the others' proofs that
-theirs is no longer current; without the new version they would refuse every request
-with a key until the store serves them again. The value is handed on as it is stored,
-with its revision and the age of its proof, so that the one who takes it knows no less
-than the one who gave it.
+"""Relays the configuration between gateways.
+
+Guards against a store that rejects some gateways while it serves the others and the
+operator, who publishes a new version. The rejected gateways learn from the freshness
+responses of the others that their version is outdated; without the new one they would
+refuse every request with a key until the store serves them again. The value is relayed
+as it is stored, with its revision and the age of its confirmation, so that the receiver
+has the same information as the sender.
 """
 
 from __future__ import annotations
@@ -30,24 +30,25 @@
     from .configuration_loader import ConfigurationLoader
     from .settings import Endpoint
 
-# Seconds for one call: a configuration has a megabyte at most, and a gateway that does
-# not answer is one of several.
+# Timeout of one call: a configuration has at most a megabyte, and other gateways can be
+# asked if one does not answer.
 CALL_SECONDS = 0.8
-# Bytes a second that are handed on at the most: half of what the weakest link carries.
-# Several gateways that are turned away ask the same one, and its callers wait behind.
+# Maximum rate at which copies are sent: half the bandwidth of the weakest link. Several
+# gateways rejected by the store may request a copy from the same gateway, and responses
+# to its callers queue behind the copies.
 SENT_BYTES_PER_SECOND = 312_500
-# Seconds between two calls: several gateways tell of the same new version at once.
+# Delay between two calls: several gateways report the same new version at once.
 PAUSE_SECONDS = 0.3
 PATH = "/configuration"
 REVISION_HEADER = "Configuration-Revision"
-# Milliseconds since the configuration was proved current.
+# Milliseconds since the freshness of the configuration was confirmed.
 AGE_HEADER = "Proof-Age-Ms"
 
 log = structlog.get_logger()
 
 
 class ConfigurationRelay:
-    """Answers other gateways, and asks them while its context is open."""
+    """Serves copies to other gateways, and requests them while its context is open."""
 
     def __init__(
         self,
@@ -59,7 +60,7 @@
         self._active_configuration = active_configuration
         self._caller = caller
         self._request_task: asyncio.Task[None] | None = None
-        # Until then the last copy given is taken to be on its way.
+        # Time until which the last copy sent is assumed to be in transfer.
         self._sending_until = float("-inf")
 
     async def __aenter__(self) -> Self:
@@ -75,10 +76,10 @@
             self._request_task.cancel()
 
     def request(self, gateway: Endpoint) -> None:
-        """Ask a gateway that has a newer version, unless one is being asked.
+        """Request a newer version from a gateway, unless a request is in flight.
 
-        While the store answers, the version is on its way from there: a second copy
-        would take half of a weak link, and both would be late.
+        While the store is available, the version is already in transfer from there: a
+        second copy would use half of a weak link and delay both.
         """
         if self._loader.store_available:
             return
@@ -95,17 +96,23 @@
                 if isinstance(answer, Err)
                 else f"status {answer.ok_value.status}"
             )
-            log.warning("no configuration", gateway=str(gateway), reason=reason)
+            log.warning(
+                "no configuration from gateway", gateway=str(gateway), reason=reason
+            )
         else:
             reply = answer.ok_value
             try:
                 revision = int(reply.headers[REVISION_HEADER.lower()])
                 age = int(reply.headers[AGE_HEADER.lower()]) / 1000
             except (KeyError, ValueError) as error:
-                log.warning("no configuration", gateway=str(gateway), reason=str(error))
+                log.warning(
+                    "no configuration from gateway",
+                    gateway=str(gateway),
+                    reason=str(error),
+                )
             else:
                 log.info(
-                    "configuration handed on",
+                    "configuration received from gateway",
                     gateway=str(gateway),
                     revision=revision,
                     proof_age=age,
@@ -115,7 +122,10 @@
         await asyncio.sleep(PAUSE_SECONDS)
 
     def answer(self, _: bytes) -> web.Response:
-        """Hand on what is in force, with its revision and the age of its proof."""
+        """Return the active value with its revision and the age of its confirmation.
+
+        Status 503 if there is none, or if the last copy is still being sent.
+        """
         stored = self._loader.stored
         now = read_clock()
         if stored is None or now < self._sending_until:
@@ -124,7 +134,7 @@
         age = self._active_configuration.currency.find_age(now)
         headers = {
             REVISION_HEADER: str(stored.version),
-            # Rounded up: the proof must not look younger than it is.
+            # Rounded up: the confirmation must not look younger than it is.
             AGE_HEADER: str(int(age * 1000) + 1),
         }
         return web.Response(body=stored.value, headers=headers)
--- a/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
@@ -1,4 +1,4 @@
-"""All that a gateway exchanges with the others."""
+"""Communication of a gateway with the other gateways."""
 
 from __future__ import annotations
 
@@ -29,14 +29,15 @@
     from .settings import ProxySettings
     from .store_schema import Store, StoreSchema
 
-# Different targets that one request must have broken before it is refused, and for how
-# long: two could be chance, and a mistake must not starve a path that many ask for.
+# Number of different targets that must have crashed with one request before it is
+# refused, and for how long it is refused. Two crashes could be a coincidence, and a
+# wrong quarantine must not block a path that many callers request.
 CRASHES_TO_QUARANTINE = 3
 QUARANTINE_SECONDS = 30.0
 
 
 class GatewayPeers:
-    """Hints, configurations, limits and news of stores; open while the context is."""
+    """Hints, configurations, limits and part updates, while its context is open."""
 
     def __init__(
         self,
@@ -55,7 +56,7 @@
             state.set_gateway_count,
             state.pauses,
         )
-        # Other gateways know this one by its address.
+        # Other gateways identify this one by its source address.
         self._caller = HttpCaller("", source=settings.host)
         self._configuration_relay = ConfigurationRelay(
             state.loader, state.active_configuration, self._caller
@@ -107,7 +108,7 @@
         await self._stack.aclose()
 
     def list_coroutines(self) -> list[Coroutine[Any, Any, None]]:
-        """Return what has to run until the gateway stops."""
+        """Return the coroutines that have to run until the gateway stops."""
         settings = self._settings
         entry = GatewayEntry(
             settings.host, settings.first_port, self.hint_exchange.started_ms
--- a/libraries/proxy/src/bamboopier_proxy/gateway_registry.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_registry.py
@@ -1,18 +1,20 @@
-"""Which gateways there are: each registers once, all read the list now and then.
-
-Nothing in the store lapses by itself, so an entry outlives a machine that was taken
-away. Entries are counted until their gateway has been silent for long: counting one too
-many makes each gateway's part of a shared limit smaller, which is the safe side.
-
-Failure answered: gateways are suspended for long and go on together. Each heard nothing
-of the others meanwhile; taken for gone, these would get no hints either, and each would
-send a cold target, or repeat, what all may together. So silence is counted only while
-this process runs: what was not heard in its own pause says nothing of the others.
-
-Failure answered: gateways are cut off from each other for long. Each sends hints only
-to those it counts, so none would ever hear of another again, and each would take whole
-shares from then on. So registered ones that are silent get a hint after each read of
-the list: who gets it counts the sender, and sends hints to it.
+"""Registers gateways in the store and tracks which of them are active.
+
+Each gateway registers once, and all read the list periodically. Entries in the store do
+not expire, so an entry outlives a machine that was removed. A gateway is counted until
+it has been silent for a long time: counting one too many reduces each gateway's share
+of a limit, which is the safe side.
+
+Guards against gateways that are suspended for a long time and resume together. None has
+received hints of the others meanwhile; if it assumed them gone, they would get no hints
+either, and each gateway would send a cold target, or retry, as much as all may
+together. Therefore silence is counted only while this process runs: hints missed during
+its own pause say nothing about the others.
+
+Guards against a long network partition between gateways. Each sends hints only to those
+it counts, so none would ever receive a hint of another again, and each would use whole
+limits from then on. Therefore registered gateways that are silent get a hint after each
+read of the list: the receiver counts the sender and sends hints to it.
 """
 
 from __future__ import annotations
@@ -39,36 +41,36 @@
 
     from .store_schema import Store
 
-# Seconds between two reads of the list: gateways come and go a few times an hour.
+# Interval between reads of the list: gateways start and stop a few times an hour.
 READ_SECONDS = 8.0
-# Entries of the list that are read in a second at the most, some 200 bytes each: a
-# tenth of what a node may spend on control.
+# Maximum rate of entries read, with some 200 bytes each: a tenth of what a node may use
+# for control traffic.
 ENTRIES_PER_SECOND = 10.0
 RETRY_SECONDS = 0.4
-# Seconds of silence, own pauses left out, after which a gateway is no longer counted.
+# Silence, without own pauses, after which a gateway is no longer counted.
 SILENT_SECONDS = 20.0
 
 log = structlog.get_logger()
 
 
 class GatewayEntry(msgspec.Struct):
-    """Where a gateway takes hints."""
+    """The address at which a gateway receives hints."""
 
     host: str
     port: int
-    # Milliseconds since 1970 of its start.
+    # Start time of the gateway in milliseconds since 1970.
     born: int
 
     @property
     def endpoint(self) -> Endpoint:
-        """Return the address that takes hints."""
+        """Return the address that receives hints."""
         return Endpoint(self.host, self.port)
 
 
 async def list_gateways(
     store: Store, prefix: str
 ) -> Result[dict[str, GatewayEntry], PlatformError]:
-    """Return all gateways that ever registered, by name."""
+    """Read all gateways that ever registered, by name."""
     listing = await store.list(prefix)
     if isinstance(listing, Err):
         return listing
@@ -78,12 +80,12 @@
         try:
             entries[name] = msgspec.json.decode(found.value, type=GatewayEntry)
         except msgspec.MsgspecError as error:
-            log.warning("entry set aside", gateway=name, reason=str(error))
+            log.warning("invalid entry ignored", gateway=name, reason=str(error))
     return Ok(entries)
 
 
 class GatewayRegistry:
-    """The registered gateways, without this process itself."""
+    """The registered gateways, without this one."""
 
     def __init__(
         self,
@@ -96,53 +98,57 @@
         self._store = store
         self._prefix = prefix
         self._random = random
-        # Told how many there are, and this one's place in the order of their names.
+        # Called with the number of gateways and this one's index in the order of names.
         self._count_changed = count_changed
         self._pauses = pauses
         self._own: str | None = None
         self._peers: dict[str, Endpoint] = {}
-        # When each was first read here or last heard of, by the time this process ran.
+        # When each was first read or last sent a hint, on the clock of running time.
         self._last_hint_at: dict[str, float] = {}
-        # Registered ones that were silent as the list was read, until they got a hint.
+        # Registered gateways that were silent at the last read and have got no hint
+        # yet.
         self._silent: list[Endpoint] = []
         self._reported_count = (0, 0)
-        # Whether the list was read at least once: those that sent a hint before that
-        # are some of all.
+        # Whether the list was read at least once: before that only the gateways that
+        # sent a hint are known, which may not be all.
         self._has_list = False
 
     @property
     def peers(self) -> dict[str, Endpoint]:
-        """Return the other gateways that were heard of lately, by name."""
+        """Return the other gateways that are not silent, by name."""
         self._drop_silent()
         return self._peers
 
     def pop_silent(self) -> list[Endpoint]:
-        """Return the registered gateways that are silent, once for each read."""
+        """Return the registered gateways that are silent, once after each read."""
         silent, self._silent = self._silent, []
         return silent
 
     def select_gateways(self, key: str, count: int) -> list[str]:
-        """Return ``count`` gateways, this one included, that all choose for ``key``."""
+        """Select ``count`` gateways for ``key`` by rendezvous hashing.
+
+        All gateways, this one included, select the same ones.
+        """
         names = [*self.peers, self._own or ""]
         return rank(key.encode(), names, count)
 
     def is_own(self, name: str) -> bool:
-        """Say whether this is the gateway's own name."""
+        """Return whether ``name`` is the name of this gateway."""
         return name == self._own
 
     def has_host(self, host: str) -> bool:
-        """Say whether another gateway that was heard of lately has this address."""
+        """Return whether another gateway that is not silent has this address."""
         return any(peer.host == host for peer in self.peers.values())
 
     def record_hint(self, name: str, host: str, port: int) -> None:
-        """Take in that a gateway sent a hint."""
+        """Record that a gateway sent a hint from this address."""
         if name != self._own:
             self._peers[name] = Endpoint(host, port)
             self._last_hint_at[name] = self._read_run_time()
             self._report_count()
 
     async def register(self, name: str, entry: GatewayEntry) -> None:
-        """Write this gateway's entry, again and again until it stands."""
+        """Write this gateway's entry, retrying until the store accepts it."""
         self._own = name
         key = self._prefix + name
         value = msgspec.json.encode(entry)
@@ -159,7 +165,7 @@
             await asyncio.sleep(RETRY_SECONDS * self._random.uniform(0.5, 1.0))
 
     async def read(self) -> bool:
-        """Read the list once; False when it failed."""
+        """Read the list once; return False if that failed."""
         entries = await list_gateways(self._store, self._prefix)
         if isinstance(entries, Err):
             return False
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -1,4 +1,4 @@
-"""What a gateway believes: its configuration, targets, weights and kept parts."""
+"""State of a gateway: its configuration, targets, weights and part stores."""
 
 from __future__ import annotations
 
@@ -24,16 +24,17 @@
     from .settings import ProxySettings
     from .store_schema import StoreSchema
 
-# Taken for the number of gateways until it is known. Failure answered: all gateways
-# start anew while engines come back cold; counted as one, each would send them all they
-# bear. With so many a cold engine gets nothing, and repeats have next to no slack.
+# Assumed number of gateways until it is known. Guards against all gateways restarting
+# while engines restart cold: with an assumed number of 1, each gateway would send a
+# cold engine its full limit. With this number a cold engine gets no requests, and there
+# are hardly any retries.
 ASSUMED_GATEWAYS = 1000
 
 log = structlog.get_logger()
 
 
 class GatewayState:
-    """The beliefs of one gateway, and the requests that wait on them."""
+    """The state of one gateway, and the requests that wait for it to change."""
 
     def __init__(
         self, settings: ProxySettings, schema: StoreSchema, pauses: PauseTracker
@@ -53,23 +54,23 @@
         self._services: tuple[str, ...] = ()
 
     def apply_settings(self, changed: ProxySettings) -> None:
-        """Take the bounds of changed settings."""
+        """Apply the limits of changed settings."""
         self.active_configuration.currency.set_max_age(changed.key_seconds)
         self.weights.set_grace(changed.version_seconds)
         self.shares.set_limits(changed.retries)
 
     def set_gateway_count(self, count: int, place: int) -> None:
-        """Take how many gateways share the bounds, and which of them this one is."""
+        """Set the number of gateways that share limits, and the index of this one."""
         self.fleet.gateway_count, self.fleet.gateway_index = count, place
         log.info("gateways counted", gateways=count, place=place)
 
     def wake_all(self) -> None:
-        """Look for places for all that wait: targets have changed."""
+        """Retry target selection for all pending requests: targets have changed."""
         for service in self._services:
             self.request_queues.wake(service)
 
     def find_caller_limits(self) -> CallerLimits:
-        """Return what callers may send."""
+        """Return the limits on what callers may send."""
         table = self.active_configuration.table
         return table.configuration.limits if table is not None else CallerLimits()
 
--- a/libraries/proxy/src/bamboopier_proxy/hint_exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/hint_exchange.py
@@ -1,9 +1,9 @@
-"""Gateways tell each other what they have under way, and how fresh they are.
+"""Exchanges hints between gateways: in-flight load, crashes, limits and freshness.
 
-Load pattern: several gateways send to the same few engines. Each counts its own
-requests at once; without the others' it would take an engine full of their requests
-for idle. A hint every quarter second is younger than the time a prompt takes to be
-read and answered.
+Load pattern: several gateways send to the same few engines. Each gateway counts its own
+requests immediately; without the counts of the others it would consider an engine idle
+that is busy with their requests. A hint every quarter second is sent more often than a
+prompt can be prefilled and answered.
 """
 
 from __future__ import annotations
@@ -44,29 +44,29 @@
     from .active_configuration import ActiveConfiguration
     from .gateway_registry import GatewayRegistry
 
-# Seconds between two hints, and after which one says nothing any more.
+# Interval between hints, and the age after which a hint is discarded.
 HINT_SECONDS = 0.25
 STALE_SECONDS = 1.2
-# Peers that get a hint each time, at the most.
+# Maximum number of peers that get each hint.
 MAX_PEERS = 8
-# Bytes a second that hints of loads may cost: two thirds of what a node may spend on
-# control. With many targets under way each hint goes to fewer peers, drawn anew.
+# Maximum rate of load hints: two thirds of what a node may use for control traffic. If
+# many targets have requests in flight, each hint goes to fewer, randomly chosen peers.
 BYTES_PER_SECOND = 15_000
-# Targets named in one hint, the busiest first: what fits a datagram.
+# Maximum number of targets in one hint, the busiest first, so that it fits a datagram.
 MAX_TARGETS = 24
-# Age of the own proof from which others are asked for theirs, in seconds: what a watch
-# proves of a large configuration is one to two seconds old.
+# Age of the own confirmation from which peers are asked for theirs: the confirmation of
+# a large configuration by a watch is one to two seconds old.
 MAX_FRESH_SECONDS = 2.0
-# Seconds in which an answer to a question is awaited.
+# Time for which a response to a freshness request is accepted.
 FRESHNESS_TIMEOUT_SECONDS = 2.0
-# Breaks told again in each hint for so long: datagrams are lost.
+# Time for which a crash is repeated in each hint, since datagrams may be lost.
 CRASH_REPEAT_SECONDS = 2.0
 
 log = structlog.get_logger()
 
 
 class HintExchange:
-    """This gateway's hints, and what the others told."""
+    """Sends this gateway's hints and applies those of the others."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
         self._fleet = fleet
         self._active_configuration = active_configuration
         self._quarantine = quarantine
-        # Told of a gateway that has a newer configuration.
+        # Called with the address of a gateway that has a newer configuration.
         self._on_newer = on_newer
         self._random = random
         self._socket = HintSocket(host, port, self._receive)
@@ -93,7 +93,7 @@
         self._started_ms = int(time.time() * 1000)
         self._numbers = itertools.count(1)
         self._nonces = itertools.count(random.getrandbits(32))
-        # When each question was asked.
+        # Time at which each freshness request was sent, by nonce.
         self._freshness_requests: dict[int, float] = {}
         self._received: dict[str, tuple[float, LoadHint]] = {}
         self._crashes: list[tuple[float, CrashHint]] = []
@@ -101,7 +101,7 @@
 
     @property
     def started_ms(self) -> int:
-        """Return the milliseconds since 1970 of this start."""
+        """Return the start time of this process in milliseconds since 1970."""
         return self._started_ms
 
     async def __aenter__(self) -> Self:
@@ -117,13 +117,13 @@
         await self._socket.__aexit__(kind, error, traceback)
 
     def record_crash(self, fingerprint: bytes, target: str) -> None:
-        """Tell the others of a target that broke while it had a request."""
+        """Record and announce a target that crashed while it had a request."""
         now = read_clock()
         self._quarantine.record_crash(now, fingerprint, target)
         self._crashes.append((now, CrashHint(fingerprint, target)))
 
     def find_wait(self, fingerprint: bytes) -> float:
-        """Return the seconds for which a request is refused; 0 when it is not."""
+        """Return the seconds for which a request is refused; 0 if it is not."""
         return self._quarantine.find_wait(read_clock(), fingerprint)
 
     async def run(self) -> None:
@@ -239,7 +239,7 @@
         age = self._active_configuration.currency.find_age(read_clock())
         if age > MAX_FRESH_SECONDS * 3 or self._active_configuration.version == 0:
             return
-        # Rounded up: the proof must not look younger than it is.
+        # Rounded up: the confirmation must not look younger than it is.
         answer = FreshnessResponse(
             request.nonce, self._active_configuration.version, int(age * 1000) + 1
         )
--- a/libraries/proxy/src/bamboopier_proxy/hint_socket.py
+++ b/libraries/proxy/src/bamboopier_proxy/hint_socket.py
@@ -21,7 +21,7 @@
 
 
 class HintSocket(asyncio.DatagramProtocol):
-    """Open while its context is."""
+    """A UDP socket for hints, open while its context is."""
 
     def __init__(self, host: str, port: int, receive: Receive) -> None:
         self._host = host
@@ -46,22 +46,22 @@
             self._transport.close()
 
     def send(self, hint: Hint, to: Endpoint) -> None:
-        """Send a hint; nobody waits for it."""
+        """Send a hint without waiting for its delivery."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.sendto(encode(hint), (to.host, to.port))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = cast("asyncio.DatagramTransport", transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Decode and hand on."""
+        """Decode a datagram and pass the hint to the receiver."""
         hint = decode(data)
         if hint is None:
-            log.warning("datagram dropped", sender=addr[0], size=len(data))
+            log.warning("invalid datagram dropped", sender=addr[0], size=len(data))
             return
         self._receive(hint, addr)
 
     def error_received(self, exc: Exception) -> None:
-        """Take in that a peer does not listen: hints to it are lost, as they may be."""
+        """Ignore that a peer does not listen: hints are allowed to be lost."""
         log.debug("hint not delivered", error=str(exc))
--- a/libraries/proxy/src/bamboopier_proxy/hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/hints.py
@@ -1,20 +1,23 @@
-"""What processes of the system tell each other in datagrams.
+"""Messages that processes of the system send each other in datagrams.
 
-Everything here is a hint with a short life: a datagram that is lost, late or doubled
-costs a worse choice, never a wrong one. Only the answer to a question carries a proof,
-and it counts from when the question was asked.
+All are hints that expire quickly: a datagram that is lost, late or duplicated can lead
+to a worse decision, never to an incorrect one. Only a freshness response confirms
+anything, and its age counts from the time at which the request was sent.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-# Larger datagrams are cut into fragments, and lost if one of them is.
+# Larger datagrams are split into fragments, and lost if one fragment is lost.
 MAX_BYTES = 1400
 
 
 class TargetLoadHint(msgspec.Struct, array_like=True):
-    """What one gateway has under way at one target."""
+    """Load that one gateway has in flight at one target.
+
+    ``memory`` and ``unread`` are in tokens; ``unread`` is the pending prefill.
+    """
 
     target: str
     requests: int
@@ -23,38 +26,38 @@
 
 
 class CrashHint(msgspec.Struct, array_like=True):
-    """A target that broke while it had a request."""
+    """A target that crashed while it had a request."""
 
     fingerprint: bytes
     target: str
 
 
 class TargetLimitHint(msgspec.Struct, array_like=True):
-    """What one gateway was told of the requests that a target takes.
+    """The rate limit of a target as reported to one gateway.
 
-    Ages are in milliseconds; None for what it was not told.
+    Ages are in milliseconds; None for what was not reported.
     """
 
     target: str
-    # Milliseconds since 1970 of the target's start.
+    # Start time of the target in milliseconds since 1970.
     started_ms: int
-    # From all gateways together.
+    # Requests a second from all gateways together.
     per_second: float
-    # Since an answer named the limit last.
+    # Since a response last reported the limit.
     named_age: int | None
-    # Since a request was sent whose answer named none.
+    # Since a request was sent whose response reported no limit.
     ended_age: int | None
-    # Since the limit was named first.
+    # Since the limit was first reported.
     since_age: int
 
 
 class LoadHint(msgspec.Struct, array_like=True, tag="load"):
-    """What one gateway has under way, and what broke lately."""
+    """Load that one gateway has in flight, and recent crashes and rate limits."""
 
     sender: str
-    # Grows with each hint of one start; a late one is dropped.
+    # Sequence number within one run of the sender; a late hint is dropped.
     number: int
-    # Milliseconds since 1970 of the sender's start.
+    # Start time of the sender in milliseconds since 1970.
     started_ms: int
     loads: list[TargetLoadHint]
     crashes: list[CrashHint]
@@ -66,23 +69,23 @@
 
     target: str
     model: str
-    # The version in force; 0 until it is loaded.
+    # The loaded version; 0 until it is loaded.
     version: int
-    # It takes nothing for so long.
+    # Time for which the target accepts no requests.
     busy_ms: int
-    # It takes short answers only for so long.
+    # Time for which the target accepts only requests for short responses.
     short_ms: int = 0
 
 
 class FreshnessRequest(msgspec.Struct, array_like=True, tag="ask"):
-    """Asks how long ago the configuration was proved current."""
+    """Asks how long ago the configuration was confirmed as current."""
 
     sender: str
     nonce: int
 
 
 class FreshnessResponse(msgspec.Struct, array_like=True, tag="proof"):
-    """Version in force at the answering gateway, and the age of its proof."""
+    """Active version at the answering gateway, and the age of its confirmation."""
 
     nonce: int
     version: int
@@ -95,12 +98,12 @@
 
 
 def encode(hint: Hint) -> bytes:
-    """Return a hint as it is sent."""
+    """Encode a hint for sending."""
     return msgspec.msgpack.encode(hint)
 
 
 def decode(data: bytes) -> Hint | None:
-    """Return a hint, or None for bytes that are none."""
+    """Decode a hint; return None for invalid bytes."""
     try:
         return _decoder.decode(data)
     except msgspec.MsgspecError:
--- a/libraries/proxy/src/bamboopier_proxy/limit_hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_hints.py
@@ -1,7 +1,8 @@
-"""What gateways tell each other of the requests that targets take.
+"""Exchanges the rate limits of targets between gateways.
 
-A gateway tells what answers said to it, not what others told: news that came back would
-look newer each time, and a limit would outlive its end.
+A gateway sends only limits that responses reported to it, not those it received from
+other gateways: an update that circulated would look newer each time, and a limit would
+persist after its end.
 """
 
 from __future__ import annotations
@@ -21,22 +22,22 @@
     from bamboopier_decisions.forwarding.fleet import Fleet
     from bamboopier_decisions.forwarding.target_state import TargetState
 
-# Seconds for which something is told again: datagrams are lost, each reaches some of
-# the others, and one that starts knows nothing.
+# Time for which a limit is repeated: datagrams may be lost, each reaches only some of
+# the gateways, and a gateway that starts has no limits.
 REPEAT_SECONDS = 10.0
-# Targets in one hint, drawn anew each time where there are more.
+# Maximum number of targets in one hint; a random sample each time if there are more.
 MAX_TARGETS = 8
 
 
 class LimitHints:
-    """Makes and takes the part of hints that is about limits."""
+    """Creates and applies the rate limits in hints."""
 
     def __init__(self, fleet: Fleet, random: random.Random) -> None:
         self._fleet = fleet
         self._random = random
 
     def list_hints(self, now: float) -> list[TargetLimitHint]:
-        """Return what this gateway was told lately."""
+        """Return the limits recently reported to this gateway."""
         states = (self._fleet.find(name) for name in self._fleet.names)
         reported = [
             state
@@ -49,7 +50,7 @@
         return [_make_hint(now, state) for state in reported]
 
     def apply(self, now: float, sender: str, hints: Iterable[TargetLimitHint]) -> None:
-        """Take what another gateway was told."""
+        """Apply limits that were reported to another gateway."""
         for hint in hints:
             state = self._fleet.find(hint.target)
             if state is not None and state.entry.started_ms == hint.started_ms:
@@ -78,7 +79,7 @@
 
 
 def _encode_age(now: float, at: float) -> int | None:
-    # Rounded up: news must not look newer than they are.
+    # Rounded up: an update must not look newer than it is.
     return math.ceil((now - at) * 1000) if at > NEVER else None
 
 
--- a/libraries/proxy/src/bamboopier_proxy/limit_records.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_records.py
@@ -1,11 +1,12 @@
-"""Keeps in the store what targets in need take, for gateways that all start anew.
+"""Stores the rate limits of targets for gateways that restart.
 
-Failure answered: all gateways lose power while a target is in need. Nobody is left to
-tell them, and until its first answers each would send it all that its callers want.
+Guards against a simultaneous power loss of all gateways while a target is rate-limited:
+no gateway could report the limit to the others, and until the target's first responses
+each would send it all the requests of its callers.
 
-One gateway, the same for all, writes for each target: a few writes for each need. One
-that starts reads them once. An entry that nobody removed is no harm: the target's next
-answer ends the limit.
+One gateway, which all gateways select alike, writes the entry of each target: a few
+writes for each rate-limited period. A gateway that starts reads the entries once. An
+entry that was not removed is harmless: the target's next response ends the limit.
 """
 
 from __future__ import annotations
@@ -32,31 +33,30 @@
     from .gateway_registry import GatewayRegistry
     from .store_schema import Store
 
-# Seconds between two looks at what has changed.
+# Interval between checks for changes.
 CHECK_SECONDS = 0.5
 RETRY_SECONDS = 0.4
-# Seconds for which an entry that was read waits for its target to be listed.
+# Time for which an entry that was read waits for its target to be listed.
 ENTRY_WAIT_SECONDS = 10.0
-# A limit is written again when it is so many times what is written, or less than one
-# part in so many.
+# A limit is rewritten if it is more than this factor above or below the stored value.
 MIN_CHANGE_FACTOR = 2.0
-# Names the choice of the gateway that writes.
+# Key prefix of the selection of the gateway that writes.
 WRITER = "limit-records"
 
 log = structlog.get_logger()
 
 
 class LimitEntry(msgspec.Struct):
-    """What one start of a target takes."""
+    """Rate limit of one instance of a target."""
 
-    # Milliseconds since 1970 of the target's start.
+    # Start time of the target in milliseconds since 1970.
     born: int
     # Requests a second from all gateways together.
     per_second: float
 
 
 class LimitRecords:
-    """Entries below a prefix, one for each target in need."""
+    """Entries below a key prefix, one for each rate-limited target."""
 
     def __init__(
         self, store: Store, prefix: str, fleet: Fleet, registry: GatewayRegistry
@@ -65,13 +65,13 @@
         self._prefix = prefix
         self._fleet = fleet
         self._registry = registry
-        # Entries as this gateway last read or wrote them, with their versions.
+        # Entries that this gateway last read or wrote, with their versions.
         self._stored: dict[str, tuple[LimitEntry, int]] = {}
-        # Entries read whose targets are not listed yet.
+        # Entries that were read before their targets were listed.
         self._waiting: dict[str, LimitEntry] = {}
 
     async def run(self) -> None:
-        """Read once, then write what changes, until cancelled."""
+        """Read once, then write changes until cancelled."""
         while True:
             if await self._read():
                 break
@@ -93,7 +93,7 @@
             try:
                 entry = msgspec.json.decode(found.value, type=LimitEntry)
             except msgspec.MsgspecError as error:
-                log.warning("entry set aside", key=found.key, reason=str(error))
+                log.warning("invalid entry ignored", key=found.key, reason=str(error))
                 continue
             self._stored[name] = entry, found.version
             self._waiting[name] = entry
@@ -144,18 +144,18 @@
         removed = await self._store.delete(self._prefix + name, version)
         if isinstance(removed, Err):
             reason = str(removed.err_value)
-            log.warning("limit not removed", target=name, reason=reason)
+            log.warning("limit entry not removed", target=name, reason=reason)
 
     def _handle_failure(
         self, name: str, entry: LimitEntry, error: PlatformError
     ) -> None:
-        """Take in why nothing was written; the next look tries again."""
+        """Handle a failed write; the next check tries again."""
         if isinstance(error, VersionConflictError):
-            # Another start's, or a former writer's, which this one replaces.
+            # The entry is of another instance or of a previous writer; replace it.
             stale = LimitEntry(0, entry.per_second)
             self._stored[name] = stale, error.found
             return
-        log.warning("limit not written", target=name, reason=str(error))
+        log.warning("limit entry not written", target=name, reason=str(error))
 
 
 def _is_close(stored: LimitEntry, entry: LimitEntry) -> bool:
--- a/libraries/proxy/src/bamboopier_proxy/limit_updates.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_updates.py
@@ -1,4 +1,4 @@
-"""Takes in what targets say of the requests that they take, and logs it."""
+"""Records the rate limits that targets report, and logs their changes."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 def record_limit(
     state: TargetState, sent_at: float, metadata: ResponseMetadata, request_id: str
 ) -> None:
-    """Take in an answer of the target itself to a request sent at ``sent_at``."""
+    """Record the limit in a target's own response to a request sent at ``sent_at``."""
     if metadata.reports_limit and metadata.limit_per_second is None:
-        # It still says that it is in need: what it said before stands.
-        log.warning("limit not read", target=state.entry.name, request_id=request_id)
+        # The target still reports a limit: the last readable value stays in force.
+        log.warning("unreadable limit ignored", target=state.entry.name, request_id=request_id)
         return
     if metadata.limit_per_second is None:
         changed = state.rate_limit.record_no_limit(sent_at)
@@ -34,7 +34,7 @@
 
 
 def apply_limit_update(state: TargetState, update: LimitUpdate, sender: str) -> None:
-    """Take in what another gateway was told."""
+    """Apply a limit that was reported to another gateway."""
     if state.rate_limit.apply_update(read_clock(), update):
         _log_limit(state, sender=sender)
 
--- a/libraries/proxy/src/bamboopier_proxy/monitored_store.py
+++ b/libraries/proxy/src/bamboopier_proxy/monitored_store.py
@@ -1,4 +1,4 @@
-"""The store as followers see it; what each call says of its health is noted."""
+"""A store whose availability is derived from the outcome of each call."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class MonitoredStore:
-    """Lists and watches of ``store``, heard by ``availability``."""
+    """Lists and watches ``store``, and records the outcome in ``availability``."""
 
     def __init__(self, store: FollowedStore, availability: StoreAvailability) -> None:
         self._store = store
@@ -40,8 +40,9 @@
     ) -> Result[ChangeBatch, PlatformError]:
         """Wait up to ``timeout`` seconds for changes later than revision ``after``.
 
-        A watch that fails was made long ago and says nothing of now: its connection may
-        have gone silent alone. The list that follows at once tells.
+        A failed watch is not recorded: it was sent long ago, and perhaps only its own
+        connection stalled. The list that follows immediately shows whether the store is
+        available.
         """
         sent_at = read_clock()
         answer = await self._store.watch_values(prefix, after, timeout)
--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -1,4 +1,4 @@
-"""Take what others write in the store into what this process believes."""
+"""Observers that apply changes in the store to the state of this process."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
     from .store_availability import StoreAvailability
     from .store_schema import PublishedWeights, StoreSchema
 
-# Seconds for which the store did not answer from which it is taken to have been away:
-# longer than one watch whose connection went silent.
+# Time without a response from the store from which an outage is assumed: longer than
+# one watch whose connection stalled.
 OUTAGE_SECONDS = 4.0
 
 log = structlog.get_logger()
 
 
 class TargetObserver:
-    """Keeps the fleet as the targets' entries say."""
+    """Updates the fleet from the entries of targets."""
 
     def __init__(
         self,
@@ -47,9 +47,9 @@
     def apply_listing(
         self, listing: Listing, outage_seconds: float, known_until: float
     ) -> None:
-        """Take all entries.
+        """Apply all entries.
 
-        For how long this one follower went without an answer does not count: the store
+        ``outage_seconds`` is not used: it holds for this one follower, and the store
         may have served all others meanwhile.
         """
         now = read_clock()
@@ -73,7 +73,7 @@
     def apply_change(
         self, change: ChangedObject, known_until: float, *, late: bool
     ) -> None:
-        """Take one entry that changed or is gone."""
+        """Apply an entry that was changed or deleted."""
         now = read_clock()
         name = change.key.removeprefix(self._schema.targets_prefix)
         if change.value is None:
@@ -85,7 +85,7 @@
             return
         entry = self._decode(change.key, change.value)
         if entry is None:
-            # Whoever wrote it, it names no target that may be used.
+            # Whoever wrote the entry, it describes no target that can be used.
             self._fleet.remove(now, name)
             return
         self._fleet.put(now, entry)
@@ -104,13 +104,13 @@
         name = key.removeprefix(self._schema.targets_prefix)
         decoded = self._schema.decode_target(name, value)
         if isinstance(decoded, Err):
-            log.warning("entry set aside", target=name, reason=decoded.err_value)
+            log.warning("invalid entry ignored", target=name, reason=decoded.err_value)
             return None
         return decoded.ok_value
 
 
 class WeightsObserver:
-    """Keeps the weight versions that the operator named."""
+    """Records the weight versions that the operator published."""
 
     def __init__(
         self,
@@ -122,17 +122,19 @@
         self._schema = schema
         self._weights = weights
         self._pauses = pauses
-        # Told of a version that was named while this process ran, and since when.
+        # Called with a version that was published while this process ran, and the
+        # earliest time at which it may have been published.
         self._on_published = on_published
 
     def apply_listing(
         self, listing: Listing, outage_seconds: float, known_until: float
     ) -> None:
-        """Take all named versions.
+        """Apply all published versions.
 
-        After an outage of the store they are taken to be named now: nobody could name
-        any while it was away for all. Where it was away for this process alone, what
-        the others wrote says more. A process that paused cannot tell an outage.
+        After an outage of the store a new version is assumed to have been published
+        now: no version could be published while the store was unavailable to all. If it
+        was unavailable only to this process, the times that others wrote are more
+        precise. A process that was paused cannot detect an outage.
         """
         now = read_clock()
         paused = self._pauses.find_earliest_arrival(now) < now
@@ -149,19 +151,21 @@
         *,
         late: bool = False,
     ) -> None:
-        """Take a newly named version."""
+        """Apply a newly published version."""
         if change.value is None:
             return
         since = self._find_published_since(known_until, late)
         self._apply(change.key, change.value, since, False)
 
     def _find_published_since(self, known_until: float, late: bool) -> float:
-        """Return since when a change may have happened that is read now.
-
-        News that waited while this process paused is as old as the pause, and what was
-        held up on its way as old as the watch: taken for new, it lets older weights
-        serve too long by that. It is no older than what was told before it: taken for
-        that, it ends older weights too soon.
+        """Return the earliest time at which a change that is read now may have
+        happened.
+
+        A change that waited while this process was paused may be as old as the pause,
+        and one in a delayed response as old as the watch: if it was assumed to be new,
+        older weights would serve too long by that time. It is not older than the last
+        response before it: if it was assumed to be older, older weights would expire
+        too soon.
         """
         now = read_clock()
         unread_since = self._pauses.find_earliest_arrival(now)
@@ -170,10 +174,10 @@
         return max(known_until, unread_since)
 
     def _apply(self, key: str, value: bytes, since: float, guessed: bool) -> None:
-        """Take one version that was named at ``since`` at the earliest."""
+        """Apply one version that was published at ``since`` at the earliest."""
         decoded = self._schema.decode_weights(value)
         if isinstance(decoded, Err):
-            log.warning("entry set aside", key=key, reason=decoded.err_value)
+            log.warning("invalid entry ignored", key=key, reason=decoded.err_value)
             return
         named = decoded.ok_value
         if not self._weights.record_published(
@@ -182,7 +186,7 @@
             return
         age = read_clock() - self._weights.find_published_at(named.model)
         log.info(
-            "weights named",
+            "weights published",
             model=named.model,
             weight_version=named.version,
             age_seconds=round(age, 3) if math.isfinite(age) else None,
@@ -193,7 +197,7 @@
 
 
 class DrainObserver:
-    """Keeps the data centres that are to get nothing."""
+    """Records the drained data centres, which get no requests."""
 
     def __init__(self, schema: StoreSchema, fleet: Fleet) -> None:
         self._schema = schema
@@ -203,20 +207,20 @@
     def apply_listing(
         self, listing: Listing, outage_seconds: float, known_until: float
     ) -> None:
-        """Take all closures."""
+        """Apply all drained data centres."""
         prefix = self._schema.drained_data_centres_prefix
         self._apply({found.key.removeprefix(prefix) for found in listing.objects})
 
     def apply_change(
         self, change: ChangedObject, known_until: float, *, late: bool
     ) -> None:
-        """Take one closure, or its end."""
+        """Apply the start or end of the drain of one data centre."""
         name = change.key.removeprefix(self._schema.drained_data_centres_prefix)
         drained = self._drained - {name}
         self._apply(drained | {name} if change.value is not None else drained)
 
     def _apply(self, drained: set[str]) -> None:
         if drained != self._drained:
-            log.info("data centres closed", data_centres=sorted(drained))
+            log.info("data centres drained", data_centres=sorted(drained))
         self._drained = drained
         self._fleet.drain_data_centres(drained)
--- a/libraries/proxy/src/bamboopier_proxy/part_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_follower.py
@@ -1,7 +1,7 @@
-"""Follows what lies whole in the stores of kept parts.
+"""Follows which parts are completely stored in the part stores.
 
-A store turns away questions beyond those it holds at once, so only the first few
-gateways ask the stores. The others ask one of these.
+A store rejects requests beyond the number that it holds open at once, so only a few
+selected gateways poll the stores. The others poll one of these gateways.
 """
 
 from __future__ import annotations
@@ -26,21 +26,21 @@
     from .gateway_registry import GatewayRegistry
     from .part_relay import PartRelay
 
-# Seconds a question waits for news; stores charge for shorter ones than 0.2 s.
+# Time that a request waits for changes; stores charge for requests shorter than 0.2 s.
 POLL_TIMEOUT_SECONDS = 0.4
-# Seconds between two looks at the declared stores.
+# Interval between checks of the declared stores.
 TASK_UPDATE_SECONDS = 1.0
-# Seconds between two questions: news arrive in groups, and beliefs stay fresh.
+# Delay between two requests: changes arrive in groups, and the index remains fresh.
 POLL_PAUSE_SECONDS = 0.25
-# Seconds between two questions to a store that does not answer.
+# Delay before a request is retried at a store that does not answer.
 RETRY_SECONDS = 0.4
-# Gateways that ask the stores: two thirds of the questions that a store holds at once,
-# as two gateways may differ for a while in who the first are.
+# Number of gateways that poll the stores: two thirds of the requests that a store holds
+# open at once, as two gateways may select different ones for a while.
 DIRECT_GATEWAYS = 8
-# Seconds between two questions to another gateway.
+# Delay between two requests to another gateway.
 RELAY_POLL_SECONDS = 0.35
 
-# Names the choice of gateways that ask the stores.
+# Key of the selection of the gateways that poll the stores.
 RELAY = "part-relay"
 
 log = structlog.get_logger()
@@ -48,24 +48,24 @@
 
 @dataclass(frozen=True, slots=True)
 class PartReply:
-    """News with the place from which to ask on."""
+    """An update, and the position from which to request the next one."""
 
     news: PartUpdate
     position: int
 
 
 class PartStoreClient(Protocol):
-    """Calls to the stores."""
+    """Client of the part stores."""
 
     async def read_updates(
         self, address: str, position: int, seconds: float
     ) -> Result[PartReply, str]:
-        """Wait up to ``seconds`` for what changed after ``position``."""
+        """Wait up to ``seconds`` for changes after ``position``."""
         ...
 
 
 class PartFollower:
-    """One task for each declared store, or one for another gateway's news."""
+    """Runs a task for each declared store, or one that polls other gateways."""
 
     def __init__(
         self,
@@ -83,7 +83,7 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
-        """Start and end tasks as stores and gateways come and go, until cancelled."""
+        """Start and cancel tasks as stores and gateways change, until cancelled."""
         try:
             while True:
                 self._update_tasks()
@@ -98,7 +98,8 @@
             wanted = {store.address for store in self._kept.stores}
         else:
             wanted = {RELAY}
-        # A task ends by itself when its store is withdrawn, and may be declared again.
+        # A task ends when its store is no longer declared; the store may be declared
+        # again.
         over = [n for n, t in self._tasks.items() if n not in wanted or t.done()]
         for name in over:
             self._tasks.pop(name).cancel()
@@ -107,8 +108,8 @@
             self._tasks[name] = asyncio.create_task(work)
 
     async def _poll_gateways(self) -> None:
-        """Ask one of the first gateways; another when that one has no news."""
-        log.info("news of stores asked of gateways")
+        """Poll one of the selected gateways; switch if it has no updates."""
+        log.info("polling gateways for part updates")
         turn = self._random.randrange(DIRECT_GATEWAYS)
         while True:
             first = self._registry.select_gateways(RELAY, DIRECT_GATEWAYS)
@@ -119,8 +120,8 @@
                 continue
             answer = await self._relay.request(gateway)
             if isinstance(answer, Err) or not answer.ok_value:
-                reason = answer.err_value if isinstance(answer, Err) else "no news"
-                log.warning("gateway without news", gateway=str(gateway), reason=reason)
+                reason = answer.err_value if isinstance(answer, Err) else "no updates"
+                log.warning("no part updates from gateway", gateway=str(gateway), reason=reason)
                 turn += 1
             await asyncio.sleep(RELAY_POLL_SECONDS)
 
@@ -146,7 +147,7 @@
             found = answer.ok_value
             if store.apply_update(sent_at, read_clock(), found.news):
                 log.info("store regained", store=address, epoch=found.news.epoch)
-                # What lay there before its start is gone; ask from its beginning.
+                # The parts from before its restart are gone; request all changes since.
                 position = 0 if answered else found.position
             else:
                 position = found.position
--- a/libraries/proxy/src/bamboopier_proxy/part_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_relay.py
@@ -1,9 +1,9 @@
-"""Hands on what the stores of kept parts said, from gateways that ask them.
+"""Relays updates of part stores from the gateways that poll the stores.
 
-Load pattern: a store holds few waiting questions at once and turns others away. With
-21 gateways that each ask nine stores, most questions were turned away, and hardly any
-part was fetched: 13.9 M tokens of shared parts were read again in a day of 34 s. So
-the first few gateways ask the stores, and all others ask one of these, for all stores
+Load pattern: a store holds only a few requests open at once and rejects others. With 21
+gateways that each polled nine stores, most requests were rejected, and hardly any part
+was fetched: 13.9 M tokens of shared parts were recomputed in a test day of 34 s. So a
+few selected gateways poll the stores, and all others poll one of these, for all stores
 at once.
 """
 
@@ -29,12 +29,12 @@
     from .settings import Endpoint
 
 PATH = "/parts"
-# Seconds for one call between gateways.
+# Timeout of one call between gateways.
 CALL_SECONDS = 0.6
 
 
 class UpdatePosition(msgspec.Struct, array_like=True):
-    """Up to where the asking gateway knows the changes of a store."""
+    """Position up to which the requesting gateway has the changes of a store."""
 
     address: str
     epoch: int
@@ -42,19 +42,20 @@
 
 
 class StoreUpdate(msgspec.Struct, array_like=True):
-    """What the answering gateway knows of a store beyond the position."""
+    """Changes of a store after the position, as the responding gateway has them."""
 
     address: str
     epoch: int
     position: int
-    # Since the store answered last.
+    # Since the store's last response.
     response_age_ms: int
-    # For how long this start of it had been known then; below 0 if it was seen later.
+    # For how long the store's current instance had been known at that response; below 0
+    # if it was first observed later.
     instance_known_ms: int
     clock_ms: int
-    # ``changes`` are all parts there, not those after the position.
+    # Whether ``changes`` are all stored parts, not only those after the position.
     is_snapshot: bool
-    # Scope, part, tokens; 0 tokens for one that is gone.
+    # Scope, part, tokens; 0 tokens for a part that was removed.
     changes: list[tuple[str, str, int]]
 
 
@@ -63,17 +64,17 @@
 
 
 class PartRelay:
-    """Both sides of a call for news."""
+    """Requests updates from other gateways, and answers their requests."""
 
     def __init__(self, kept: PartStoreIndex, caller: HttpCaller) -> None:
         self._kept = kept
         self._caller = caller
-        # The other side's position for each store, by its address.
+        # The other gateway's position for each store, by the store's address.
         self._positions: dict[str, int] = {}
         self._requested_gateway = ""
 
     def answer(self, body: bytes) -> web.Response:
-        """Return the news of all stores that are trusted here."""
+        """Return the updates of all stores whose state is valid here."""
         try:
             positions = _request_decoder.decode(body)
         except msgspec.MsgspecError as error:
@@ -88,9 +89,9 @@
         return web.Response(body=msgspec.msgpack.encode(news))
 
     async def request(self, gateway: Endpoint) -> Result[int, str]:
-        """Take the news that a gateway has; return how many stores it trusts."""
+        """Apply the updates of a gateway; return the number of stores in them."""
         if self._requested_gateway != str(gateway):
-            # Each gateway counts changes in its own way.
+            # Positions are specific to a gateway.
             self._positions.clear()
             self._requested_gateway = str(gateway)
         positions = [
@@ -121,8 +122,8 @@
         store = self._kept.find(found.address)
         if store is None:
             return
-        # Until the answer was made. The way here is not added: a start must not look
-        # older than it is.
+        # Up to the creation of the response. Transfer time is not added: an instance
+        # must not look older than it is.
         known = (found.response_age_ms + found.instance_known_ms) / 1000
         news = PartUpdate(
             found.epoch,
@@ -149,10 +150,10 @@
         store.address,
         store.epoch,
         store.position,
-        # Rounded up: the answer must not look younger than it is.
+        # Rounded up: the response must not look younger than it is.
         int(store.find_age(now) * 1000) + 1,
-        # Rounded down, and by what the age was rounded up: their sum must not make the
-        # start look older than it is.
+        # Rounded down, and reduced by the amount by which the age was rounded up: their
+        # sum must not make the instance look older than it is.
         math.floor(store.epoch_known_seconds * 1000) - 1,
         store.clock_ms,
         is_snapshot,
--- a/libraries/proxy/src/bamboopier_proxy/peer_server.py
+++ b/libraries/proxy/src/bamboopier_proxy/peer_server.py
@@ -1,4 +1,4 @@
-"""Answers the calls of other gateways, and of nobody else."""
+"""HTTP server for calls of other gateways only."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class PeerServer:
-    """Listens while its context is open; each path has a handler for its bodies."""
+    """Listens while its context is open; each path has a handler of request bodies."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         handlers: Mapping[str, Handler],
     ) -> None:
         self._listen = listen
-        # Says whether a host is one of a registered gateway.
+        # Returns whether a host belongs to a registered gateway.
         self._is_gateway = is_gateway
         self._handlers = handlers
         self._server: asyncio.Server | None = None
@@ -54,7 +54,7 @@
 
     async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
         if not self._is_gateway(request.remote or ""):
-            # A configuration has keys in it.
+            # A configuration contains keys.
             log.warning("peer refused", sender=request.remote, path=request.path)
             return web.Response(status=403)
         handler = self._handlers.get(request.path)
--- a/libraries/proxy/src/bamboopier_proxy/publish_times.py
+++ b/libraries/proxy/src/bamboopier_proxy/publish_times.py
@@ -1,11 +1,12 @@
-"""Writes down when weights were named, for processes that start later.
+"""Stores when weight versions were published, for processes that start later.
 
-Failure answered: all gateways lose power just after new weights were named. Those that
-start anew find the version in the store, but not for how long it has been there, and
-would let older weights serve for the whole time allowed once more.
+Guards against a simultaneous power loss of all gateways just after a weight version was
+published. Restarted gateways find the version in the store, but not how long it has
+been there, and would let older weights serve for the full time allowed once more.
 
-The time of day is the only clock that outlives a machine. It may be off by seconds, so
-a time read from the store is taken as ``ENTRY_ERROR_SECONDS`` older than it says.
+Wall-clock time is the only clock that survives a restart of the machine. It may be off
+by seconds, so a time read from the store is assumed to be ``ENTRY_ERROR_SECONDS`` older
+than it says.
 """
 
 from __future__ import annotations
@@ -37,62 +38,63 @@
     # Versions with their entries, by model.
     OldEntries = dict[str, list[tuple[int, StoredObject]]]
 
-# Machines' times of day jump by a few seconds at the most, and jump back.
+# Maximum error of a machine's wall clock, which may jump by a few seconds and back.
 CLOCK_ERROR_SECONDS = 3.0
-# Seconds by which an entry may look too young: its writer's clock was ahead, and the
-# reader's is behind.
+# Maximum time by which an entry may look too young: the writer's clock was ahead, and
+# the reader's is behind.
 ENTRY_ERROR_SECONDS = 2 * CLOCK_ERROR_SECONDS
-# Gateways write a little apart, so that most find the entry written.
+# Writes of gateways are spread over this time, so that most find the entry written.
 WRITE_SPREAD_SECONDS = 0.4
-# Seconds after a naming within which a process heard of it at once.
+# Maximum age of a publication that counts as received at once.
 TIMELY_SECONDS = 1.0
 RETRY_SECONDS = 0.4
 MAX_TRIES = 5
-# Seconds for which entries are kept whose time is over: longer than any day's clock
-# error and any time allowed for older weights.
+# Time for which entries are retained: longer than any error of a wall clock and any
+# time allowed for older weights.
 RETENTION_SECONDS = 3600.0
-# Seconds after a start, or after the news, until all is written that was named just
-# before: the last to write begins after three times ``WRITE_SPREAD_SECONDS``.
+# Time after a start or an update until the entries of versions published just before
+# are written: the last writer starts after three times ``WRITE_SPREAD_SECONDS``.
 SETTLE_SECONDS = 1.4
-# Seconds within which a start removes what is long over: processes that start together
-# find it removed by the first of them.
+# Time after a start within which obsolete entries are removed: of processes that start
+# together, most find them already removed by the first.
 CLEANUP_SPREAD_SECONDS = 20.0
 
 log = structlog.get_logger()
 
 
 class PublishedAt(msgspec.Struct):
-    """When a version may have been named at the earliest, in seconds since 1970."""
+    """Earliest time at which a version was published, in seconds since 1970."""
 
     seconds: float
-    # Its writer did not know, and may be wrong by any time.
+    # Whether the writer only guessed; the time may be wrong by any amount.
     guessed: bool = False
 
 
 class CreateOutcome(StrEnum):
-    """What became of the wish to write an entry."""
+    """Result of writing an entry that should not exist yet."""
 
     CREATED = "yes"
-    # It was there.
+    # The entry already existed.
     EXISTS = "found"
-    # The store took none.
+    # The store accepted no write.
     FAILED = "refused"
 
 
 class _Entry(msgspec.Struct):
     model: str
     version: int
-    # Seconds.
+    # Seconds since the publication.
     age: float
     guessed: bool
 
 
 async def follow_weights(publish_times: PublishTimes, follower: ObjectFollower) -> None:
-    """Follow the named versions, once it is known since when those there are named.
+    """Read the stored publication times, then follow the published versions.
 
-    Without that a gateway that starts anew refuses all older weights, and an agent
-    counts its target's turn from its own start. Nothing else is waited for: a process
-    that removed old entries first would not be ready until the store has taken all.
+    Without these times a gateway that starts would refuse all older weights, and an
+    agent would count its target's turn in the rollout from its own start. Nothing else
+    is done first: a process that removed old entries before would not be ready until
+    the store had accepted all deletions.
     """
     await publish_times.read_entries()
     await asyncio.gather(
@@ -103,7 +105,7 @@
 
 
 class PublishTimes:
-    """Entries below a prefix, one for each model and version."""
+    """Entries below a key prefix, one for each model and version."""
 
     def __init__(
         self, store: Store, prefix: str, weights: WeightVersions, random: random.Random
@@ -115,33 +117,33 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def record_published(self, model: str, version: int, since: float) -> None:
-        """Write down that a version was named, at ``since`` at the earliest."""
+        """Write that a version was published, at ``since`` at the earliest."""
         self._start(self._write(model, version, since))
 
     def read_if_late(self, model: str, version: int, since: float) -> None:
-        """Read what others wrote of a version, unless it was heard of at once."""
+        """Read the time that others wrote, unless the version was received at once."""
         guessed = self._weights.is_guessed(model, version)
         if _find_write_rank(read_clock() - since, guessed) > 0:
             self._start(self._read_until_written(model, version))
 
     async def finish(self) -> None:
-        """Wait until all that is being read and written is done or given up."""
+        """Wait until all reads and writes have finished or been abandoned."""
         await asyncio.gather(*self._tasks)
 
     async def clean_up(self) -> None:
-        """Read all entries, and remove those that say nothing any more."""
+        """Read all entries, and remove the obsolete ones."""
         for entries in (await self.read_entries()).values():
             await self._remove_all_but_newest(entries)
 
     async def clean_up_later(self) -> None:
-        """Remove old entries some time after a start."""
+        """Remove obsolete entries some time after a start."""
         await asyncio.sleep(self._random.uniform(0, CLEANUP_SPREAD_SECONDS))
         await self.clean_up()
 
     async def read_entries(self) -> OldEntries:
-        """Read all entries, again and again until the store answers.
+        """Read and apply all entries, retrying until the store answers.
 
-        Returns those whose time is long over, by model.
+        Return the entries that are older than the retention time, by model.
         """
         while True:
             listing = await self._store.list(self._prefix)
@@ -159,10 +161,11 @@
         return old
 
     async def retry_unknown(self, loaded: asyncio.Event) -> None:
-        """Read once more after a start, if the age of a version is still unknown.
+        """Read once more after a start if the age of a version is still unknown.
 
-        Versions named just before the start are written down just after it. Not known
-        then, they would end older weights at once for as long as this process runs.
+        Entries of versions published just before the start are written just after it.
+        Without them, older weights would count as expired for as long as this process
+        runs.
         """
         await loaded.wait()
         await asyncio.sleep(SETTLE_SECONDS)
@@ -175,21 +178,21 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _read_until_written(self, model: str, version: int) -> None:
-        """Read until somebody has had the time to write a version down."""
+        """Read, and read again later if no process has written the version yet."""
         await self.read_entries()
         if not self._weights.is_recorded(model, version):
             await asyncio.sleep(SETTLE_SECONDS)
             await self.read_entries()
 
     def _decode(self, found: StoredObject) -> _Entry | None:
-        """Return what an entry says; None if it is broken."""
+        """Decode an entry; return None if it is invalid."""
         name = found.key.removeprefix(self._prefix)
         model, _, version = name.rpartition("/")
         try:
             named = msgspec.json.decode(found.value, type=PublishedAt)
             number = int(version)
         except (msgspec.MsgspecError, ValueError) as error:
-            log.warning("entry set aside", key=name, reason=str(error))
+            log.warning("invalid entry ignored", key=name, reason=str(error))
             return None
         age = max(0.0, time.time() - named.seconds) + ENTRY_ERROR_SECONDS
         return _Entry(model, number, age, named.guessed)
@@ -200,7 +203,7 @@
             entry.model, entry.version, since, guessed=entry.guessed
         )
         log.info(
-            "weights known",
+            "weight publication time read",
             model=entry.model,
             weight_version=entry.version,
             age=round(entry.age, 1),
@@ -210,10 +213,10 @@
     async def _remove_all_but_newest(
         self, entries: list[tuple[int, StoredObject]]
     ) -> None:
-        """Remove entries of a model whose time is long over, but for the newest.
+        """Remove the obsolete entries of a model except the newest.
 
-        That one still says that what is older may not serve. Nothing in the store
-        lapses by itself: a start would read all that were ever named.
+        The newest still says that older weights may not serve. Entries in the store do
+        not expire: without removal, a start would read all versions ever published.
         """
         newest = max(version for version, _ in entries)
         for version, found in entries:
@@ -221,9 +224,9 @@
                 continue
             removed = await self._store.delete(found.key, found.version)
             if isinstance(removed, Err):
-                # Another process was faster, or the next start tries again.
+                # Another process has removed it, or the next start tries again.
                 reason = str(removed.err_value)
-                log.info("old naming not removed", key=found.key, reason=reason)
+                log.info("old publication time not removed", key=found.key, reason=reason)
 
     async def _write(self, model: str, version: int, since: float) -> None:
         age = read_clock() - since
@@ -235,14 +238,14 @@
         value = msgspec.json.encode(PublishedAt(named_at, guessed))
         created = await self._create(key, value)
         if created is CreateOutcome.FAILED:
-            log.warning("naming not written", model=model, weight_version=version)
+            log.warning("publication time not written", model=model, weight_version=version)
         if rank > 0 and created is not CreateOutcome.CREATED:
-            # A process that heard late knows less than the others, of this version and
-            # of those named before it that it never heard of.
+            # A process that received the version late has less precise times than the
+            # others, of this version and of earlier ones that it never received.
             await self.read_entries()
 
     async def _create(self, key: str, value: bytes) -> CreateOutcome:
-        """Write an entry unless it is there."""
+        """Write an entry unless it exists."""
         for _ in range(MAX_TRIES):
             written = await self._store.write(key, value, ABSENT)
             error = written.err_value if isinstance(written, Err) else None
@@ -255,11 +258,13 @@
 
 
 def _find_write_rank(age: float, guessed: bool) -> int:
-    """Return who writes first: those that heard at once, those that guess, the others.
+    """Return the rank in which a process writes; 0 writes first.
 
-    A guess is that weights were named as the store came back for all. One that stood
-    still meanwhile cannot guess so, and knows only that they may be as old as the
-    outage: written first, that ends older weights at all that read it.
+    Processes that received the version at once write first, then those that guess, then
+    the others. A guess assumes that the version was published when the store recovered
+    for all. A process that was paused meanwhile cannot guess, and assumes only that the
+    version may be as old as the outage: if it wrote first, older weights would expire
+    at all processes that read the entry.
     """
     if guessed:
         return 1
--- a/libraries/proxy/src/bamboopier_proxy/store_followers.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_followers.py
@@ -1,4 +1,4 @@
-"""Keeps a gateway's beliefs as the platform's store says."""
+"""Keeps the state of a gateway in line with the platform's store."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
     from .gateway_state import GatewayState
     from .store_schema import PublishedWeights, Store, StoreSchema
 
-# Seconds that one watch of weights or closures lasts.
+# Duration of one watch of weights or drained data centres.
 WATCH_SECONDS = 2.0
-# Seconds that one watch of targets lasts. Failure answered: its connection goes silent
-# as a target drains, and callers' requests meet the target until the watch is given up.
-# A leaving target has to be let alone within two seconds. The store's client gives a
-# watch up 0.8 s after its end; with 0.05 s until the list is asked, and 0.3 s for a
-# slow store to answer, that is 1.85 s after the watch was made. Each gateway makes 1.4
-# calls a second for it; see docs/design/platform.md.
+# Duration of one watch of targets. Guards against a connection that stalls while a
+# target drains: until the watch is abandoned, requests are still sent to the target. A
+# draining target must get no more requests within two seconds. The store's client
+# abandons a watch 0.8 s after its end; with 0.05 s until the list is requested and 0.3
+# s for the response of a slow store, that is 1.85 s after the watch was sent. This
+# costs 1.4 calls a second per gateway; see docs/design/platform.md.
 TARGETS_WATCH_SECONDS = 0.7
 
 
 class StoreFollowers:
-    """The configuration, targets, weights and closures of one gateway."""
+    """Followers of the configuration, targets, weights and drained data centres."""
 
     def __init__(
         self,
@@ -66,11 +66,11 @@
 
     @property
     def loaded(self) -> bool:
-        """Say whether targets and weights were read at least once."""
+        """Return whether targets and weights were read at least once."""
         return self._targets.loaded.is_set() and self._weights.loaded.is_set()
 
     def list_coroutines(self) -> list[Coroutine[Any, Any, None]]:
-        """Return what has to run until the gateway stops."""
+        """Return the coroutines that have to run until the gateway stops."""
         return [
             self._configuration.run(),
             self._targets.run(),
--- a/libraries/proxy/src/bamboopier_proxy/target_orders.py
+++ b/libraries/proxy/src/bamboopier_proxy/target_orders.py
@@ -1,4 +1,4 @@
-"""The calls by which an agent knows and orders the target beside it."""
+"""Interface for an agent's calls to the target on its machine: report and order."""
 
 from __future__ import annotations
 
@@ -11,61 +11,61 @@
 
 
 class OrderError(StrEnum):
-    """Why an order is not, or not certainly, carried out."""
+    """Why an order is not, or not certainly, executed."""
 
-    # Another order is in progress, or others were accepted meanwhile.
+    # Another order is in progress, or others have been accepted since the report.
     CONFLICT = "conflict"
-    # A newer holder has given orders.
+    # A holder with a newer fencing token has sent orders.
     FENCED = "fenced"
     # Another target answers at this address.
     MISDIRECTED = "misdirected"
     INVALID = "invalid"
-    # It was certainly not accepted.
+    # The order was certainly not accepted.
     UNREACHABLE = "unreachable"
-    # It may have been accepted, or may be carried out later.
+    # The order may have been accepted, or may be executed later.
     UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True, slots=True)
 class TargetReport:
-    """What a target says of itself."""
+    """State that a target reports of itself."""
 
-    # Empty where the target does not tell its name.
+    # Empty if the target does not report its name.
     name: str
-    # Milliseconds since 1970 of its start.
+    # Start time of the target in milliseconds since 1970.
     started_ms: int
     versions: dict[str, int]
-    # An order is being carried out.
+    # Whether an order is being executed.
     busy: bool
-    # Orders accepted since its start.
+    # Number of orders accepted since the start.
     accepted: int
     running: int
     waiting: int
-    # Ids of the requests that run.
+    # Ids of the running requests.
     runs: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
 class WeightOrder:
-    """Loads one version of a model's weights."""
+    """Order to load one version of a model's weights."""
 
     model: str
     version: int
     holder: str
     fence: int
-    # The order holds only if the target has accepted so many before it.
+    # The order is valid only if the target has accepted this number of orders before.
     expected: int
-    # Only the target of this name may take it; empty for any.
+    # Only the target of this name may accept the order; empty for any.
     target: str
 
 
 class TargetOrders(Protocol):
-    """The target beside an agent."""
+    """Calls to the target on the agent's machine."""
 
     async def read_report(self) -> Result[TargetReport, str]:
-        """Return what the target says of itself now."""
+        """Return the current report of the target."""
         ...
 
     async def order_weights(self, order: WeightOrder) -> Result[None, OrderError]:
-        """Order a version; Ok means that it is being loaded or is loaded."""
+        """Order a weight load; Ok means that the version is loading or loaded."""
         ...
--- a/libraries/proxy/src/bamboopier_proxy/weight_load_announcer.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_load_announcer.py
@@ -1,4 +1,4 @@
-"""Tells the gateways what a target takes while it gets new weights."""
+"""Announces to the gateways which requests a target accepts during a weight load."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     from .hint_socket import HintSocket
     from .store_schema import Store
 
-# Seconds for which a hint holds. It is told again in half of that while it is true, so
-# that one lost datagram changes nothing, and an agent that dies is soon forgotten.
+# Time for which a hint is valid. While it is true it is repeated in less than half of
+# that time, so that one lost datagram has no effect, and the hint of an agent that died
+# expires soon.
 HINT_SECONDS = 1.5
 REPEAT_SECONDS = HINT_SECONDS / 3
-# Seconds for which the list of gateways is taken as it was read: one that was replaced
-# since has another address.
+# Time for which the list of gateways is cached: a replaced gateway has another address.
 GATEWAYS_SECONDS = 5.0
 
 
@@ -37,7 +37,7 @@
         self._sent_at = float("-inf")
 
     async def refresh(self) -> None:
-        """Read the list of gateways unless that was done a moment ago."""
+        """Read the list of gateways unless the cached list is recent."""
         now = read_clock()
         if now - self._read_at < GATEWAYS_SECONDS:
             return
@@ -47,21 +47,21 @@
             self._read_at = now
 
     def announce_drain(self, target: str, model: str) -> None:
-        """Tell that the target takes short answers only; repeated when it is due."""
+        """Announce, when due, that the target accepts only short responses."""
         if self._is_due():
             self._send(WeightLoadHint(target, model, 0, 0, int(HINT_SECONDS * 1000)))
 
     def announce_load(self, target: str, model: str) -> None:
-        """Tell that the target takes nothing; repeated when it is due."""
+        """Announce, when due, that the target accepts no requests."""
         if self._is_due():
             self._send(WeightLoadHint(target, model, 0, int(HINT_SECONDS * 1000)))
 
     def announce_end(self, target: str, model: str, version: int) -> None:
-        """Tell that the target serves on ``version``."""
+        """Announce that the target serves with ``version``."""
         self._send(WeightLoadHint(target, model, version, 0))
 
     def reset(self) -> None:
-        """Make the next hint due at once: it says something else than the last."""
+        """Make the next hint due at once, because its content differs from the last."""
         self._sent_at = float("-inf")
 
     def _is_due(self) -> bool:
--- a/libraries/proxy/src/bamboopier_proxy/weight_updater.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_updater.py
@@ -1,10 +1,10 @@
-"""Brings the target beside an agent to the weight version that the operator named.
+"""Updates the target on an agent's machine to the published weight version.
 
-Failures answered: two machines that order one target (a lease, asked again right
-before the order), an order whose answer is lost and that is carried out late (it names
-how many orders the target had accepted, so that it cannot undo a later one), all
-targets loading at once (slots), long answers that an order has to wait for (gateways
-are told before, and the target is drained of them first).
+Guards against two machines that send orders to one target (a lease, renewed right
+before the order), an order whose response is lost and that is executed late (it
+contains the number of orders that the target had accepted, so that it cannot undo a
+later one), all targets loading at once (slots), and long responses that an order has to
+wait for (the gateways are informed, and the target is drained of them first).
 """
 
 from __future__ import annotations
@@ -37,28 +37,30 @@
     from .target_orders import TargetOrders, TargetReport
     from .weight_load_announcer import WeightLoadAnnouncer
 
-# Seconds between two looks at the target while nothing is to be done: it may have come
-# back with older weights. Its report costs nothing on its own machine.
+# Interval between reports while no update is due: the target may have restarted with
+# older weights. Reading its report on its own machine costs nothing.
 IDLE_POLL_SECONDS = 1.0
-# Seconds for which the list of targets is taken as it was read.
+# Time for which the list of targets is cached.
 DIRECTORY_SECONDS = 0.5
-# Seconds until the next try for a slot, and between two looks at a drain or a load.
+# Delay before the next attempt to acquire a slot, and interval between reports during a
+# drain or a load.
 SLOT_RETRY_SECONDS = 0.25
 POLL_SECONDS = 0.08
-# Seconds after which a load that does not show is ordered again: three times what one
-# takes, and an order without an answer is carried out within twelve seconds or not.
+# Time after which a load that is not visible in the report is ordered again: three
+# times the duration of a load. An order without a response is executed within twelve
+# seconds or not at all.
 LOAD_TIMEOUT_SECONDS = 6.0
-# Seconds of a drain after which the target takes everything again while it waits for a
-# slot: whoever holds the slots may be gone.
+# Duration of a drain after which the target accepts all requests again while it waits
+# for a slot: the holders of the slots may be gone.
 DRAIN_TIMEOUT_SECONDS = 7.0
-# Seconds between telling the gateways and the order: datagrams take a few ms.
+# Delay between the announcement to the gateways and the order: datagrams take a few ms.
 ANNOUNCEMENT_DELAY_SECONDS = 0.03
 
 log = structlog.get_logger()
 
 
 class WeightUpdater:
-    """Compares, orders, and waits for the end of a load."""
+    """Compares versions, orders a load, and waits for its end."""
 
     def __init__(
         self,
@@ -81,7 +83,7 @@
         self._announcer = announcer
         self._directory = directory
         self._directory_read_at = float("-inf")
-        # The version that the target has to load, and since when that is known here.
+        # The version that the target has to load, and since when this agent knows it.
         self._wanted: tuple[str, int] | None = None
         self._wanted_since = 0.0
         self._drain: WeightLoadDrain | None = None
@@ -107,7 +109,10 @@
         return seconds * self._random.uniform(0.7, 1.0)
 
     async def reconcile(self) -> bool:
-        """Load what is named if the target has an older version; True while behind."""
+        """Load the published version if the target has an older one.
+
+        Return True while the target is behind.
+        """
         report = await self._read()
         if report is None:
             return False
@@ -138,11 +143,12 @@
             self._wanted_since = read_clock()
 
     def _find_published_at(self, wanted: tuple[str, int]) -> float:
-        """Return since when ``wanted`` is named, by what is known of it now.
+        """Return when ``wanted`` was published, as currently known.
 
-        The turns of all targets count from the naming. Counted from when this agent
-        heard, its target would load a turn or more after the others, and keep older
-        weights until their time is over. What others wrote may be read after that.
+        The turns of all targets in the rollout count from the publication. Counted from
+        when this agent received it, its target would load one or more turns after the
+        others, and serve with older weights until they expire. The time that others
+        wrote may be read later.
         """
         since = self._weights.find_published_at(wanted[0])
         return since if math.isfinite(since) else self._wanted_since
@@ -154,7 +160,7 @@
         return read_clock() - self._find_published_at(wanted) >= delay
 
     async def _is_drained(self, wanted: tuple[str, int], report: TargetReport) -> bool:
-        """Say whether the order would have to wait for next to nothing."""
+        """Return whether the order would have to wait for hardly any request."""
         if self._drain is None:
             if not self._has_turn(wanted):
                 return False
@@ -162,7 +168,7 @@
             self._announcer.reset()
             self._drain = WeightLoadDrain(read_clock())
             log.info(
-                "drain begun",
+                "weight load drain started",
                 target=self._target,
                 weight_version=wanted[1],
                 running=report.running,
@@ -175,7 +181,7 @@
         return self._drain.is_complete
 
     async def _refresh_directory(self) -> bool:
-        """Read the targets' list unless that was done a moment ago."""
+        """Read the list of targets unless the cached one is recent."""
         now = read_clock()
         if now - self._directory_read_at < DIRECTORY_SECONDS:
             return True
@@ -193,7 +199,7 @@
 
     async def _load(self, wanted: tuple[str, int], slot: LeaseKeeper) -> None:
         if not await self._lease.acquire():
-            log.info("no lease", key=self._lease.key)
+            log.info("lease not acquired", key=self._lease.key)
             return
         model, version = wanted
         self._announcer.reset()
@@ -202,9 +208,9 @@
         report = await self._read()
         if report is None or report.busy:
             return
-        # The clock is read again here: the machine may have been suspended.
+        # Checked again: the lease may have expired while the machine was suspended.
         if not (self._lease.held and slot.held):
-            log.info("lease ran out", key=self._lease.key)
+            log.info("lease expired", key=self._lease.key)
             return
         order = WeightOrder(
             model,
@@ -247,7 +253,7 @@
                 seconds = round(read_clock() - started, 3)
                 log.info("weights loaded", weight_version=version, seconds=seconds)
                 return
-        log.warning("load does not show", model=model, weight_version=version)
+        log.warning("weight load not visible in report", model=model, weight_version=version)
 
     async def _read(self) -> TargetReport | None:
         answer = await self._orders.read_report()
--- a/libraries/proxy/tests/test_active_configuration.py
+++ b/libraries/proxy/tests/test_active_configuration.py
@@ -1,4 +1,4 @@
-"""What a process believes of the configuration never goes back."""
+"""Tests that the active configuration never goes back to an older version."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
         self.assertFalse(self.active_configuration.currency.is_fresh(15.0))
 
     def test_only_the_active_version_is_confirmed(self) -> None:
-        # Another gateway answers that its own, newer version is current. That says
-        # nothing of the older one here: a key may be missing in the newer.
+        # Another gateway responds that its own, newer version is current. That does not
+        # confirm the older version here: the newer one may lack a key.
         self.active_configuration.update(declare(7), 10.0, 10.1)
         self.active_configuration.confirm(8, 14.0)
         self.assertFalse(self.active_configuration.currency.is_fresh(15.0))
--- a/libraries/proxy/tests/test_configuration_loader.py
+++ b/libraries/proxy/tests/test_configuration_loader.py
@@ -1,4 +1,4 @@
-"""Configurations as they come from the store or from another gateway."""
+"""Tests of loading configurations from the store or from another gateway."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def decode(value: bytes) -> Result[DeclaredConfiguration, str]:
-    """Take the value for the version's number."""
+    """Decode the value as the number of the version."""
     if not value.isdigit():
         return Err("no number")
     return Ok(DeclaredConfiguration(int(value), (), {}, CallerLimits(), None))
@@ -43,16 +43,16 @@
         self.assertEqual(self.active_configuration.currency.confirmed_at, 104.0)
 
     def test_an_older_revision_from_another_gateway_is_ignored(self) -> None:
-        # Another gateway's answer was held up on its way: it has the version before,
-        # and must neither come into force nor make the present one look fresh.
+        # A delayed response of another gateway contains the previous version. It must
+        # neither become active nor make the active version look fresh.
         self.load(11, b"4", 100.0)
         self.assertFalse(self.load(10, b"3", 104.0))
         self.assertEqual(self.active_configuration.version, 4)
         self.assertEqual(self.active_configuration.currency.confirmed_at, 100.0)
 
     def test_an_undecodable_value_is_not_relayed(self) -> None:
-        # A broken value lies in the store. What is in force stays, is no longer proved
-        # by reads, and is what other gateways get.
+        # The store contains an invalid value. The active configuration stays, is no
+        # longer confirmed by reads, and is the one relayed to other gateways.
         self.load(10, b"3", 100.0)
         self.assertTrue(self.load(11, b"broken", 104.0))
         self.assertEqual(self.active_configuration.version, 3)
--- a/libraries/proxy/tests/test_configuration_relay.py
+++ b/libraries/proxy/tests/test_configuration_relay.py
@@ -1,4 +1,4 @@
-"""Configurations that are handed on between gateways."""
+"""Tests of the relay of the configuration between gateways."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from bamboopier_proxy.configuration_relay import ConfigurationRelay
 
 MEGABYTE = 1_000_000
-# Of the weakest link, in bytes a second.
+# Bandwidth of the weakest link, in bytes a second.
 LINK = 625_000
 
 
 class SendRateTests(unittest.TestCase):
     def test_copies_use_at_most_half_of_the_weakest_link(self) -> None:
-        # Guards against several gateways that are turned away by the store and ask the
-        # same one for a megabyte each: its own callers would wait for seconds.
+        # Guards against several gateways that are rejected by the store and request a
+        # megabyte each from the same gateway: its own callers would wait for seconds.
         loader = mock.Mock(stored=StoredObject("", 5, b"x" * MEGABYTE))
         active_configuration = mock.Mock()
         active_configuration.currency.find_age.return_value = 0.5
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -1,4 +1,4 @@
-"""How many gateways each one counts, and what a cold target gets from all of them."""
+"""Tests of the gateway count, and of the load of all gateways on a cold target."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 GATEWAYS = 4
 PORT = 7000
 PREFIX = "gateways/"
-# What the rules of a site allow a cold target: requests a second, times 1.5, plus 5.
+# Limit of a site for a cold target: requests a second, times 1.5, plus 5.
 COLD_PER_SECOND = 18.0
 COLD_MOST = COLD_PER_SECOND * 1.5 + 5
 
 
 class Gateway:
-    """One of several gateways on a network that hands on hints, or loses them."""
+    """One of several gateways on a network that delivers hints, or loses them."""
 
     def __init__(self, number: int, now: float, store: mock.AsyncMock) -> None:
         self.name = f"g-{number}"
@@ -56,7 +56,7 @@
 
     @property
     def counted(self) -> int:
-        """Return how many gateways this one divides shared limits by."""
+        """Return the number of gateways by which this one divides shared limits."""
         return self.state.fleet.gateway_count
 
 
@@ -91,7 +91,7 @@
         self.run_all(5.0)
 
     def connect(self, gateway: Gateway) -> None:
-        """Let a gateway's datagrams arrive at once, unless they are lost."""
+        """Deliver a gateway's datagrams at once, unless they are lost."""
 
         def send(hint: Hint, to: Endpoint) -> None:
             for other in self.gateways:
@@ -105,7 +105,7 @@
         self.addCleanup(patch.stop)
 
     def run_all(self, seconds: float, running: list[Gateway] | None = None) -> None:
-        """Let gateways tick and send hints."""
+        """Run the ticks of gateways and send their hints."""
         end = self.now + seconds
         while self.now < end:
             self.now += TICK_SECONDS
@@ -114,11 +114,11 @@
                 gateway.hint_exchange._send_loads()
 
     def count_all(self) -> list[int]:
-        """Return how many gateways each counts."""
+        """Return the number of gateways that each counts."""
         return [gateway.counted for gateway in self.gateways]
 
     def flood_cold_target(self, seconds: float) -> int:
-        """Let all send what they may to a target that is cold; return how many."""
+        """Send all permitted requests to a cold target; return their number."""
         sent = 0
         for gateway in self.gateways:
             gateway.ramp.start(self.now, 10.0)
@@ -135,10 +135,10 @@
     async def test_gateways_resumed_together_share_the_limit_of_a_cold_target(
         self,
     ) -> None:
-        # All gateways are suspended for a while and go on at once, and their hints
-        # take a moment to arrive. Callers wait for an engine that is cold. Each gateway
-        # takes the others for gone, since it heard of none of them, and sends the
-        # engine all it bears in a second: it crashes, and callers get 502.
+        # All gateways are suspended for a while and resume together, and their hints
+        # take a moment to arrive. Callers wait for a cold engine. Each gateway assumes
+        # that the others are gone, since it received no hints, and sends the engine its
+        # full limit of a second: the engine crashes, and callers get 502.
         self.now += SILENT_SECONDS + 5
         self.lost = True
         for gateway in self.gateways:
@@ -149,7 +149,7 @@
     async def test_a_pause_recorded_before_the_count_is_no_silence(
         self,
     ) -> None:
-        # As above, but what notes pauses runs first.
+        # As above, but the pause is recorded before the gateways are counted.
         self.now += SILENT_SECONDS + 5
         self.lost = True
         for gateway in self.gateways:
@@ -158,9 +158,9 @@
         self.assertEqual(self.count_all(), [GATEWAYS] * GATEWAYS)
 
     async def test_a_removed_gateway_is_no_longer_counted(self) -> None:
-        # A machine is taken away. The others' parts grow once it has been silent for
-        # long, also if one of them is suspended for a moment meanwhile: its own time
-        # counts before and after that.
+        # A machine is removed. The shares of the others grow once it has been silent
+        # for long, even if they are suspended for a moment meanwhile: their running
+        # time before and after the pause counts.
         rest = self.gateways[1:]
         self.run_all(SILENT_SECONDS / 2, rest)
         self.now += 3.0
@@ -170,10 +170,10 @@
         self.assertEqual([g.counted for g in rest], [GATEWAYS - 1] * 3)
 
     async def test_partitioned_gateways_rediscover_each_other(self) -> None:
-        # No hint arrives for longer than a silent gateway is counted: all are alone.
-        # When hints arrive again, nobody sends any, since each knows of no other one.
-        # From then on each takes whole shares of what all may send to a cold engine or
-        # repeat, and counts nothing of the others' load, until gateways restart.
+        # No hint arrives for longer than a silent gateway is counted, so each gateway
+        # counts only itself. When the network recovers, none sends hints, since each
+        # has no peers. From then on each uses the full limits for cold engines and
+        # retries, and ignores the load of the others, until the gateways restart.
         self.lost = True
         self.run_all(SILENT_SECONDS + 5)
         self.assertEqual(self.count_all(), [1] * GATEWAYS)
@@ -187,9 +187,9 @@
     async def test_a_gateway_without_the_list_sends_nothing_to_cold_targets(
         self,
     ) -> None:
-        # All gateways lose power, and engines come back cold. The gateways run again
-        # before they have read how many they are; some have heard of one other by a
-        # hint. Each would send the engine all it bears, and callers get 502.
+        # All gateways lose power, and engines restart cold. The gateways run before
+        # they have read the list; one has received a hint of one other gateway. Each
+        # would send the engine its full limit, and callers get 502.
         self.gateways = [Gateway(n, self.now, self.store) for n in range(GATEWAYS)]
         for gateway in self.gateways:
             self.connect(gateway)
@@ -197,8 +197,8 @@
         self.assertEqual(self.flood_cold_target(0.25), 0)
 
     async def test_a_removed_gateway_gets_one_hint_per_read(self) -> None:
-        # A machine is taken away, and its entry stays. It is not counted again for
-        # that, and hints to its address cost next to nothing.
+        # A machine is removed, and its entry stays. The gateway is not counted again
+        # because of the entry, and hints to its address cost almost nothing.
         gone, *rest = self.gateways
         self.run_all(SILENT_SECONDS + 1, rest)
         for gateway in rest:
--- a/libraries/proxy/tests/test_gateway_registry.py
+++ b/libraries/proxy/tests/test_gateway_registry.py
@@ -1,4 +1,4 @@
-"""How often the list of gateways is read."""
+"""Tests of how often the list of gateways is read."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
 from bamboopier_proxy.gateway_registry import GatewayEntry, GatewayRegistry
 
 GATEWAYS = 340
-# What a node may spend on control is 22 KB a second; the list gets a tenth of it.
+# A node may use 22 KB a second for control traffic; reads of the list get a tenth of
+# it.
 MOST_BYTES_PER_SECOND = 2_200
 ENTRY_BYTES = 200
 
 
 class GatewayRegistryTests(unittest.IsolatedAsyncioTestCase):
     async def test_a_long_list_is_read_less_often(self) -> None:
-        # Guards against a whole list being read at one interval whatever its length:
-        # 340 gateways would each spend 9 KB a second on it.
+        # Guards against reading the list at a fixed interval regardless of its length:
+        # 340 gateways would each use 9 KB a second for it.
         value = msgspec.json.encode(GatewayEntry("10.0.0.1", 7000, 1))
         objects = tuple(StoredObject(f"g/{n}", n, value) for n in range(GATEWAYS))
         store = mock.AsyncMock()
@@ -44,7 +45,7 @@
         ):
             await registry.run()
         spent = GATEWAYS * ENTRY_BYTES / min(pauses)
-        # Pauses are drawn between four fifths and the whole.
+        # Pauses are drawn between four fifths of the interval and the full interval.
         self.assertLess(spent * 0.8, MOST_BYTES_PER_SECOND)
 
 
--- a/libraries/proxy/tests/test_hints.py
+++ b/libraries/proxy/tests/test_hints.py
@@ -1,4 +1,4 @@
-"""Datagrams between processes."""
+"""Tests of the datagrams between processes."""
 
 from __future__ import annotations
 
--- a/libraries/proxy/tests/test_limit_hints.py
+++ b/libraries/proxy/tests/test_limit_hints.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other of the requests that targets take."""
+"""Tests of the exchange of target rate limits between gateways."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def find_limit(fleet: Fleet, name: str) -> RateLimit:
-    """Return what is known of a target's limit."""
+    """Return the limit recorded for a target."""
     state = fleet.find(name)
     assert state is not None
     return state.rate_limit
@@ -50,7 +50,7 @@
         self.sender = LimitHints(self.sent, random.Random(1))
 
     def send_hints(self, fleet: Fleet, now: float) -> None:
-        """Hand on what is told at ``now``, as it goes over the network."""
+        """Deliver the hints sent at ``now``, encoded as on the network."""
         hint = LoadHint("g-1", 1, 1, [], [], self.sender.list_hints(now))
         received = decode(encode(hint))
         assert isinstance(received, LoadHint)
@@ -67,7 +67,8 @@
         self.assertFalse(find_limit(other, "i-1").in_force)
 
     def test_another_instance_of_the_target_has_no_limit(self) -> None:
-        # Guards against a target that restarted under its name and is left idle.
+        # Guards against a target that restarted under the same name and gets no
+        # requests.
         other = make_fleet(["i-1"], self.now, born=2)
         find_limit(self.sent, "i-1").record_limit(100.0, 1.5)
         self.send_hints(other, 100.2)
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -1,4 +1,4 @@
-"""Who asks the stores of parts, and who asks another gateway."""
+"""Tests of which gateways poll the part stores, and which poll another gateway."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def make_roster(generator: random.Random) -> GatewayRegistry:
-    """Return a list of gateways that reads no store."""
+    """Return a gateway registry that reads no store."""
     store = mock.AsyncMock()
     return GatewayRegistry(
         store, "", generator, lambda *_: None, PauseTracker(read_clock())
@@ -41,7 +41,7 @@
 
 
 class CountedStores:
-    """Counts questions to the stores."""
+    """Counts requests to the stores."""
 
     def __init__(self) -> None:
         self.requests = 0
@@ -55,7 +55,7 @@
 
 
 class CountedRelay(PartRelay):
-    """Counts questions to other gateways."""
+    """Records requests to other gateways."""
 
     def __init__(self, kept: PartStoreIndex) -> None:
         super().__init__(kept, HttpCaller(""))
@@ -67,7 +67,7 @@
 
 
 class RestartedStore:
-    """Answers at once as a store that began anew, however late it is asked."""
+    """Responds as a store that has just restarted, even if the request is late."""
 
     def __init__(self, clock: list[float]) -> None:
         self._clock = clock
@@ -86,11 +86,11 @@
 
 class SettleTests(unittest.IsolatedAsyncioTestCase):
     async def test_an_instance_is_not_known_longer_than_it_was_observed(self) -> None:
-        # A gateway is suspended for four seconds between taking the time of a question
-        # and sending it. A store began anew just before it wakes. The gateway takes
-        # that start for four seconds old and tells engines to write there at once,
-        # while others may still fetch what lay there before: a caller's answer could
-        # be made from half a part.
+        # A gateway is suspended for four seconds between reading the clock for a
+        # request and sending it. A store restarts just before the gateway resumes. The
+        # gateway assumes that the instance is four seconds old and lets engines write
+        # to it at once, while others may still fetch parts stored before: a response to
+        # a caller could be computed from half a part.
         clock = [100.0]
         kept = PartStoreIndex()
         kept.set_stores({ADDRESS: 100_000})
@@ -115,13 +115,13 @@
         store = kept.find(ADDRESS)
         assert store is not None
         self.assertEqual(store.epoch, 2)
-        # The start was seen at 104.0 for the first time.
+        # The instance was first observed at 104.0.
         self.assertFalse(store.can_save(104.0 + SAVE_HOLD_OFF_SECONDS / 2, 1000))
 
 
 class FollowerTests(unittest.IsolatedAsyncioTestCase):
     async def follow(self, gateways: int, own: str) -> tuple[int, int]:
-        """Return the questions to stores and the gateways asked in a moment."""
+        """Return the number of requests to stores and the number of polled gateways."""
         kept = PartStoreIndex()
         kept.set_stores({ADDRESS: 1000})
         generator = random.Random(1)
@@ -143,8 +143,8 @@
         self.assertEqual(requested, 0)
 
     async def test_eight_of_many_gateways_poll_the_stores(self) -> None:
-        # Each of 21 gateways decides for itself. More than eight would be turned away
-        # by the stores, fewer than one would leave all without news.
+        # Each of 21 gateways decides on its own. Requests of more than eight would be
+        # rejected by the stores; with none, no gateway would get updates.
         direct = 0
         for number in range(21):
             requests, requested = await self.follow(21, f"g-{number}")
--- a/libraries/proxy/tests/test_part_relay.py
+++ b/libraries/proxy/tests/test_part_relay.py
@@ -1,4 +1,4 @@
-"""News of part stores that go from one gateway to another."""
+"""Tests of updates of part stores relayed from one gateway to another."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 
 class DirectCaller(HttpCaller):
-    """Hands each call to another gateway's relay, some time later."""
+    """Passes each call to another gateway's relay, after a delay."""
 
     def __init__(self) -> None:
         super().__init__("")
         self.other: PartRelay | None = None
-        # Run before and after the other gateway answers.
+        # Called before and after the other gateway responds.
         self.travel: Callable[[], None] = lambda: None
         self.sizes: list[int] = []
 
@@ -76,7 +76,7 @@
         self.relay = PartRelay(self.other, self.caller)
 
     def hear(self, epoch: int, *changes: PartChange) -> None:
-        """Let the store answer the gateway that asks it."""
+        """Apply a response of the store at the gateway that polls it."""
         store = self.direct.find(ADDRESS)
         assert store is not None
         store.apply_update(self.now, self.now, PartUpdate(epoch, 5000, changes))
@@ -104,8 +104,8 @@
         self.assertLess(self.caller.sizes[1], self.caller.sizes[0] / 10)
 
     async def test_validity_counts_from_the_response_of_the_store(self) -> None:
-        # The store goes silent. The gateway that asks it goes on answering others with
-        # what it heard last; nobody fetches from the store for longer than that one.
+        # The store stops responding. The gateway that polls it continues to relay the
+        # last update; no gateway may fetch from the store for longer than that one.
         self.hear(7, PartChange(SCOPE, "p", 500))
         self.now += 1.0
         await self.request()
@@ -123,7 +123,7 @@
 
     async def test_a_new_gateway_may_save_in_a_store_known_to_others(self) -> None:
         # The store has been up for long, which a gateway that has just started cannot
-        # know by itself. It must not save in one that may have restarted a moment ago.
+        # know on its own. It must not save to a store that may have just restarted.
         self.hear(7)
         await self.request()
         store = self.other.find(ADDRESS)
@@ -139,9 +139,9 @@
         self.assertTrue(store.can_save(self.now, 500))
 
     async def test_an_instance_looks_no_older_than_first_observed(self) -> None:
-        # Answers come late, at the gateway that asks the store as well as at the one
-        # that asks that gateway. A store that restarted a moment before the first one
-        # read of it is written to by neither of them too early.
+        # Responses are delayed, both to the gateway that polls the store and to the one
+        # that polls that gateway. Neither may save too early to a store that restarted
+        # just before the first gateway observed it.
         direct, other = (k.find(ADDRESS) for k in (self.direct, self.other))
         assert direct is not None
         assert other is not None
@@ -162,13 +162,13 @@
                     seen + SAVE_HOLD_OFF_SECONDS - 1e-6,
                     seen + SAVE_HOLD_OFF_SECONDS + 1,
                 ):
-                    # It still answers, under the same start.
+                    # The same instance of the store still responds.
                     other.apply_update(now, now, PartUpdate(epoch, 5000, ()))
                     self.assertEqual(other.can_save(now, 500), now > seen + 3)
 
     async def test_later_updates_refine_the_age_of_an_instance(self) -> None:
-        # The first news told little of how long the start is known. Later ones that
-        # come quickly tell more, and never more than is true.
+        # The first update says little about how long the instance is known. Later
+        # updates with less delay are more precise, and never exceed the true time.
         self.caller.travel = functools.partial(self.pass_time, 0.3)
         self.hear(7)
         seen = self.now
@@ -184,8 +184,8 @@
         self.assertTrue(store.can_save(seen + SAVE_HOLD_OFF_SECONDS + 0.01, 500))
 
     async def test_positions_are_specific_to_a_gateway(self) -> None:
-        # The gateway that was asked is gone; another one has seen the same changes in
-        # other numbers. What is known is taken anew and not added to.
+        # The polled gateway is gone; another one has the same changes at other
+        # positions. Its state replaces the previous one and is not added to it.
         self.hear(7, PartChange(SCOPE, "p", 500))
         await self.request()
         self.direct.set_stores({})
@@ -201,7 +201,7 @@
 
 
 class FormerStartTests(unittest.IsolatedAsyncioTestCase):
-    """Two gateways ask a store that begins anew; a third one asks them in turn."""
+    """Two gateways poll a store that restarts; a third one polls each of them."""
 
     async def asyncSetUp(self) -> None:
         self.now = 100.0
@@ -219,7 +219,7 @@
         for kept in (self.quick, self.slow, self.third):
             kept.set_stores({ADDRESS: 1_000_000})
         self.relay = PartRelay(self.third, self.caller)
-        # Epochs are said to change at a restart, not to grow.
+        # Epochs are specified to change at a restart, not to grow.
         self.former, self.latest = 7, 3
         for _ in range(10):
             self.now += 0.4
@@ -227,7 +227,8 @@
             self.hear(self.slow, self.former, PartChange(SCOPE, "lost", 500))
         await self.request(self.quick, FIRST)
         self.assertTrue(self.fetches("lost"))
-        # The store begins anew. One of the two hears of it, and the third from that.
+        # The store restarts. One of the two gateways observes it, and relays it to the
+        # third.
         self.now += 0.3
         self.hear(self.quick, self.latest)
         self.began = self.now
@@ -235,14 +236,14 @@
         self.assertFalse(self.fetches("lost"))
 
     def hear(self, kept: PartStoreIndex, epoch: int, *changes: PartChange) -> None:
-        """Let the store answer one that asks it."""
+        """Apply a response of the store at a gateway that polls it."""
         store = kept.find(ADDRESS)
         assert store is not None
         clock_ms = int(self.now * 1000)
         store.apply_update(self.now, self.now, PartUpdate(epoch, clock_ms, changes))
 
     async def request(self, kept: PartStoreIndex, gateway: Endpoint) -> None:
-        """Let the third gateway ask one of the two."""
+        """Poll one of the two gateways from the third."""
         self.now += 0.2
         self.caller.other = PartRelay(kept, self.caller)
         found = await self.relay.request(gateway)
@@ -257,22 +258,23 @@
         return plan is not None and bool(plan.save[0])
 
     async def test_a_lost_part_is_not_fetched_after_an_outdated_update(self) -> None:
-        # The gateway that told of the new start is gone, so the third one asks the
-        # other, which has not heard of it yet. A prompt whose shared part the store
-        # lost at its restart is sent with a fetch from there: the engine finds nothing,
-        # and its caller waits longer. The former start would also be trusted, and
-        # handed on, for as long after the answer of the new one as after its own.
+        # The gateway that relayed the restart is gone, so the third one polls the
+        # other, which has not observed it yet. A prompt whose shared part the store
+        # lost at its restart is sent with a fetch from that store: the engine finds
+        # nothing, and its caller waits longer. The former instance would also be
+        # assumed valid, and relayed, for as long after the response of the new one as
+        # after its own.
         await self.request(self.slow, SECOND)
         self.assertFalse(self.fetches("lost"))
 
     async def test_nothing_is_saved_soon_after_a_known_restart(self) -> None:
-        # As above. The former start has been known for long, so the third gateway has
-        # parts written to the store at once, while others may still fetch by what they
-        # know of that start: they could read half a part, and a caller's answer would
-        # be made from it.
+        # As above. The former instance has been known for long, so the third gateway
+        # lets engines write parts to the store at once, while others may still fetch
+        # according to their state of that instance: they could read half a part, and a
+        # response to a caller would be computed from it.
         await self.request(self.slow, SECOND)
         self.assertFalse(self.saves("new"))
-        # From then on the store is known as from any answer of its new start.
+        # From then on the age of the instance counts as from any response of it.
         while self.now < self.began + SAVE_HOLD_OFF_SECONDS:
             self.hear(self.slow, self.latest)
             await self.request(self.slow, SECOND)
@@ -281,15 +283,15 @@
             )
 
     async def test_an_instance_later_than_the_known_one_is_accepted(self) -> None:
-        # The other one has heard more by now, and of one more start.
+        # The other gateway has newer updates by now, of another restart.
         self.now += 0.1
         self.hear(self.slow, self.former - 1, PartChange(SCOPE, "new", 500))
         await self.request(self.slow, SECOND)
         self.assertTrue(self.fetches("new"))
 
     async def test_changes_are_complete_after_a_rejected_update(self) -> None:
-        # The other one hears of the new start after it was asked once. All that it
-        # knows of that start is believed, and nothing of the former one.
+        # The other gateway observes the restart after it was polled once. All of its
+        # state of the new instance is applied, and nothing of the former one.
         await self.request(self.slow, SECOND)
         self.hear(self.slow, self.latest, PartChange(SCOPE, "new", 500))
         await self.request(self.slow, SECOND)
--- a/libraries/proxy/tests/test_publish_times.py
+++ b/libraries/proxy/tests/test_publish_times.py
@@ -1,4 +1,4 @@
-"""What is written of when weights were named, and what a late hearer reads of it."""
+"""Tests of writing publication times, and of reading them after a late receipt."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     from result import Result
 
 KEY = "ages/m/2"
-# Of the steady clock and of the time of day.
+# Times of the monotonic clock and of the wall clock.
 NOW, TODAY = 100.0, 1_000_000.0
 
 
@@ -50,21 +50,21 @@
         )
 
     async def name(self, since: float) -> None:
-        """Hear of version 2, named at ``since`` at the earliest."""
+        """Receive version 2, published at ``since`` at the earliest."""
         self.weights.record_published("m", 2, since)
         self.publish_times.record_published("m", 2, since)
         await self.publish_times.finish()
 
     def let_others_have_written(self, age: float) -> None:
-        """Let the entry stand, written for ``age`` seconds ago."""
+        """Store the entry of a publication ``age`` seconds ago."""
         value = msgspec.json.encode(PublishedAt(TODAY - age))
         self.store.write.return_value = Err(VersionConflictError(KEY, ABSENT, 5))
         listing = Listing(5, (StoredObject(KEY, 5, value),))
         self.store.list.return_value = Ok(listing)
 
     async def test_the_earliest_time_is_written_not_that_of_receipt(self) -> None:
-        # A gateway that stood still is the only one left, and one that starts later
-        # goes by what it wrote.
+        # A gateway that was paused is the only one left, and one that starts later
+        # relies on the time it wrote.
         self.store.write.return_value = Ok(5)
         await self.name(NOW - 3.3)
         key, value, version = self.store.write.call_args.args
@@ -81,10 +81,11 @@
     async def test_a_guess_that_cannot_be_written_is_corrected_from_the_store(
         self,
     ) -> None:
-        # A gateway was cut off as weights were named, and takes them for named at its
-        # return. The store takes none of its writes, but lists: others wrote that the
-        # weights are ten seconds old. Uncorrected, callers are answered on older
-        # weights there for ten seconds longer than anywhere else.
+        # A gateway was disconnected when weights were published, and assumes that they
+        # were published when it reconnected. The store rejects its writes but answers
+        # lists: others wrote that the weights are ten seconds old. Uncorrected, the
+        # gateway serves callers with older weights for ten seconds longer than the
+        # others.
         self.let_others_have_written(age=10.0)
         unavailable = PlatformUnavailableError("busy")
         self.store.write.return_value = Err(unavailable)
@@ -111,11 +112,11 @@
     async def test_a_late_receiver_reads_all_versions_published_meanwhile(
         self,
     ) -> None:
-        # Version 2 was named 10 s ago and version 3 one second ago; others wrote both
-        # down. A gateway that hears of version 3 alone, by a list after 15 s, reads
-        # when that was named. Engines that have neither then serve callers until the
-        # time of version 3 is over, up to 15 s after version 2 was named: 12 are
-        # allowed.
+        # Version 2 was published 10 s ago and version 3 one second ago; others wrote
+        # both times. A gateway that receives only version 3, in a list after 15 s,
+        # reads only the time of that version. Engines that have neither would then
+        # serve callers until older weights expire for version 3, up to 15 s after
+        # version 2 was published: 12 are allowed.
         publish_times = {2: 10.0, 3: 1.0}
         entries = {
             f"ages/m/{version}": StoredObject(
@@ -134,11 +135,12 @@
     async def test_weights_published_at_the_recovery_allow_older_ones(
         self,
     ) -> None:
-        # The store is down for all for ten seconds, and new weights are named as it
-        # returns. Every gateway ran all the while and takes them for ten seconds old;
-        # nobody heard sooner, so nobody wrote another time. All refuse older weights at
-        # once, and callers get 503 until the first engines have loaded, 1.9 s later on
-        # a trial with idle ones. Older weights may serve for 12 s of a stable store.
+        # The store is unavailable to all for ten seconds, and new weights are published
+        # when it recovers. Every gateway was running and assumes that they are ten
+        # seconds old; none received them sooner, so none wrote another time. All refuse
+        # older weights at once, and callers get 503 until the first engines have
+        # loaded: 1.9 s later with idle engines. Older weights may serve for 12 s while
+        # the store is available.
         module = "bamboopier_proxy.observers"
         self.enterContext(mock.patch(f"{module}.read_clock", return_value=NOW))
         self.enterContext(mock.patch(f"{module}.log"))
@@ -163,9 +165,9 @@
         self.assertEqual(self.weights.find_oldest_allowed(NOW + 1.0, "m"), 1)
 
     async def test_obsolete_entries_are_removed(self) -> None:
-        # Weights are named for two years, and nothing in the store lapses by itself. A
-        # start would read thousands of entries. Of those that are long over, the
-        # newest still says that what is older may not serve.
+        # Weights are published for two years, and entries in the store do not expire. A
+        # start would read thousands of entries. Of the obsolete ones, the newest still
+        # says that older weights may not serve.
         publish_times = {1: 9000.0, 2: 8000.0, 3: 7000.0, 4: 60.0}
         entries = [
             StoredObject(
@@ -182,10 +184,10 @@
         self.assertEqual(removed, [("ages/m/1", 1), ("ages/m/2", 2)])
 
     async def test_removing_obsolete_entries_delays_no_start(self) -> None:
-        # Weights were named 40 times in a day, and the store takes 0.3 s for a call. A
-        # gateway starts, removes the entries that are long over one after the other,
-        # and only then reads which weights are named: callers find it not ready for
-        # twelve seconds. Here the store answers no removal at all.
+        # Weights were published 40 times in a day, and the store takes 0.3 s for a
+        # call. A gateway starts, removes the obsolete entries one after the other, and
+        # only then reads which weights are published: it is not ready for twelve
+        # seconds. In this test the store answers no removal at all.
         publish_times = {
             version: 90_000.0 - 2000.0 * version for version in range(1, 41)
         }
@@ -211,9 +213,10 @@
 
     async def test_clock_errors_make_no_version_look_younger(self) -> None:
         # The clock of the machine that wrote an entry is three seconds ahead, that of
-        # the reader as much behind: each is off by what one may be. A gateway that
-        # heard late then takes weights named nine seconds ago for six seconds old, and
-        # callers get older ones until 12.4 s after the naming.
+        # the reader three seconds behind: each has the maximum error. A gateway that
+        # received the version late then assumes that weights published nine seconds ago
+        # are six seconds old, and serves callers with older ones until 12.4 s after the
+        # publication.
         self.let_others_have_written(age=9.0 - 2 * CLOCK_ERROR_SECONDS)
         await self.name(NOW - 9.2)
         self.assertLessEqual(self.weights.find_published_at("m"), NOW - 9.0)
@@ -250,7 +253,7 @@
     async def hear_after_an_outage(
         self, seconds: float, *gateways: PauseTracker
     ) -> list[WeightVersions]:
-        """Let gateways hear by a list, after an outage for all, of version 2."""
+        """Let gateways receive version 2 in a list, after an outage for all."""
         heard, written = [], []
         schema = mock.Mock()
         schema.decode_weights.side_effect = lambda value: Ok(
@@ -278,11 +281,12 @@
     async def test_a_pause_of_one_gateway_expires_no_weights_at_others(
         self,
     ) -> None:
-        # The store is down for all for five seconds; weights are named as it returns.
-        # Those gateways that ran take them for named now. One that stood still for
-        # 0.7 s takes them for five seconds old, and as that is little it writes first;
-        # the others read it, add six seconds for clocks, and refuse older weights at
-        # once: callers get 503 there until the first engines have loaded.
+        # The store is unavailable to all for five seconds; weights are published when
+        # it recovers. The gateways that were running assume that they were published
+        # now. One that was paused for 0.7 s assumes that they are five seconds old, and
+        # writes first because that is a short time. The others read its entry, add six
+        # seconds of clock error, and refuse older weights at once: their callers get
+        # 503 until the first engines have loaded.
         paused = PauseTracker(NOW - 0.8)
         paused.record_tick(NOW - 0.1)
         ran = PauseTracker(NOW), PauseTracker(NOW)
--- a/libraries/proxy/tests/test_store_availability.py
+++ b/libraries/proxy/tests/test_store_availability.py
@@ -1,4 +1,4 @@
-"""Which gaps are taken for an outage of the store."""
+"""Tests of which gaps count as an outage of the store."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 class StoreAvailabilityTests(unittest.IsolatedAsyncioTestCase):
     async def test_one_silent_watch_is_no_outage_of_the_store(self) -> None:
-        # The connection of a gateway's watch of targets goes silent for three and a
-        # half seconds; its other calls to the store are answered all the while, so no
-        # entry can have lapsed. A target that left meanwhile is missing in the list
-        # that follows, and gets no caller's request after it.
+        # The connection of a gateway's watch of targets stalls for three and a half
+        # seconds; its other calls to the store are answered all the time, so no entry
+        # can have expired. A target that left meanwhile is missing in the next list,
+        # and gets no more requests.
         times = iter((100.0, 100.0, 101.0, 101.0, 102.0, 102.0, 103.5, 103.5))
         availability, fleet = StoreAvailability(), Fleet()
         schema = mock.Mock(targets_prefix="t/", configuration_key="c")
@@ -56,8 +56,9 @@
         self.assertEqual(fleet.list_targets("chat", 103.6), [])
 
     async def test_a_large_configuration_in_transfer_is_no_outage(self) -> None:
-        # Guards against a target that goes while a weak link carries a megabyte: taken
-        # for an outage of the store, it would get requests for two seconds more.
+        # Guards against a target that leaves while a weak link transfers a megabyte: if
+        # the transfer counted as an outage of the store, the target would get requests
+        # for two more seconds.
         availability = StoreAvailability()
         availability.record_response(100.0, 100.0)
         seen: list[bool] = []
@@ -79,8 +80,8 @@
         self.assertEqual(seen[1], False)
 
     async def test_a_large_version_received_by_a_watch_is_no_outage(self) -> None:
-        # Guards against the same while a new version arrives by a watch, which a weak
-        # link ends seconds after its wait is over.
+        # Guards against the same while a watch delivers a new version, whose response
+        # arrives over a weak link seconds after the end of the wait.
         availability = StoreAvailability()
         availability.record_response(100.0, 100.0)
         seen: list[bool] = []
@@ -109,7 +110,8 @@
         self.assertEqual(seen, [False])
 
     def test_a_store_that_accepts_no_call_for_a_second_had_an_outage(self) -> None:
-        # Its last call was taken at 100.0 and the next at 101.2; entries have lapsed.
+        # The last call was accepted at 100.0 and the next at 101.2; entries have
+        # expired.
         availability = StoreAvailability()
         availability.record_response(100.0, 100.0)
         availability.record_failure(100.7)
@@ -119,8 +121,8 @@
         self.assertFalse(availability.is_recovering(103.5))
 
     def test_one_failed_call_among_others_is_no_outage(self) -> None:
-        # A read's connection goes silent for the 1.5 s that it may last, while watches
-        # are made and answered.
+        # The connection of a read stalls until its timeout of 1.5 s, while watches are
+        # sent and answered.
         availability = StoreAvailability()
         availability.record_response(100.0, 100.0)
         for asked in (100.6, 101.3):
@@ -131,8 +133,8 @@
         self.assertFalse(availability.is_recovering(102.0))
 
     def test_an_outage_that_ends_before_a_call_fails_is_detected(self) -> None:
-        # The store answers nobody from 100.0 to 101.3. A read made at 100.8 has not yet
-        # failed as a list is answered.
+        # The store answers no calls from 100.0 to 101.3. A read sent at 100.8 has not
+        # yet failed when a list is answered.
         availability = StoreAvailability()
         availability.record_response(100.0, 100.0)
         availability.record_sent(100.8)
@@ -160,7 +162,7 @@
         self.assertFalse(availability.is_recovering(104.9))
 
     def test_a_watch_that_ends_in_an_outage_does_not_hide_it(self) -> None:
-        # A store that takes no call still ends a watch that it held.
+        # A store that accepts no call still ends an open watch.
         availability = StoreAvailability()
         availability.record_response(100.0, 100.0)
         availability.record_failure(100.5)
@@ -169,7 +171,7 @@
         self.assertTrue(availability.is_recovering(101.5))
 
     def test_entries_that_expire_before_the_first_response_may_return(self) -> None:
-        # A watch that outlived the outage tells of them before another call is taken.
+        # A watch that survived the outage reports them before another call is accepted.
         availability = StoreAvailability()
         availability.record_response(100.0, 100.0)
         availability.record_failure(100.5)
@@ -177,7 +179,7 @@
         self.assertTrue(availability.is_recovering(101.1))
 
     def test_a_slow_store_is_not_unavailable(self) -> None:
-        # Each answer takes 0.3 s, and each read follows the last after 0.9 s.
+        # Each response takes 0.3 s, and each read follows the previous one after 0.9 s.
         availability = StoreAvailability()
         for asked in (100.0, 101.2, 102.4, 103.6):
             availability.record_sent(asked)
@@ -186,9 +188,9 @@
             self.assertFalse(availability.is_recovering(asked + 0.3))
 
     def test_a_suspended_gateway_assumes_no_outage(self) -> None:
-        # It is suspended from 100.5 to 104.5, with a read under way. That runs out of
-        # time as the gateway runs again; the next is answered. A connection that the
-        # store closed meanwhile makes a further call fail.
+        # The gateway is suspended from 100.5 to 104.5, with a read in flight. The read
+        # times out when the gateway resumes; the next one is answered. Another call
+        # fails because the store closed its connection meanwhile.
         availability = StoreAvailability()
         availability.record_response(100.4, 100.4)
         availability.record_pause(104.5, 4.0)
@@ -198,7 +200,8 @@
         self.assertFalse(availability.is_recovering(104.8))
 
     def test_a_pause_does_not_hide_an_outage(self) -> None:
-        # The store is away from 100.0 to 106.0, and the gateway stands still meanwhile.
+        # The store is unavailable from 100.0 to 106.0, and the gateway is paused
+        # meanwhile.
         availability = StoreAvailability()
         availability.record_response(100.0, 100.0)
         availability.record_failure(100.5)
@@ -208,7 +211,7 @@
         self.assertTrue(availability.is_recovering(106.0))
 
     def test_an_outage_that_starts_after_a_pause_is_detected(self) -> None:
-        # A call is answered before the gateway notes that it stood still.
+        # A call is answered before the gateway records its pause.
         availability = StoreAvailability()
         availability.record_response(104.4, 104.4)
         availability.record_pause(104.5, 4.0)
@@ -219,7 +222,7 @@
 
 class MonitoredStoreTests(unittest.IsolatedAsyncioTestCase):
     async def call_store(self, **answers: object) -> StoreAvailability:
-        """Let a list, or a watch, fail or not at 103.5, after one taken at 100.0."""
+        """Call watch and list at 103.5, after a call accepted at 100.0."""
         availability = StoreAvailability()
         availability.record_response(100.0, 100.0)
         module = "bamboopier_proxy.monitored_store.read_clock"
--- a/libraries/proxy/tests/test_store_followers.py
+++ b/libraries/proxy/tests/test_store_followers.py
@@ -1,4 +1,4 @@
-"""What a gateway that starts believes of weights that were named a moment ago."""
+"""Tests of a gateway that starts just after a weight version was published."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 from bamboopier_proxy.store_schema import PublishedWeights
 
 NAMED = StoredObject("v/m", 7, b"2")
-# Seconds after which the entry that another gateway wrote should have been read.
+# Time after which the entry that another gateway wrote should have been read.
 SETTLED_SECONDS = 2.0
 
 
 class StartTests(unittest.IsolatedAsyncioTestCase):
     async def test_a_start_right_after_a_publication_allows_older_weights(self) -> None:
-        # New weights are named, and a gateway starts before any other has written that
-        # down, which takes up to 0.4 s. It finds the version and nobody's word on its
-        # age, takes it for as old as can be and never asks again: callers there get 503
-        # until engines have loaded, though the entry stands a moment later.
+        # A weight version is published, and a gateway starts before any other has
+        # written the publication time, which takes up to 0.4 s. It finds the version
+        # without a time, assumes the maximum age and never reads again: its callers get
+        # 503 until engines have loaded, although the entry exists a moment later.
         state = mock.Mock()
         state.pauses = PauseTracker(read_clock())
         state.weights = WeightVersions(12.0)
--- a/libraries/proxy/tests/test_weight_load_announcer.py
+++ b/libraries/proxy/tests/test_weight_load_announcer.py
@@ -1,4 +1,4 @@
-"""What gateways hear of a target that gets new weights."""
+"""Tests of the hints to gateways about a target that loads weights."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         self.announcer = WeightLoadAnnouncer(self.store, "gateways/", self.socket)
 
     def list_gateways(self, *hosts: str) -> None:
-        """Let these be in the store, and one entry that cannot be read."""
+        """Store the entries of these gateways, and an invalid one."""
         values = {h: msgspec.json.encode(GatewayEntry(h, 7000, 1)) for h in hosts}
         values["broken"] = b"{"
         objects = [StoredObject(f"gateways/{n}", 1, v) for n, v in values.items()]
@@ -42,7 +42,8 @@
         return [call.args[1].host for call in self.socket.send.call_args_list]
 
     async def test_a_hint_is_repeated_before_it_expires(self) -> None:
-        # One datagram in a row may be lost without a gateway sending long answers.
+        # A single lost datagram must not make a gateway send requests for long
+        # responses.
         self.list_gateways("10.0.0.1")
         with mock.patch("bamboopier_proxy.gateway_registry.log"):
             await self.announcer.refresh()
@@ -63,7 +64,8 @@
         self.assertEqual([hint.busy_ms > 0 for hint in hints], [False, True])
 
     async def test_the_list_is_reread_and_retained_during_a_store_outage(self) -> None:
-        # A gateway is replaced by one at another address; then the store goes away.
+        # A gateway is replaced by one at another address; then the store is
+        # unavailable.
         self.list_gateways("10.0.0.1")
         with mock.patch("bamboopier_proxy.gateway_registry.log"):
             await self.announcer.refresh()
--- a/libraries/proxy/tests/test_weights_observer.py
+++ b/libraries/proxy/tests/test_weights_observer.py
@@ -1,4 +1,4 @@
-"""Since when new weights are taken to be named by a process that heard of them."""
+"""Tests of the publication time that a process assumes for new weights."""
 
 from __future__ import annotations
 
@@ -53,11 +53,11 @@
         self.observer = WeightsObserver(schema, self.weights, self.pauses, self.changed)
 
     def send_by_watch(self, version: int) -> None:
-        """Tell of a version as a watch does."""
+        """Deliver a version as a watch does."""
         self.observer.apply_change(ChangedObject("v/m", 9, str(version).encode()))
 
     def send_by_list(self, version: int, known_until: float) -> None:
-        """Tell of a version as a list does."""
+        """Deliver a version as a list does."""
         found = StoredObject("v/m", 9, str(version).encode())
         self.observer.apply_listing(Listing(9, (found,)), 0.0, known_until)
 
@@ -67,8 +67,8 @@
         self.changed.assert_called_once_with(PublishedWeights("m", 2), 100.0)
 
     def test_a_version_received_after_a_pause_may_be_as_old_as_it(self) -> None:
-        # The process stands still for 3.3 s. The watch's answer is the first thing it
-        # reads then, and says nothing of when the version was named.
+        # The process is paused for 3.3 s. The response of the watch is the first thing
+        # it reads afterwards, and does not say when the version was published.
         self.now = 103.3
         self.send_by_watch(2)
         self.assertEqual(self.weights.find_published_at("m"), 100.0)
@@ -94,7 +94,7 @@
 
 
 class FollowedWeightsTests(unittest.IsolatedAsyncioTestCase):
-    """Told by a follower, as in a process."""
+    """Versions delivered by a follower, as in a process."""
 
     def setUp(self) -> None:
         self.now = 100.0
@@ -113,14 +113,14 @@
         self.observer = WeightsObserver(schema, self.weights, self.pauses, mock.Mock())
 
     def run_for(self, seconds: float) -> None:
-        """Let the process run."""
+        """Run the process for ``seconds``."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(end, self.now + TICK_SECONDS)
             self.pauses.record_tick(self.now)
 
     def pause_for(self, seconds: float) -> None:
-        """Let the process stand still."""
+        """Pause the process for ``seconds``."""
         self.now += seconds
         self.pauses.record_tick(self.now)
 
@@ -161,11 +161,12 @@
     async def test_weights_published_after_a_pause_allow_older_ones(
         self,
     ) -> None:
-        # A gateway stands still for six seconds. It then lists the weights and watches
-        # them, and two watches end empty as they should. Weights are named 4.2 s after
-        # the pause, and are told 0.2 s after a watch was made. Taken for as old as the
-        # pause, 10.2 s, they end older ones at once: callers get 503 from this gateway
-        # though it knew 0.2 s before that nothing was named.
+        # A gateway is paused for six seconds. It then lists the weights and watches
+        # them, and two watches end without changes, as they should. Weights are
+        # published 4.2 s after the pause, and received 0.2 s after a watch was sent. If
+        # they were assumed to be as old as the pause, 10.2 s, older ones would expire
+        # at once: callers get 503 from this gateway, although 0.2 s before it knew that
+        # nothing was published.
         await self.follow(
             self.fail_after_a_pause,
             self.end_empty,
@@ -175,11 +176,12 @@
         self.assertEqual(self.weights.find_oldest_allowed(self.now, "m"), 1)
 
     async def test_a_late_watch_response_may_be_as_old_as_the_watch(self) -> None:
-        # Weights are named as a gateway makes a watch of two seconds. The answer is
-        # held up until 2.75 s later, just before the watch would be given up.
-        # Counted from the reading, callers are answered on older weights up to 12.15 s
-        # after the naming, and later by what their requests wait at the engine: 12 are
-        # allowed. A watch that is given up is dated right, this one is not.
+        # Weights are published when a gateway sends a watch of two seconds. The
+        # response is delayed until 2.75 s later, just before the watch would be
+        # abandoned. If the version was dated from when it is read, callers would be
+        # served with older weights up to 12.15 s after the publication, and even later
+        # by the queueing time at the engine: 12 are allowed. An abandoned watch is
+        # dated correctly, this one was not.
         named = self.now
         await self.follow(lambda: self.name_after(2.75))
         self.assertEqual(self.weights.find_oldest_allowed(named + 12.1, "m"), 2)
