--- a/libraries/proxy/src/bamboopier_proxy/active_configuration.py
+++ b/libraries/proxy/src/bamboopier_proxy/active_configuration.py
@@ -26,7 +26,7 @@
         self, key_seconds: float | None, apply: Callable[[DeclaredConfiguration], None]
     ) -> None:
         self.table: RouteTable | None = None
-        self.currency = ConfigurationFreshness(key_seconds)
+        self.freshness = ConfigurationFreshness(key_seconds)
         self._apply = apply
 
     @property
@@ -53,7 +53,7 @@
                 in_force=self.version,
             )
             return
-        self.currency.confirm(asked_at)
+        self.freshness.confirm(asked_at)
         if declared.version == self.version and self.table is not None:
             return
         self.table = RouteTable(declared)
@@ -70,4 +70,4 @@
     def confirm(self, version: int, asked_at: float) -> None:
         """Record that ``version`` was still current at ``sent_at``."""
         if version == self.version and self.table is not None:
-            self.currency.confirm(asked_at)
+            self.freshness.confirm(asked_at)
--- a/libraries/proxy/src/bamboopier_proxy/attempt_log.py
+++ b/libraries/proxy/src/bamboopier_proxy/attempt_log.py
@@ -64,5 +64,5 @@
             tokens_in=call.prompt.tokens_in if call.prompt else 0,
             tokens_out=call.prompt.tokens_out if call.prompt else 0,
             configuration=call.version,
-            proof_age=round(self._active_configuration.currency.find_age(now), 3),
+            proof_age=round(self._active_configuration.freshness.find_age(now), 3),
         )
--- a/libraries/proxy/src/bamboopier_proxy/configuration_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_relay.py
@@ -131,7 +131,7 @@
         if stored is None or now < self._sending_until:
             return web.Response(status=503)
         self._sending_until = now + len(stored.value) / SENT_BYTES_PER_SECOND
-        age = self._active_configuration.currency.find_age(now)
+        age = self._active_configuration.freshness.find_age(now)
         headers = {
             REVISION_HEADER: str(stored.version),
             # Rounded up: the confirmation must not look younger than it is.
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -236,7 +236,7 @@
         """Refuse a request with a key once the key may have been taken away."""
         if call.workspace is None:
             return
-        if self._active_configuration.currency.is_fresh(now):
+        if self._active_configuration.freshness.is_fresh(now):
             return
         if call.may_have_run:
             message = "the configuration became too old to send this again"
@@ -339,7 +339,7 @@
     active_configuration: ActiveConfiguration, now: float
 ) -> CallerError:
     """Return the refusal for keys that may have been taken away meanwhile."""
-    age = active_configuration.currency.find_age(now)
+    age = active_configuration.freshness.find_age(now)
     message = f"the configuration was last confirmed {age:.1f} s ago"
     return CallerError(
         ErrorCode.STALE_CONFIGURATION, message, ExecutionStatus.NOT_EXECUTED, 1.0
--- a/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_daemon.py
@@ -74,12 +74,12 @@
     forwarder = Forwarder(
         state.fleet,
         state.active_configuration,
-        AttemptPlanner(state.weights, state.kept),
+        AttemptPlanner(state.weights, state.part_store_index),
         Exchange(pool, state.fleet, codec, expiry_monitor),
         state.request_queues,
         metrics,
         peers.hint_exchange,
-        state.shares,
+        state.retry_budgets,
         settings.data_centre,
         generator,
     )
@@ -97,7 +97,7 @@
         return (
             not ingress.stopping
             and followers.loaded
-            and state.active_configuration.currency.is_fresh(read_clock())
+            and state.active_configuration.freshness.is_fresh(read_clock())
         )
 
     metrics.dropped_lines.set_function(lambda: open_log_sink().dropped)
--- a/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
@@ -61,9 +61,9 @@
         self._configuration_relay = ConfigurationRelay(
             state.loader, state.active_configuration, self._caller
         )
-        relay = PartRelay(state.kept, self._caller)
+        relay = PartRelay(state.part_store_index, self._caller)
         self._parts = PartFollower(
-            part_store_client, state.kept, relay, self._registry, random
+            part_store_client, state.part_store_index, relay, self._registry, random
         )
         self._limits = LimitRecords(
             store, schema.rate_limits_prefix, state.fleet, self._registry
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -42,9 +42,9 @@
         self.pauses = pauses
         self.fleet = Fleet()
         self.fleet.gateway_count, self.fleet.gateway_index = ASSUMED_GATEWAYS, None
-        self.kept = PartStoreIndex()
+        self.part_store_index = PartStoreIndex()
         self.weights = WeightVersions(settings.version_seconds)
-        self.shares = SharedRetryBudgets(settings.retries)
+        self.retry_budgets = SharedRetryBudgets(settings.retries)
         self.availability = StoreAvailability()
         self.request_queues = RequestQueues()
         self.active_configuration = ActiveConfiguration(
@@ -55,9 +55,9 @@
 
     def apply_settings(self, changed: ProxySettings) -> None:
         """Apply the limits of changed settings."""
-        self.active_configuration.currency.set_max_age(changed.key_seconds)
+        self.active_configuration.freshness.set_max_age(changed.key_seconds)
         self.weights.set_grace(changed.version_seconds)
-        self.shares.set_limits(changed.retries)
+        self.retry_budgets.set_limits(changed.retries)
 
     def set_gateway_count(self, count: int, place: int) -> None:
         """Set the number of gateways that share limits, and the index of this one."""
@@ -78,4 +78,4 @@
         self._services = tuple(declared.services)
         self.fleet.set_services(declared.services)
         managed = [s for s in declared.part_stores if s.managed]
-        self.kept.set_stores({s.address: s.capacity for s in managed})
+        self.part_store_index.set_stores({s.address: s.capacity for s in managed})
--- a/libraries/proxy/src/bamboopier_proxy/hint_exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/hint_exchange.py
@@ -181,7 +181,7 @@
             del self._freshness_requests[nonce]
         if self._active_configuration.version == 0:
             return
-        if self._active_configuration.currency.find_age(now) < MAX_FRESH_SECONDS:
+        if self._active_configuration.freshness.find_age(now) < MAX_FRESH_SECONDS:
             return
         nonce = next(self._nonces)
         self._freshness_requests[nonce] = now
@@ -236,7 +236,7 @@
     def _handle_freshness_request(
         self, request: FreshnessRequest, sender: tuple[str, int]
     ) -> None:
-        age = self._active_configuration.currency.find_age(read_clock())
+        age = self._active_configuration.freshness.find_age(read_clock())
         if age > MAX_FRESH_SECONDS * 3 or self._active_configuration.version == 0:
             return
         # Rounded up: the confirmation must not look younger than it is.
--- a/libraries/proxy/src/bamboopier_proxy/ingress.py
+++ b/libraries/proxy/src/bamboopier_proxy/ingress.py
@@ -174,7 +174,7 @@
     ) -> Workspace | None:
         if not table.needs_key or route.public:
             return None
-        if not self._active_configuration.currency.is_fresh(now):
+        if not self._active_configuration.freshness.is_fresh(now):
             raise make_stale_configuration_error(self._active_configuration, now)
         workspace = table.find_workspace(metadata.key) if metadata.key else None
         if workspace is None:
--- a/libraries/proxy/tests/test_active_configuration.py
+++ b/libraries/proxy/tests/test_active_configuration.py
@@ -27,16 +27,16 @@
         self.active_configuration.update(declare(7), 10.0, 10.1)
         self.active_configuration.update(declare(5), 14.0, 14.1)
         self.assertEqual((self.active_configuration.version, self.applied), (7, [7]))
-        self.assertFalse(self.active_configuration.currency.is_fresh(15.0))
+        self.assertFalse(self.active_configuration.freshness.is_fresh(15.0))
 
     def test_only_the_active_version_is_confirmed(self) -> None:
         # Another gateway responds that its own, newer version is current. That does not
         # confirm the older version here: the newer one may lack a key.
         self.active_configuration.update(declare(7), 10.0, 10.1)
         self.active_configuration.confirm(8, 14.0)
-        self.assertFalse(self.active_configuration.currency.is_fresh(15.0))
+        self.assertFalse(self.active_configuration.freshness.is_fresh(15.0))
         self.active_configuration.confirm(7, 14.0)
-        self.assertTrue(self.active_configuration.currency.is_fresh(15.0))
+        self.assertTrue(self.active_configuration.freshness.is_fresh(15.0))
 
 
 if __name__ == "__main__":
--- a/libraries/proxy/tests/test_configuration_loader.py
+++ b/libraries/proxy/tests/test_configuration_loader.py
@@ -40,7 +40,7 @@
     def test_the_same_revision_confirms_freshness(self) -> None:
         self.load(10, b"3", 100.0)
         self.assertTrue(self.load(10, b"3", 104.0))
-        self.assertEqual(self.active_configuration.currency.confirmed_at, 104.0)
+        self.assertEqual(self.active_configuration.freshness.confirmed_at, 104.0)
 
     def test_an_older_revision_from_another_gateway_is_ignored(self) -> None:
         # A delayed response of another gateway contains the previous version. It must
@@ -48,7 +48,7 @@
         self.load(11, b"4", 100.0)
         self.assertFalse(self.load(10, b"3", 104.0))
         self.assertEqual(self.active_configuration.version, 4)
-        self.assertEqual(self.active_configuration.currency.confirmed_at, 100.0)
+        self.assertEqual(self.active_configuration.freshness.confirmed_at, 100.0)
 
     def test_an_undecodable_value_is_not_relayed(self) -> None:
         # The store contains an invalid value. The active configuration stays, is no
@@ -56,7 +56,7 @@
         self.load(10, b"3", 100.0)
         self.assertTrue(self.load(11, b"broken", 104.0))
         self.assertEqual(self.active_configuration.version, 3)
-        self.assertEqual(self.active_configuration.currency.confirmed_at, 100.0)
+        self.assertEqual(self.active_configuration.freshness.confirmed_at, 100.0)
         assert self.loader.stored is not None
         self.assertEqual(self.loader.stored.value, b"3")
 
--- a/libraries/proxy/tests/test_configuration_relay.py
+++ b/libraries/proxy/tests/test_configuration_relay.py
@@ -19,7 +19,7 @@
         # megabyte each from the same gateway: its own callers would wait for seconds.
         loader = mock.Mock(stored=StoredObject("", 5, b"x" * MEGABYTE))
         active_configuration = mock.Mock()
-        active_configuration.currency.find_age.return_value = 0.5
+        active_configuration.freshness.find_age.return_value = 0.5
         relay = ConfigurationRelay(loader, active_configuration, mock.Mock())
         given = 0
         module = "bamboopier_proxy.configuration_relay.read_clock"
