--- a/libraries/proxy/src/bamboopier_proxy/active_configuration.py
+++ b/libraries/proxy/src/bamboopier_proxy/active_configuration.py
@@ -37,7 +37,7 @@
     def update(
         self,
         declared: DeclaredConfiguration,
-        asked_at: float,
+        sent_at: float,
         now: float,
         size: int = 0,
     ) -> None:
@@ -53,7 +53,7 @@
                 in_force=self.version,
             )
             return
-        self.freshness.confirm(asked_at)
+        self.freshness.confirm(sent_at)
         if declared.version == self.version and self.table is not None:
             return
         self.table = RouteTable(declared)
@@ -64,10 +64,10 @@
             routes=len(declared.routes),
             services=len(declared.services),
             size_bytes=size,
-            age_seconds=round(now - asked_at, 3),
+            age_seconds=round(now - sent_at, 3),
         )
 
-    def confirm(self, version: int, asked_at: float) -> None:
+    def confirm(self, version: int, sent_at: float) -> None:
         """Record that ``version`` was still current at ``sent_at``."""
         if version == self.version and self.table is not None:
-            self.freshness.confirm(asked_at)
+            self.freshness.confirm(sent_at)
--- a/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
@@ -101,15 +101,15 @@
             self._availability.record_sent(sent_at)
         # A list reports the revision of the store at which it is valid; the revision of
         # the object itself may be older than the store's history.
-        answer = await self._store.list(self._key)
+        response = await self._store.list(self._key)
         now = read_clock()
-        if isinstance(answer, Err):
+        if isinstance(response, Err):
             self._availability.record_failure(sent_at)
-            self._record_failure(sent_at, str(answer.err_value))
+            self._record_failure(sent_at, str(response.err_value))
             return False
         self._availability.record_response(sent_at, now)
         self._record_response(now)
-        listing = answer.ok_value
+        listing = response.ok_value
         found = next((o for o in listing.objects if o.key == self._key), None)
         if found is None or not self._load(found, sent_at):
             return False
@@ -121,14 +121,14 @@
         """Watch once; return False if the watch has to be retried soon."""
         seconds = self._wait_seconds
         sent_at = read_clock()
-        answer = await self._store.watch_values(self._key, position.revision, seconds)
+        response = await self._store.watch_values(self._key, position.revision, seconds)
         now = read_clock()
-        if isinstance(answer, Err):
-            return self._handle_watch_error(sent_at, answer.err_value)
+        if isinstance(response, Err):
+            return self._handle_watch_error(sent_at, response.err_value)
         self._availability.record_response(sent_at, sent_at)
         self._record_response(now)
         self._gap_count = 0
-        batch = answer.ok_value
+        batch = response.ok_value
         if batch.changes:
             return self._apply_changes(sent_at, batch)
         # Without a change the store creates its response at the end of the wait.
--- a/libraries/proxy/src/bamboopier_proxy/configuration_loader.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_loader.py
@@ -37,7 +37,7 @@
     def _revision(self) -> int:
         return self.stored.version if self.stored is not None else 0
 
-    def load(self, found: StoredObject, asked_at: float) -> bool:
+    def load(self, found: StoredObject, sent_at: float) -> bool:
         """Load a value that was current at ``sent_at``; return False for an older one.
 
         A value that cannot be decoded is ignored: the active configuration stays, but
@@ -52,7 +52,7 @@
             return False
         if found.version == self._revision:
             self._active_configuration.confirm(
-                self._active_configuration.version, asked_at
+                self._active_configuration.version, sent_at
             )
             return True
         if found.version <= self._undecodable_revision:
@@ -64,13 +64,13 @@
             return True
         self.stored = found
         self._active_configuration.update(
-            decoded.ok_value, asked_at, read_clock(), len(found.value)
+            decoded.ok_value, sent_at, read_clock(), len(found.value)
         )
         return True
 
-    def confirm(self, proved_at: float) -> None:
+    def confirm(self, confirmed_at: float) -> None:
         """Record that nothing newer had been stored at ``confirmed_at``."""
         if self._undecodable_revision <= self._revision:
             self._active_configuration.confirm(
-                self._active_configuration.version, proved_at
+                self._active_configuration.version, confirmed_at
             )
--- a/libraries/proxy/src/bamboopier_proxy/configuration_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_relay.py
@@ -89,18 +89,18 @@
     async def _fetch(self, gateway: Endpoint) -> None:
         sent_at = read_clock()
         url = f"http://{gateway}{PATH}"
-        answer = await self._caller.call("GET", url, patience=CALL_SECONDS)
-        if isinstance(answer, Err) or answer.ok_value.status != 200:
+        response = await self._caller.call("GET", url, patience=CALL_SECONDS)
+        if isinstance(response, Err) or response.ok_value.status != 200:
             reason = (
-                str(answer.err_value)
-                if isinstance(answer, Err)
-                else f"status {answer.ok_value.status}"
+                str(response.err_value)
+                if isinstance(response, Err)
+                else f"status {response.ok_value.status}"
             )
             log.warning(
                 "no configuration from gateway", gateway=str(gateway), reason=reason
             )
         else:
-            reply = answer.ok_value
+            reply = response.ok_value
             try:
                 revision = int(reply.headers[REVISION_HEADER.lower()])
                 age = int(reply.headers[AGE_HEADER.lower()]) / 1000
--- a/libraries/proxy/src/bamboopier_proxy/gateway_state.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_state.py
@@ -59,10 +59,10 @@
         self.weights.set_grace(changed.version_seconds)
         self.retry_budgets.set_limits(changed.retries)
 
-    def set_gateway_count(self, count: int, place: int) -> None:
+    def set_gateway_count(self, count: int, index: int) -> None:
         """Set the number of gateways that share limits, and the index of this one."""
-        self.fleet.gateway_count, self.fleet.gateway_index = count, place
-        log.info("gateways counted", gateways=count, place=place)
+        self.fleet.gateway_count, self.fleet.gateway_index = count, index
+        log.info("gateways counted", gateways=count, place=index)
 
     def wake_all(self) -> None:
         """Retry target selection for all pending requests: targets have changed."""
--- a/libraries/proxy/src/bamboopier_proxy/hint_exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/hint_exchange.py
@@ -200,10 +200,10 @@
                 self._handle_freshness_response(hint, sender)
 
     def _handle_load_hint(self, hint: LoadHint, sender: tuple[str, int]) -> None:
-        known = self._received.get(hint.sender)
-        if known is not None:
-            before = (known[1].started_ms, known[1].number)
-            if (hint.started_ms, hint.number) <= before:
+        last_received = self._received.get(hint.sender)
+        if last_received is not None:
+            last_number = (last_received[1].started_ms, last_received[1].number)
+            if (hint.started_ms, hint.number) <= last_number:
                 return
         now = read_clock()
         self._received[hint.sender] = (now, hint)
@@ -240,22 +240,22 @@
         if age > MAX_FRESH_SECONDS * 3 or self._active_configuration.version == 0:
             return
         # Rounded up: the confirmation must not look younger than it is.
-        answer = FreshnessResponse(
+        response = FreshnessResponse(
             request.nonce, self._active_configuration.version, int(age * 1000) + 1
         )
-        self._socket.send(answer, Endpoint(*sender))
+        self._socket.send(response, Endpoint(*sender))
 
     def _handle_freshness_response(
-        self, answer: FreshnessResponse, sender: tuple[str, int]
+        self, response: FreshnessResponse, sender: tuple[str, int]
     ) -> None:
-        sent_at = self._freshness_requests.get(answer.nonce)
+        sent_at = self._freshness_requests.get(response.nonce)
         if sent_at is None:
             return
-        if answer.version > self._active_configuration.version:
+        if response.version > self._active_configuration.version:
             self._on_newer(Endpoint(*sender))
             return
         self._active_configuration.confirm(
-            answer.version, sent_at - answer.age_ms / 1000
+            response.version, sent_at - response.age_ms / 1000
         )
 
     def _apply_loads(self) -> None:
--- a/libraries/proxy/src/bamboopier_proxy/limit_updates.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_updates.py
@@ -23,7 +23,9 @@
     """Record the limit in a target's own response to a request sent at ``sent_at``."""
     if metadata.reports_limit and metadata.limit_per_second is None:
         # The target still reports a limit: the last readable value stays in force.
-        log.warning("unreadable limit ignored", target=state.entry.name, request_id=request_id)
+        log.warning(
+            "unreadable limit ignored", target=state.entry.name, request_id=request_id
+        )
         return
     if metadata.limit_per_second is None:
         changed = state.rate_limit.record_no_limit(sent_at)
--- a/libraries/proxy/src/bamboopier_proxy/monitored_store.py
+++ b/libraries/proxy/src/bamboopier_proxy/monitored_store.py
@@ -28,12 +28,12 @@
         """Return all objects whose key starts with ``prefix``."""
         sent_at = read_clock()
         self._availability.record_sent(sent_at)
-        answer = await self._store.list(prefix)
-        if isinstance(answer, Err):
+        response = await self._store.list(prefix)
+        if isinstance(response, Err):
             self._availability.record_failure(sent_at)
         else:
             self._availability.record_response(sent_at, read_clock())
-        return answer
+        return response
 
     async def watch_values(
         self, prefix: str, after: int, timeout: float
@@ -45,7 +45,7 @@
         available.
         """
         sent_at = read_clock()
-        answer = await self._store.watch_values(prefix, after, timeout)
-        if not isinstance(answer, Err):
+        response = await self._store.watch_values(prefix, after, timeout)
+        if not isinstance(response, Err):
             self._availability.record_response(sent_at, sent_at)
-        return answer
+        return response
--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -59,13 +59,13 @@
             entry = self._decode(found.key, found.value)
             if entry is not None:
                 entries.append(entry)
-        known = set(self._fleet.names)
+        listed_before = set(self._fleet.names)
         self._fleet.replace(now, entries, self._availability.find_recovery(now))
         log.info(
             "targets listed",
             revision=listing.revision,
             targets=len(entries),
-            missing=sorted(known - {e.name for e in entries}),
+            missing=sorted(listed_before - {e.name for e in entries}),
             returning=recovering,
         )
         self._wake()
@@ -179,21 +179,21 @@
         if isinstance(decoded, Err):
             log.warning("invalid entry ignored", key=key, reason=decoded.err_value)
             return
-        named = decoded.ok_value
+        published = decoded.ok_value
         if not self._weights.record_published(
-            named.model, named.version, since, guessed=guessed
+            published.model, published.version, since, guessed=guessed
         ):
             return
-        age = read_clock() - self._weights.find_published_at(named.model)
+        age = read_clock() - self._weights.find_published_at(published.model)
         log.info(
             "weights published",
-            model=named.model,
-            weight_version=named.version,
+            model=published.model,
+            weight_version=published.version,
             age_seconds=round(age, 3) if math.isfinite(age) else None,
             guessed=guessed,
         )
         if math.isfinite(since):
-            self._on_published(named, since)
+            self._on_published(published, since)
 
 
 class DrainObserver:
--- a/libraries/proxy/src/bamboopier_proxy/part_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_follower.py
@@ -50,7 +50,7 @@
 class PartReply:
     """An update, and the position from which to request the next one."""
 
-    news: PartUpdate
+    update: PartUpdate
     position: int
 
 
@@ -70,13 +70,13 @@
     def __init__(
         self,
         client: PartStoreClient,
-        kept: PartStoreIndex,
+        index: PartStoreIndex,
         relay: PartRelay,
         registry: GatewayRegistry,
         random: random.Random,
     ) -> None:
         self._client = client
-        self._kept = kept
+        self._index = index
         self._relay = relay
         self._registry = registry
         self._random = random
@@ -93,15 +93,15 @@
                 task.cancel()
 
     def _update_tasks(self) -> None:
-        first = self._registry.select_gateways(RELAY, DIRECT_GATEWAYS)
-        if any(self._registry.is_own(name) for name in first):
-            wanted = {store.address for store in self._kept.stores}
+        selected = self._registry.select_gateways(RELAY, DIRECT_GATEWAYS)
+        if any(self._registry.is_own(name) for name in selected):
+            wanted = {store.address for store in self._index.stores}
         else:
             wanted = {RELAY}
         # A task ends when its store is no longer declared; the store may be declared
         # again.
-        over = [n for n, t in self._tasks.items() if n not in wanted or t.done()]
-        for name in over:
+        finished = [n for n, t in self._tasks.items() if n not in wanted or t.done()]
+        for name in finished:
             self._tasks.pop(name).cancel()
         for name in wanted - self._tasks.keys():
             work = self._poll_gateways() if name == RELAY else self._poll_store(name)
@@ -110,19 +110,23 @@
     async def _poll_gateways(self) -> None:
         """Poll one of the selected gateways; switch if it has no updates."""
         log.info("polling gateways for part updates")
-        turn = self._random.randrange(DIRECT_GATEWAYS)
+        next_index = self._random.randrange(DIRECT_GATEWAYS)
         while True:
-            first = self._registry.select_gateways(RELAY, DIRECT_GATEWAYS)
-            gateway = self._registry.peers.get(first[turn % len(first)])
+            selected = self._registry.select_gateways(RELAY, DIRECT_GATEWAYS)
+            gateway = self._registry.peers.get(selected[next_index % len(selected)])
             if gateway is None:
-                turn += 1
+                next_index += 1
                 await asyncio.sleep(RETRY_SECONDS)
                 continue
-            answer = await self._relay.request(gateway)
-            if isinstance(answer, Err) or not answer.ok_value:
-                reason = answer.err_value if isinstance(answer, Err) else "no updates"
-                log.warning("no part updates from gateway", gateway=str(gateway), reason=reason)
-                turn += 1
+            response = await self._relay.request(gateway)
+            if isinstance(response, Err) or not response.ok_value:
+                reason = (
+                    response.err_value if isinstance(response, Err) else "no updates"
+                )
+                log.warning(
+                    "no part updates from gateway", gateway=str(gateway), reason=reason
+                )
+                next_index += 1
             await asyncio.sleep(RELAY_POLL_SECONDS)
 
     async def _poll_store(self, address: str) -> None:
@@ -130,23 +134,23 @@
         answered = False
         while True:
             sent_at = read_clock()
-            answer = await self._client.read_updates(
+            response = await self._client.read_updates(
                 address, position, POLL_TIMEOUT_SECONDS
             )
-            store = self._kept.find(address)
+            store = self._index.find(address)
             if store is None:
                 return
-            if isinstance(answer, Err):
+            if isinstance(response, Err):
                 store.invalidate()
                 position = 0
                 if answered:
-                    log.warning("store lost", store=address, reason=answer.err_value)
+                    log.warning("store lost", store=address, reason=response.err_value)
                 answered = False
                 await asyncio.sleep(RETRY_SECONDS)
                 continue
-            found = answer.ok_value
-            if store.apply_update(sent_at, read_clock(), found.news):
-                log.info("store regained", store=address, epoch=found.news.epoch)
+            found = response.ok_value
+            if store.apply_update(sent_at, read_clock(), found.update):
+                log.info("store regained", store=address, epoch=found.update.epoch)
                 # The parts from before its restart are gone; request all changes since.
                 position = 0 if answered else found.position
             else:
--- a/libraries/proxy/src/bamboopier_proxy/part_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_relay.py
@@ -66,8 +66,8 @@
 class PartRelay:
     """Requests updates from other gateways, and answers their requests."""
 
-    def __init__(self, kept: PartStoreIndex, caller: HttpCaller) -> None:
-        self._kept = kept
+    def __init__(self, index: PartStoreIndex, caller: HttpCaller) -> None:
+        self._index = index
         self._caller = caller
         # The other gateway's position for each store, by the store's address.
         self._positions: dict[str, int] = {}
@@ -80,13 +80,13 @@
         except msgspec.MsgspecError as error:
             return web.Response(status=400, text=str(error))
         now = read_clock()
-        known = {q.address: q for q in positions}
-        news = [
-            _make_update(now, store, known.get(store.address))
-            for store in self._kept.stores
+        positions_by_address = {q.address: q for q in positions}
+        updates = [
+            _make_update(now, store, positions_by_address.get(store.address))
+            for store in self._index.stores
             if store.is_current(now)
         ]
-        return web.Response(body=msgspec.msgpack.encode(news))
+        return web.Response(body=msgspec.msgpack.encode(updates))
 
     async def request(self, gateway: Endpoint) -> Result[int, str]:
         """Apply the updates of a gateway; return the number of stores in them."""
@@ -96,54 +96,54 @@
             self._requested_gateway = str(gateway)
         positions = [
             UpdatePosition(s.address, s.epoch, self._positions.get(s.address, -1))
-            for s in self._kept.stores
+            for s in self._index.stores
         ]
         sent_at = read_clock()
-        answer = await self._caller.call(
+        response = await self._caller.call(
             "POST",
             f"http://{gateway}{PATH}",
             msgspec.msgpack.encode(positions),
             patience=CALL_SECONDS,
         )
-        if isinstance(answer, Err):
-            return Err(str(answer.err_value))
-        if answer.ok_value.status != 200:
-            return Err(f"status {answer.ok_value.status}")
+        if isinstance(response, Err):
+            return Err(str(response.err_value))
+        if response.ok_value.status != 200:
+            return Err(f"status {response.ok_value.status}")
         try:
-            news = _response_decoder.decode(answer.ok_value.body)
+            updates = _response_decoder.decode(response.ok_value.body)
         except msgspec.MsgspecError as error:
             return Err(str(error))
         read_at = read_clock()
-        for found in news:
-            self._take(sent_at, read_at, found)
-        return Ok(len(news))
+        for found in updates:
+            self._apply(sent_at, read_at, found)
+        return Ok(len(updates))
 
-    def _take(self, sent_at: float, read_at: float, found: StoreUpdate) -> None:
-        store = self._kept.find(found.address)
+    def _apply(self, sent_at: float, read_at: float, found: StoreUpdate) -> None:
+        store = self._index.find(found.address)
         if store is None:
             return
         # Up to the creation of the response. Transfer time is not added: an instance
         # must not look older than it is.
-        known = (found.response_age_ms + found.instance_known_ms) / 1000
-        news = PartUpdate(
+        instance_known = (found.response_age_ms + found.instance_known_ms) / 1000
+        update = PartUpdate(
             found.epoch,
             found.clock_ms,
             tuple(PartChange(*change) for change in found.changes),
             found.is_snapshot,
-            max(0.0, known),
+            max(0.0, instance_known),
         )
-        if store.is_outdated(news):
+        if store.is_outdated(update):
             return
-        store.apply_update(sent_at - found.response_age_ms / 1000, read_at, news)
+        store.apply_update(sent_at - found.response_age_ms / 1000, read_at, update)
         self._positions[found.address] = found.position
 
 
 def _make_update(
-    now: float, store: PartStore, known: UpdatePosition | None
+    now: float, store: PartStore, position: UpdatePosition | None
 ) -> StoreUpdate:
     changes = None
-    if known is not None and known.epoch == store.epoch:
-        changes = store.list_changes(known.position)
+    if position is not None and position.epoch == store.epoch:
+        changes = store.list_changes(position.position)
     is_snapshot = changes is None
     listed = store.list_parts() if changes is None else changes
     return StoreUpdate(
--- a/libraries/proxy/src/bamboopier_proxy/publish_times.py
+++ b/libraries/proxy/src/bamboopier_proxy/publish_times.py
@@ -189,13 +189,13 @@
         name = found.key.removeprefix(self._prefix)
         model, _, version = name.rpartition("/")
         try:
-            named = msgspec.json.decode(found.value, type=PublishedAt)
+            entry = msgspec.json.decode(found.value, type=PublishedAt)
             number = int(version)
         except (msgspec.MsgspecError, ValueError) as error:
             log.warning("invalid entry ignored", key=name, reason=str(error))
             return None
-        age = max(0.0, time.time() - named.seconds) + ENTRY_ERROR_SECONDS
-        return _Entry(model, number, age, named.guessed)
+        age = max(0.0, time.time() - entry.seconds) + ENTRY_ERROR_SECONDS
+        return _Entry(model, number, age, entry.guessed)
 
     def _apply_entry(self, entry: _Entry) -> None:
         since = read_clock() - entry.age
@@ -226,7 +226,9 @@
             if isinstance(removed, Err):
                 # Another process has removed it, or the next start tries again.
                 reason = str(removed.err_value)
-                log.info("old publication time not removed", key=found.key, reason=reason)
+                log.info(
+                    "old publication time not removed", key=found.key, reason=reason
+                )
 
     async def _write(self, model: str, version: int, since: float) -> None:
         age = read_clock() - since
@@ -238,7 +240,9 @@
         value = msgspec.json.encode(PublishedAt(named_at, guessed))
         created = await self._create(key, value)
         if created is CreateOutcome.FAILED:
-            log.warning("publication time not written", model=model, weight_version=version)
+            log.warning(
+                "publication time not written", model=model, weight_version=version
+            )
         if rank > 0 and created is not CreateOutcome.CREATED:
             # A process that received the version late has less precise times than the
             # others, of this version and of earlier ones that it never received.
--- a/libraries/proxy/src/bamboopier_proxy/store_followers.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_followers.py
@@ -85,5 +85,5 @@
             self._store, prefix, observer, seconds, self._random, read_clock
         )
 
-    def _on_published(self, named: PublishedWeights, since: float) -> None:
-        self._publish_times.record_published(named.model, named.version, since)
+    def _on_published(self, published: PublishedWeights, since: float) -> None:
+        self._publish_times.record_published(published.model, published.version, since)
--- a/libraries/proxy/src/bamboopier_proxy/weight_updater.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_updater.py
@@ -220,9 +220,9 @@
             report.accepted,
             self._target,
         )
-        answer = await self._orders.order_weights(order)
+        response = await self._orders.order_weights(order)
         self._drain = None
-        error = answer.err_value if isinstance(answer, Err) else None
+        error = response.err_value if isinstance(response, Err) else None
         log.info(
             "weights ordered",
             model=model,
@@ -253,8 +253,10 @@
                 seconds = round(read_clock() - started, 3)
                 log.info("weights loaded", weight_version=version, seconds=seconds)
                 return
-        log.warning("weight load not visible in report", model=model, weight_version=version)
+        log.warning(
+            "weight load not visible in report", model=model, weight_version=version
+        )
 
     async def _read(self) -> TargetReport | None:
-        answer = await self._orders.read_report()
-        return answer.ok_value if isinstance(answer, Ok) else None
+        response = await self._orders.read_report()
+        return response.ok_value if isinstance(response, Ok) else None
--- a/libraries/proxy/tests/test_configuration_loader.py
+++ b/libraries/proxy/tests/test_configuration_loader.py
@@ -34,8 +34,8 @@
             patch.start()
             self.addCleanup(patch.stop)
 
-    def load(self, revision: int, value: bytes, asked_at: float) -> bool:
-        return self.loader.load(StoredObject("", revision, value), asked_at)
+    def load(self, revision: int, value: bytes, sent_at: float) -> bool:
+        return self.loader.load(StoredObject("", revision, value), sent_at)
 
     def test_the_same_revision_confirms_freshness(self) -> None:
         self.load(10, b"3", 100.0)
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -125,9 +125,9 @@
         for step in range(int(seconds * 100)):
             for gateway in self.gateways:
                 now = self.now + step * 0.01
-                place = gateway.state.fleet.gateway_index
+                index = gateway.state.fleet.gateway_index
                 count = gateway.counted
-                if gateway.ramp.may_send(now, COLD_PER_SECOND, count, place):
+                if gateway.ramp.may_send(now, COLD_PER_SECOND, count, index):
                     gateway.ramp.record_sent(now)
                     sent += 1
         return sent
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -57,8 +57,8 @@
 class CountedRelay(PartRelay):
     """Records requests to other gateways."""
 
-    def __init__(self, kept: PartStoreIndex) -> None:
-        super().__init__(kept, HttpCaller(""))
+    def __init__(self, index: PartStoreIndex) -> None:
+        super().__init__(index, HttpCaller(""))
         self.requested: set[str] = set()
 
     async def request(self, gateway: Endpoint) -> Result[int, str]:
@@ -92,8 +92,8 @@
         # to it at once, while others may still fetch parts stored before: a response to
         # a caller could be computed from half a part.
         clock = [100.0]
-        kept = PartStoreIndex()
-        kept.set_stores({ADDRESS: 100_000})
+        index = PartStoreIndex()
+        index.set_stores({ADDRESS: 100_000})
         generator = random.Random(1)
         registry = make_roster(generator)
         registry._own = "g-0"
@@ -105,14 +105,14 @@
         ):
             stores = RestartedStore(clock)
             follower = PartFollower(
-                stores, kept, CountedRelay(kept), registry, generator
+                stores, index, CountedRelay(index), registry, generator
             )
             task = asyncio.create_task(follower.run())
             async with asyncio.timeout(5):
                 while stores.requested < 4:  # noqa: ASYNC110
                     await asyncio.sleep(0.005)
             task.cancel()
-        store = kept.find(ADDRESS)
+        store = index.find(ADDRESS)
         assert store is not None
         self.assertEqual(store.epoch, 2)
         # The instance was first observed at 104.0.
@@ -122,16 +122,16 @@
 class FollowerTests(unittest.IsolatedAsyncioTestCase):
     async def follow(self, gateways: int, own: str) -> tuple[int, int]:
         """Return the number of requests to stores and the number of polled gateways."""
-        kept = PartStoreIndex()
-        kept.set_stores({ADDRESS: 1000})
+        index = PartStoreIndex()
+        index.set_stores({ADDRESS: 1000})
         generator = random.Random(1)
         registry = make_roster(generator)
         registry._own = own
         for number in range(gateways):
             registry.record_hint(f"g-{number}", f"10.0.1.{number}", 7000)
-        stores, relay = CountedStores(), CountedRelay(kept)
+        stores, relay = CountedStores(), CountedRelay(index)
         task = asyncio.create_task(
-            PartFollower(stores, kept, relay, registry, generator).run()
+            PartFollower(stores, index, relay, registry, generator).run()
         )
         await asyncio.sleep(0.2)
         task.cancel()
--- a/libraries/proxy/tests/test_part_relay.py
+++ b/libraries/proxy/tests/test_part_relay.py
@@ -70,12 +70,12 @@
         self.addCleanup(patch.stop)
         self.caller = DirectCaller()
         self.direct, self.other = PartStoreIndex(), PartStoreIndex()
-        for kept in (self.direct, self.other):
-            kept.set_stores({ADDRESS: 1_000_000})
+        for index in (self.direct, self.other):
+            index.set_stores({ADDRESS: 1_000_000})
         self.caller.other = PartRelay(self.direct, self.caller)
         self.relay = PartRelay(self.other, self.caller)
 
-    def hear(self, epoch: int, *changes: PartChange) -> None:
+    def respond(self, epoch: int, *changes: PartChange) -> None:
         """Apply a response of the store at the gateway that polls it."""
         store = self.direct.find(ADDRESS)
         assert store is not None
@@ -94,9 +94,9 @@
         return store.is_current(self.now) and store.contains(SCOPE, part, 500)
 
     async def test_changes_are_relayed_once(self) -> None:
-        self.hear(7, *(PartChange(SCOPE, f"p{n}", 500) for n in range(100)))
+        self.respond(7, *(PartChange(SCOPE, f"p{n}", 500) for n in range(100)))
         await self.request()
-        self.hear(7, PartChange(SCOPE, "new", 500), PartChange(SCOPE, "p1", 0))
+        self.respond(7, PartChange(SCOPE, "new", 500), PartChange(SCOPE, "p1", 0))
         await self.request()
         self.assertTrue(self.has("new"))
         self.assertFalse(self.has("p1"))
@@ -106,7 +106,7 @@
     async def test_validity_counts_from_the_response_of_the_store(self) -> None:
         # The store stops responding. The gateway that polls it continues to relay the
         # last update; no gateway may fetch from the store for longer than that one.
-        self.hear(7, PartChange(SCOPE, "p", 500))
+        self.respond(7, PartChange(SCOPE, "p", 500))
         self.now += 1.0
         await self.request()
         self.assertTrue(self.has("p"))
@@ -114,9 +114,9 @@
         self.assertFalse(self.has("p"))
 
     async def test_a_restarted_store_is_assumed_empty(self) -> None:
-        self.hear(7, PartChange(SCOPE, "p", 500))
+        self.respond(7, PartChange(SCOPE, "p", 500))
         await self.request()
-        self.hear(8, PartChange(SCOPE, "q", 500))
+        self.respond(8, PartChange(SCOPE, "q", 500))
         await self.request()
         self.assertFalse(self.has("p"))
         self.assertTrue(self.has("q"))
@@ -124,13 +124,13 @@
     async def test_a_new_gateway_may_save_in_a_store_known_to_others(self) -> None:
         # The store has been up for long, which a gateway that has just started cannot
         # know on its own. It must not save to a store that may have just restarted.
-        self.hear(7)
+        self.respond(7)
         await self.request()
         store = self.other.find(ADDRESS)
         assert store is not None
         self.assertFalse(store.can_save(self.now, 500))
         self.now += SAVE_HOLD_OFF_SECONDS
-        self.hear(7)
+        self.respond(7)
         self.other.set_stores({})
         self.other.set_stores({ADDRESS: 1_000_000})
         await self.request()
@@ -152,9 +152,9 @@
             with self.subTest(late=late, way=way, rest=rest):
                 epoch += 1
                 self.caller.travel = functools.partial(self.pass_time, way)
-                asked = self.now
+                sent_at = self.now
                 self.pass_time(late)
-                direct.apply_update(asked, self.now, PartUpdate(epoch, 5000, ()))
+                direct.apply_update(sent_at, self.now, PartUpdate(epoch, 5000, ()))
                 seen = self.now
                 self.pass_time(rest)
                 await self.request()
@@ -170,12 +170,12 @@
         # The first update says little about how long the instance is known. Later
         # updates with less delay are more precise, and never exceed the true time.
         self.caller.travel = functools.partial(self.pass_time, 0.3)
-        self.hear(7)
+        self.respond(7)
         seen = self.now
         await self.request()
         self.caller.travel = functools.partial(self.pass_time, 0.001)
         while self.now < seen + SAVE_HOLD_OFF_SECONDS - 0.1:
-            self.hear(7)
+            self.respond(7)
             await self.request()
             self.pass_time(0.1)
         store = self.other.find(ADDRESS)
@@ -186,11 +186,11 @@
     async def test_positions_are_specific_to_a_gateway(self) -> None:
         # The polled gateway is gone; another one has the same changes at other
         # positions. Its state replaces the previous one and is not added to it.
-        self.hear(7, PartChange(SCOPE, "p", 500))
+        self.respond(7, PartChange(SCOPE, "p", 500))
         await self.request()
         self.direct.set_stores({})
         self.direct.set_stores({ADDRESS: 1_000_000})
-        self.hear(7, PartChange(SCOPE, "q", 500))
+        self.respond(7, PartChange(SCOPE, "q", 500))
         found = await self.relay.request(Endpoint("10.0.0.2", 7000))
         self.assertEqual(found.ok_value, 1)
         self.assertFalse(self.has("p"))
@@ -216,36 +216,36 @@
             PartStoreIndex(),
             PartStoreIndex(),
         )
-        for kept in (self.quick, self.slow, self.third):
-            kept.set_stores({ADDRESS: 1_000_000})
+        for index in (self.quick, self.slow, self.third):
+            index.set_stores({ADDRESS: 1_000_000})
         self.relay = PartRelay(self.third, self.caller)
         # Epochs are specified to change at a restart, not to grow.
         self.former, self.latest = 7, 3
         for _ in range(10):
             self.now += 0.4
-            self.hear(self.quick, self.former, PartChange(SCOPE, "lost", 500))
-            self.hear(self.slow, self.former, PartChange(SCOPE, "lost", 500))
+            self.respond(self.quick, self.former, PartChange(SCOPE, "lost", 500))
+            self.respond(self.slow, self.former, PartChange(SCOPE, "lost", 500))
         await self.request(self.quick, FIRST)
         self.assertTrue(self.fetches("lost"))
         # The store restarts. One of the two gateways observes it, and relays it to the
         # third.
         self.now += 0.3
-        self.hear(self.quick, self.latest)
-        self.began = self.now
+        self.respond(self.quick, self.latest)
+        self.restarted_at = self.now
         await self.request(self.quick, FIRST)
         self.assertFalse(self.fetches("lost"))
 
-    def hear(self, kept: PartStoreIndex, epoch: int, *changes: PartChange) -> None:
+    def respond(self, index: PartStoreIndex, epoch: int, *changes: PartChange) -> None:
         """Apply a response of the store at a gateway that polls it."""
-        store = kept.find(ADDRESS)
+        store = index.find(ADDRESS)
         assert store is not None
         clock_ms = int(self.now * 1000)
         store.apply_update(self.now, self.now, PartUpdate(epoch, clock_ms, changes))
 
-    async def request(self, kept: PartStoreIndex, gateway: Endpoint) -> None:
+    async def request(self, index: PartStoreIndex, gateway: Endpoint) -> None:
         """Poll one of the two gateways from the third."""
         self.now += 0.2
-        self.caller.other = PartRelay(kept, self.caller)
+        self.caller.other = PartRelay(index, self.caller)
         found = await self.relay.request(gateway)
         self.assertEqual(found.ok_value, 1)
 
@@ -275,17 +275,17 @@
         await self.request(self.slow, SECOND)
         self.assertFalse(self.saves("new"))
         # From then on the age of the instance counts as from any response of it.
-        while self.now < self.began + SAVE_HOLD_OFF_SECONDS:
-            self.hear(self.slow, self.latest)
+        while self.now < self.restarted_at + SAVE_HOLD_OFF_SECONDS:
+            self.respond(self.slow, self.latest)
             await self.request(self.slow, SECOND)
             self.assertEqual(
-                self.saves("new"), self.now >= self.began + SAVE_HOLD_OFF_SECONDS
+                self.saves("new"), self.now >= self.restarted_at + SAVE_HOLD_OFF_SECONDS
             )
 
     async def test_an_instance_later_than_the_known_one_is_accepted(self) -> None:
         # The other gateway has newer updates by now, of another restart.
         self.now += 0.1
-        self.hear(self.slow, self.former - 1, PartChange(SCOPE, "new", 500))
+        self.respond(self.slow, self.former - 1, PartChange(SCOPE, "new", 500))
         await self.request(self.slow, SECOND)
         self.assertTrue(self.fetches("new"))
 
@@ -293,7 +293,7 @@
         # The other gateway observes the restart after it was polled once. All of its
         # state of the new instance is applied, and nothing of the former one.
         await self.request(self.slow, SECOND)
-        self.hear(self.slow, self.latest, PartChange(SCOPE, "new", 500))
+        self.respond(self.slow, self.latest, PartChange(SCOPE, "new", 500))
         await self.request(self.slow, SECOND)
         self.assertTrue(self.fetches("new"))
         self.assertFalse(self.fetches("lost"))
--- a/libraries/proxy/tests/test_publish_times.py
+++ b/libraries/proxy/tests/test_publish_times.py
@@ -49,13 +49,13 @@
             self.store, "ages/", self.weights, random.Random(1)
         )
 
-    async def name(self, since: float) -> None:
+    async def receive(self, since: float) -> None:
         """Receive version 2, published at ``since`` at the earliest."""
         self.weights.record_published("m", 2, since)
         self.publish_times.record_published("m", 2, since)
         await self.publish_times.finish()
 
-    def let_others_have_written(self, age: float) -> None:
+    def store_entry_of_others(self, age: float) -> None:
         """Store the entry of a publication ``age`` seconds ago."""
         value = msgspec.json.encode(PublishedAt(TODAY - age))
         self.store.write.return_value = Err(VersionConflictError(KEY, ABSENT, 5))
@@ -66,15 +66,15 @@
         # A gateway that was paused is the only one left, and one that starts later
         # relies on the time it wrote.
         self.store.write.return_value = Ok(5)
-        await self.name(NOW - 3.3)
+        await self.receive(NOW - 3.3)
         key, value, version = self.store.write.call_args.args
         self.assertEqual((key, version), (KEY, ABSENT))
         written = msgspec.json.decode(value, type=PublishedAt)
         self.assertAlmostEqual(written.seconds, TODAY - 3.3)
 
     async def test_a_late_receiver_reads_the_time_others_wrote(self) -> None:
-        self.let_others_have_written(age=1.0)
-        await self.name(NOW - 9.0)
+        self.store_entry_of_others(age=1.0)
+        await self.receive(NOW - 9.0)
         since = self.weights.find_published_at("m")
         self.assertAlmostEqual(since, NOW - 1.0 - ENTRY_ERROR_SECONDS)
 
@@ -86,7 +86,7 @@
         # lists: others wrote that the weights are ten seconds old. Uncorrected, the
         # gateway serves callers with older weights for ten seconds longer than the
         # others.
-        self.let_others_have_written(age=10.0)
+        self.store_entry_of_others(age=10.0)
         unavailable = PlatformUnavailableError("busy")
         self.store.write.return_value = Err(unavailable)
         self.weights.record_published("m", 2, NOW, guessed=True)
@@ -104,8 +104,8 @@
         self.assertTrue(msgspec.json.decode(value, type=PublishedAt).guessed)
 
     async def test_a_timely_receiver_reads_nothing(self) -> None:
-        self.let_others_have_written(age=1.0)
-        await self.name(NOW)
+        self.store_entry_of_others(age=1.0)
+        await self.receive(NOW)
         self.store.list.assert_not_called()
         self.assertEqual(self.weights.find_published_at("m"), NOW)
 
@@ -217,8 +217,8 @@
         # received the version late then assumes that weights published nine seconds ago
         # are six seconds old, and serves callers with older ones until 12.4 s after the
         # publication.
-        self.let_others_have_written(age=9.0 - 2 * CLOCK_ERROR_SECONDS)
-        await self.name(NOW - 9.2)
+        self.store_entry_of_others(age=9.0 - 2 * CLOCK_ERROR_SECONDS)
+        await self.receive(NOW - 9.2)
         self.assertLessEqual(self.weights.find_published_at("m"), NOW - 9.0)
 
 
@@ -250,11 +250,11 @@
         found = (StoredObject(key, 5, value) for key, value in self.entries.items())
         return Ok(Listing(5, tuple(found)))
 
-    async def hear_after_an_outage(
+    async def receive_after_an_outage(
         self, seconds: float, *gateways: PauseTracker
     ) -> list[WeightVersions]:
         """Let gateways receive version 2 in a list, after an outage for all."""
-        heard, written = [], []
+        received, written = [], []
         schema = mock.Mock()
         schema.decode_weights.side_effect = lambda value: Ok(
             PublishedWeights("m", int(value))
@@ -263,20 +263,20 @@
             weights = WeightVersions(12.0)
             publish_times = PublishTimes(self.store, "ages/", weights, random.Random(1))
 
-            def note(
+            def record(
                 named: PublishedWeights, since: float, to: PublishTimes = publish_times
             ) -> None:
                 to.record_published(named.model, named.version, since)
 
-            observer = WeightsObserver(schema, weights, pauses, note)
+            observer = WeightsObserver(schema, weights, pauses, record)
             before = Listing(5, (StoredObject("v/m", 5, b"1"),))
             observer.apply_listing(before, 0.0, float("-inf"))
             after = Listing(9, (StoredObject("v/m", 9, b"2"),))
             observer.apply_listing(after, seconds, NOW - seconds)
-            heard.append(weights)
+            received.append(weights)
             written.append(publish_times.finish())
         await asyncio.gather(*written)
-        return heard
+        return received
 
     async def test_a_pause_of_one_gateway_expires_no_weights_at_others(
         self,
@@ -290,8 +290,8 @@
         paused = PauseTracker(NOW - 0.8)
         paused.record_tick(NOW - 0.1)
         ran = PauseTracker(NOW), PauseTracker(NOW)
-        heard = await self.hear_after_an_outage(5.0, *ran, paused)
-        allowed = [w.find_oldest_allowed(NOW + 1.0, "m") for w in heard]
+        received = await self.receive_after_an_outage(5.0, *ran, paused)
+        allowed = [w.find_oldest_allowed(NOW + 1.0, "m") for w in received]
         self.assertEqual(allowed, [1, 1, 1])
 
 
--- a/libraries/proxy/tests/test_store_availability.py
+++ b/libraries/proxy/tests/test_store_availability.py
@@ -125,8 +125,8 @@
         # sent and answered.
         availability = StoreAvailability()
         availability.record_response(100.0, 100.0)
-        for asked in (100.6, 101.3):
-            availability.record_response(asked, asked)
+        for sent_at in (100.6, 101.3):
+            availability.record_response(sent_at, sent_at)
         availability.record_failure(100.5)
         self.assertFalse(availability.is_recovering(102.0))
         availability.record_response(102.0, 102.0)
@@ -181,11 +181,11 @@
     def test_a_slow_store_is_not_unavailable(self) -> None:
         # Each response takes 0.3 s, and each read follows the previous one after 0.9 s.
         availability = StoreAvailability()
-        for asked in (100.0, 101.2, 102.4, 103.6):
-            availability.record_sent(asked)
-            self.assertFalse(availability.is_recovering(asked + 0.3))
-            availability.record_response(asked, asked + 0.3)
-            self.assertFalse(availability.is_recovering(asked + 0.3))
+        for sent_at in (100.0, 101.2, 102.4, 103.6):
+            availability.record_sent(sent_at)
+            self.assertFalse(availability.is_recovering(sent_at + 0.3))
+            availability.record_response(sent_at, sent_at + 0.3)
+            self.assertFalse(availability.is_recovering(sent_at + 0.3))
 
     def test_a_suspended_gateway_assumes_no_outage(self) -> None:
         # The gateway is suspended from 100.5 to 104.5, with a read in flight. The read
--- a/libraries/proxy/tests/test_weights_observer.py
+++ b/libraries/proxy/tests/test_weights_observer.py
@@ -154,7 +154,7 @@
         self.run_for(2.0)
         return Ok(ChangeBatch(7, ()))
 
-    def name_after(self, seconds: float) -> Answer:
+    def publish_after(self, seconds: float) -> Answer:
         self.run_for(seconds)
         return Ok(ChangeBatch(9, (ChangedObject("v/m", 9, b"2"),)))
 
@@ -171,7 +171,7 @@
             self.fail_after_a_pause,
             self.end_empty,
             self.end_empty,
-            lambda: self.name_after(0.2),
+            lambda: self.publish_after(0.2),
         )
         self.assertEqual(self.weights.find_oldest_allowed(self.now, "m"), 1)
 
@@ -182,9 +182,9 @@
         # served with older weights up to 12.15 s after the publication, and even later
         # by the queueing time at the engine: 12 are allowed. An abandoned watch is
         # dated correctly, this one was not.
-        named = self.now
-        await self.follow(lambda: self.name_after(2.75))
-        self.assertEqual(self.weights.find_oldest_allowed(named + 12.1, "m"), 2)
+        published_at = self.now
+        await self.follow(lambda: self.publish_after(2.75))
+        self.assertEqual(self.weights.find_oldest_allowed(published_at + 12.1, "m"), 2)
 
 
 if __name__ == "__main__":
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -132,7 +132,7 @@
     Mutation(
         "news of a store's former start are not taken when they are handed on",
         f"{PROXY}/part_relay.py",
-        "        if store.is_outdated(news):\n            return\n",
+        "        if store.is_outdated(update):\n            return\n",
         "",
         "libraries/proxy",
         f"{STARTS}.test_nothing_is_saved_soon_after_a_known_restart",
