--- a/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_follower.py
@@ -132,8 +132,10 @@
         if batch.changes:
             return self._apply_changes(sent_at, batch)
         # Without a change the store creates its response at the end of the wait.
-        made = min(sent_at + seconds, now)
-        self._loader.confirm(position.record_unchanged(made, now, batch.revision))
+        response_created_at = min(sent_at + seconds, now)
+        self._loader.confirm(
+            position.record_unchanged(response_created_at, now, batch.revision)
+        )
         self._choose_wait(short=False)
         return True
 
--- a/libraries/proxy/src/bamboopier_proxy/configuration_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_relay.py
@@ -100,10 +100,10 @@
                 "no configuration from gateway", gateway=str(gateway), reason=reason
             )
         else:
-            reply = response.ok_value
+            http_reply = response.ok_value
             try:
-                revision = int(reply.headers[REVISION_HEADER.lower()])
-                age = int(reply.headers[AGE_HEADER.lower()]) / 1000
+                revision = int(http_reply.headers[REVISION_HEADER.lower()])
+                age = int(http_reply.headers[AGE_HEADER.lower()]) / 1000
             except (KeyError, ValueError) as error:
                 log.warning(
                     "no configuration from gateway",
@@ -117,7 +117,7 @@
                     revision=revision,
                     proof_age=age,
                 )
-                found = StoredObject("", revision, reply.body)
+                found = StoredObject("", revision, http_reply.body)
                 self._loader.load(found, sent_at - age)
         await asyncio.sleep(PAUSE_SECONDS)
 
--- a/libraries/proxy/src/bamboopier_proxy/gateway_registry.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_registry.py
@@ -92,14 +92,14 @@
         store: Store,
         prefix: str,
         random: random.Random,
-        count_changed: Callable[[int, int], None],
+        on_count_changed: Callable[[int, int], None],
         pauses: PauseTracker,
     ) -> None:
         self._store = store
         self._prefix = prefix
         self._random = random
         # Called with the number of gateways and this one's index in the order of names.
-        self._count_changed = count_changed
+        self._on_count_changed = on_count_changed
         self._pauses = pauses
         self._own: str | None = None
         self._peers: dict[str, Endpoint] = {}
@@ -216,4 +216,4 @@
         counted = len(self._peers) + 1, sum(name < own for name in self._peers)
         if self._has_list and counted != self._reported_count:
             self._reported_count = counted
-            self._count_changed(*counted)
+            self._on_count_changed(*counted)
--- a/libraries/proxy/src/bamboopier_proxy/hint_exchange.py
+++ b/libraries/proxy/src/bamboopier_proxy/hint_exchange.py
@@ -164,11 +164,15 @@
             for s in busy[:MAX_TARGETS]
         ]
 
-    def _sample_peers(self, most: int = MAX_PEERS) -> list[Endpoint]:
-        return self._sample(list(self._registry.peers.values()), min(most, MAX_PEERS))
+    def _sample_peers(self, max_count: int = MAX_PEERS) -> list[Endpoint]:
+        return self._sample(
+            list(self._registry.peers.values()), min(max_count, MAX_PEERS)
+        )
 
-    def _sample(self, peers: list[Endpoint], most: int) -> list[Endpoint]:
-        return peers if len(peers) <= most else self._random.sample(peers, most)
+    def _sample(self, peers: list[Endpoint], max_count: int) -> list[Endpoint]:
+        return (
+            peers if len(peers) <= max_count else self._random.sample(peers, max_count)
+        )
 
     def _request_freshness(self) -> None:
         now = read_clock()
--- a/libraries/proxy/src/bamboopier_proxy/hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/hints.py
@@ -16,7 +16,7 @@
 class TargetLoadHint(msgspec.Struct, array_like=True):
     """Load that one gateway has in flight at one target.
 
-    ``memory`` and ``unread`` are in tokens; ``unread`` is the pending prefill.
+    ``memory`` and ``pending_prefill`` are in tokens.
     """
 
     target: str
@@ -44,11 +44,11 @@
     # Requests a second from all gateways together.
     per_second: float
     # Since a response last reported the limit.
-    named_age: int | None
+    reported_age: int | None
     # Since a request was sent whose response reported no limit.
     ended_age: int | None
     # Since the limit was first reported.
-    since_age: int
+    reported_since_age: int
 
 
 class LoadHint(msgspec.Struct, array_like=True, tag="load"):
--- a/libraries/proxy/src/bamboopier_proxy/limit_hints.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_hints.py
@@ -72,9 +72,9 @@
 def _make_update(now: float, hint: TargetLimitHint) -> LimitUpdate:
     return LimitUpdate(
         hint.per_second,
-        _decode_age(now, hint.named_age),
+        _decode_age(now, hint.reported_age),
         _decode_age(now, hint.ended_age),
-        now - hint.since_age / 1000,
+        now - hint.reported_since_age / 1000,
     )
 
 
--- a/libraries/proxy/src/bamboopier_proxy/limit_records.py
+++ b/libraries/proxy/src/bamboopier_proxy/limit_records.py
@@ -124,8 +124,8 @@
         return is_needed or name in self._waiting or not self._is_writer(name)
 
     def _is_writer(self, name: str) -> bool:
-        first = self._registry.select_gateways(f"{WRITER}/{name}", 1)
-        return any(self._registry.is_own(gateway) for gateway in first)
+        selected = self._registry.select_gateways(f"{WRITER}/{name}", 1)
+        return any(self._registry.is_own(gateway) for gateway in selected)
 
     async def _write(self, name: str, state: TargetState) -> None:
         entry = LimitEntry(state.entry.started_ms, state.rate_limit.per_second)
--- a/libraries/proxy/src/bamboopier_proxy/publish_times.py
+++ b/libraries/proxy/src/bamboopier_proxy/publish_times.py
@@ -92,7 +92,7 @@
     """Read the stored publication times, then follow the published versions.
 
     Without these times a gateway that starts would refuse all older weights, and an
-    agent would count its target's turn in the rollout from its own start. Nothing else
+    agent would count its target's wave of the rollout from its own start. Nothing else
     is done first: a process that removed old entries before would not be ready until
     the store had accepted all deletions.
     """
@@ -232,12 +232,12 @@
 
     async def _write(self, model: str, version: int, since: float) -> None:
         age = read_clock() - since
-        named_at = time.time() - age
+        published_at = time.time() - age
         guessed = self._weights.is_guessed(model, version)
         rank = _find_write_rank(age, guessed)
         await asyncio.sleep(WRITE_SPREAD_SECONDS * (rank + self._random.random()))
         key = f"{self._prefix}{model}/{version}"
-        value = msgspec.json.encode(PublishedAt(named_at, guessed))
+        value = msgspec.json.encode(PublishedAt(published_at, guessed))
         created = await self._create(key, value)
         if created is CreateOutcome.FAILED:
             log.warning(
--- a/libraries/proxy/src/bamboopier_proxy/store_availability.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_availability.py
@@ -25,10 +25,10 @@
 
     __slots__ = (
         "_first_failed_at",
-        "_resumed_at",
-        "_recovered_at",
         "_last_accepted_at",
         "_pending",
+        "_recovered_at",
+        "_resumed_at",
     )
 
     def __init__(self) -> None:
@@ -75,9 +75,9 @@
         is sent: a store that accepts no new calls may still end open watches, which is
         no sign of its recovery.
         """
-        failed = self._find_first_failure(accepted_at)
+        first_failed_at = self._find_first_failure(accepted_at)
         self._remove_pending(sent_at)
-        if failed is not None and sent_at >= failed:
+        if first_failed_at is not None and sent_at >= first_failed_at:
             # Counted from the call before the failure: the outage may have started
             # right after it, and entries that expired in it would be removed if it was
             # assumed to be shorter.
@@ -97,8 +97,11 @@
     def _is_unavailable(self, now: float) -> bool:
         # At the recovery a watch may report expired entries before any other call is
         # answered. These entries are also retained for a while.
-        failed = self._find_first_failure(now)
-        return failed is not None and now - self._last_accepted_at >= MIN_OUTAGE_SECONDS
+        first_failed_at = self._find_first_failure(now)
+        return (
+            first_failed_at is not None
+            and now - self._last_accepted_at >= MIN_OUTAGE_SECONDS
+        )
 
     def _find_first_failure(self, now: float) -> float | None:
         """Return when the first call was sent that failed or is overdue.
--- a/libraries/proxy/src/bamboopier_proxy/store_followers.py
+++ b/libraries/proxy/src/bamboopier_proxy/store_followers.py
@@ -27,8 +27,8 @@
 # Duration of one watch of targets. Guards against a connection that stalls while a
 # target drains: until the watch is abandoned, requests are still sent to the target. A
 # draining target must get no more requests within two seconds. The store's client
-# abandons a watch 0.8 s after its end; with 0.05 s until the list is requested and 0.3
-# s for the response of a slow store, that is 1.85 s after the watch was sent. This
+# abandons a watch 0.8 s after its end; with 0.05 s until the list is requested, and
+# 0.3 s for the response of a slow store, that is 1.85 s after the watch was sent. This
 # costs 1.4 calls a second per gateway; see docs/design/platform.md.
 TARGETS_WATCH_SECONDS = 0.7
 
@@ -60,7 +60,7 @@
             schema.weights_prefix,
             WeightsObserver(schema, state.weights, state.pauses, self._on_published),
         )
-        self._closures = self._follow(
+        self._drained_data_centres = self._follow(
             schema.drained_data_centres_prefix, DrainObserver(schema, state.fleet)
         )
 
@@ -75,7 +75,7 @@
             self._configuration.run(),
             self._targets.run(),
             follow_weights(self._publish_times, self._weights),
-            self._closures.run(),
+            self._drained_data_centres.run(),
         ]
 
     def _follow(
--- a/libraries/proxy/src/bamboopier_proxy/weight_updater.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_updater.py
@@ -1,10 +1,10 @@
 """Updates the target on an agent's machine to the published weight version.
 
-Guards against two machines that send orders to one target (a lease, renewed right
+Guards against two machines that send orders to one target (a lease, checked again right
 before the order), an order whose response is lost and that is executed late (it
 contains the number of orders that the target had accepted, so that it cannot undo a
-later one), all targets loading at once (slots), and long responses that an order has to
-wait for (the gateways are informed, and the target is drained of them first).
+later one), all targets loading at once (load slots), and long responses that an order
+has to wait for (the gateways are informed before, and the target is drained first).
 """
 
 from __future__ import annotations
@@ -42,8 +42,8 @@
 IDLE_POLL_SECONDS = 1.0
 # Time for which the list of targets is cached.
 DIRECTORY_SECONDS = 0.5
-# Delay before the next attempt to acquire a slot, and interval between reports during a
-# drain or a load.
+# Delay before the next attempt to acquire a load slot, and interval between reports
+# during a drain or a load.
 SLOT_RETRY_SECONDS = 0.25
 POLL_SECONDS = 0.08
 # Time after which a load that is not visible in the report is ordered again: three
@@ -51,7 +51,7 @@
 # seconds or not at all.
 LOAD_TIMEOUT_SECONDS = 6.0
 # Duration of a drain after which the target accepts all requests again while it waits
-# for a slot: the holders of the slots may be gone.
+# for a load slot: the holders of the slots may be gone.
 DRAIN_TIMEOUT_SECONDS = 7.0
 # Delay between the announcement to the gateways and the order: datagrams take a few ms.
 ANNOUNCEMENT_DELAY_SECONDS = 0.03
@@ -145,15 +145,15 @@
     def _find_published_at(self, wanted: tuple[str, int]) -> float:
         """Return when ``wanted`` was published, as currently known.
 
-        The turns of all targets in the rollout count from the publication. Counted from
-        when this agent received it, its target would load one or more turns after the
-        others, and serve with older weights until they expire. The time that others
-        wrote may be read later.
+        The waves of the rollout count from the publication. Counted from when this
+        agent received it, its target would load one or more waves after the others, and
+        serve with older weights until they expire. The time that others wrote may be
+        read later.
         """
         since = self._weights.find_published_at(wanted[0])
         return since if math.isfinite(since) else self._wanted_since
 
-    def _has_turn(self, wanted: tuple[str, int]) -> bool:
+    def _has_wave_started(self, wanted: tuple[str, int]) -> bool:
         model, newest = wanted
         versions = self._directory.list_versions(model)
         delay = find_wave_delay(versions, newest, self._target)
@@ -162,7 +162,7 @@
     async def _is_drained(self, wanted: tuple[str, int], report: TargetReport) -> bool:
         """Return whether the order would have to wait for hardly any request."""
         if self._drain is None:
-            if not self._has_turn(wanted):
+            if not self._has_wave_started(wanted):
                 return False
             await self._announcer.refresh()
             self._announcer.reset()
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -35,8 +35,8 @@
     Mutation(
         "what is written is the earliest time, not that of hearing",
         f"{PROXY}/publish_times.py",
-        "        named_at = time.time() - age\n",
-        "        named_at = time.time()\n",
+        "        published_at = time.time() - age\n",
+        "        published_at = time.time()\n",
         "libraries/proxy",
         f"{AGES}.test_the_earliest_time_is_written_not_that_of_receipt",
     ),
