--- a/libraries/proxy/src/bamboopier_proxy/weight_load_announcer.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_load_announcer.py
@@ -47,7 +47,7 @@
             self._read_at = now
 
     def announce_drain(self, target: str, model: str) -> None:
-        """Announce, when due, that the target gives only short responses."""
+        """Announce, when due, that the target serves only short responses."""
         if self._is_due():
             self._send(WeightLoadHint(target, model, 0, 0, int(HINT_SECONDS * 1000)))
 
