--- a/libraries/proxy/src/bamboopier_proxy/observers.py
+++ b/libraries/proxy/src/bamboopier_proxy/observers.py
@@ -168,10 +168,10 @@
         too soon.
         """
         now = read_clock()
-        unread_since = self._pauses.find_earliest_arrival(now)
-        if late and unread_since == now:
+        earliest_arrival = self._pauses.find_earliest_arrival(now)
+        if late and earliest_arrival == now:
             return known_until
-        return max(known_until, unread_since)
+        return max(known_until, earliest_arrival)
 
     def _apply(self, key: str, value: bytes, since: float, guessed: bool) -> None:
         """Apply one version that was published at ``since`` at the earliest."""
--- a/libraries/proxy/tests/test_gateway_peers.py
+++ b/libraries/proxy/tests/test_gateway_peers.py
@@ -27,7 +27,7 @@
 PREFIX = "gateways/"
 # Limit of a site for a cold target: requests a second, times 1.5, plus 5.
 COLD_PER_SECOND = 18.0
-COLD_MOST = COLD_PER_SECOND * 1.5 + 5
+MAX_COLD_REQUESTS = COLD_PER_SECOND * 1.5 + 5
 
 
 class Gateway:
@@ -143,7 +143,7 @@
         self.lost = True
         for gateway in self.gateways:
             gateway.hint_exchange._send_loads()
-        self.assertLessEqual(self.flood_cold_target(0.25), COLD_MOST)
+        self.assertLessEqual(self.flood_cold_target(0.25), MAX_COLD_REQUESTS)
         self.assertEqual(self.count_all(), [GATEWAYS] * GATEWAYS)
 
     async def test_a_pause_recorded_before_the_count_is_no_silence(
--- a/libraries/proxy/tests/test_gateway_registry.py
+++ b/libraries/proxy/tests/test_gateway_registry.py
@@ -17,7 +17,7 @@
 GATEWAYS = 340
 # A node may use 22 KB a second for control traffic; reads of the list get a tenth of
 # it.
-MOST_BYTES_PER_SECOND = 2_200
+MAX_BYTES_PER_SECOND = 2_200
 ENTRY_BYTES = 200
 
 
@@ -46,7 +46,7 @@
             await registry.run()
         spent = GATEWAYS * ENTRY_BYTES / min(pauses)
         # Pauses are drawn between four fifths of the interval and the full interval.
-        self.assertLess(spent * 0.8, MOST_BYTES_PER_SECOND)
+        self.assertLess(spent * 0.8, MAX_BYTES_PER_SECOND)
 
 
 if __name__ == "__main__":
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -19,8 +19,8 @@
     Mutation(
         "weights heard of after a pause may be as old as that",
         f"{PROXY}/observers.py",
-        "        unread_since = self._pauses.find_earliest_arrival(now)\n",
-        "        unread_since = now\n",
+        "        earliest_arrival = self._pauses.find_earliest_arrival(now)\n",
+        "        earliest_arrival = now\n",
         "libraries/proxy",
         f"{OBSERVER}.test_a_version_received_after_a_pause_may_be_as_old_as_it",
     ),
@@ -148,8 +148,8 @@
     Mutation(
         "what was told before a change bounds its age after a pause",
         f"{PROXY}/observers.py",
-        "        return max(known_until, unread_since)\n",
-        "        return unread_since\n",
+        "        return max(known_until, earliest_arrival)\n",
+        "        return earliest_arrival\n",
         "libraries/proxy",
         f"{FOLLOWED}.test_weights_published_after_a_pause_allow_older_ones",
     ),
