--- a/libraries/proxy/src/bamboopier_proxy/active_configuration.py
+++ b/libraries/proxy/src/bamboopier_proxy/active_configuration.py
@@ -1,4 +1,4 @@
-"""What one process believes of the configuration, and how fresh that is."""
+"""The configuration that is active in one process, and its freshness."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
 
 
 class ActiveConfiguration:
-    """The configuration in force with its proof of currency."""
+    """The active configuration and when it was last confirmed as current."""
 
     def __init__(
         self, key_seconds: float | None, apply: Callable[[DeclaredConfiguration], None]
     ) -> None:
         self.table: RouteTable | None = None
-        self.currency = ConfigurationFreshness(key_seconds)
+        self.freshness = ConfigurationFreshness(key_seconds)
         self._apply = apply
 
     @property
     def version(self) -> int:
-        """Return the version in force; 0 before the first."""
+        """Return the active version; 0 before the first."""
         return self.table.configuration.version if self.table is not None else 0
 
     def update(
         self,
         declared: DeclaredConfiguration,
-        asked_at: float,
+        sent_at: float,
         now: float,
         size: int = 0,
     ) -> None:
-        """Take a configuration of ``size`` bytes that was current at ``asked_at``.
+        """Activate a configuration of ``size`` bytes that was current at ``sent_at``.
 
-        An older version than the one in force says that the answer was held up or
-        came from a store that lags; it proves nothing.
+        A version older than the active one comes from a delayed response or from a
+        store that lags behind; it is ignored and confirms nothing.
         """
         if declared.version < self.version:
             log.warning(
@@ -53,7 +53,7 @@
                 in_force=self.version,
             )
             return
-        self.currency.confirm(asked_at)
+        self.freshness.confirm(sent_at)
         if declared.version == self.version and self.table is not None:
             return
         self.table = RouteTable(declared)
@@ -64,10 +64,10 @@
             routes=len(declared.routes),
             services=len(declared.services),
             size_bytes=size,
-            age_seconds=round(now - asked_at, 3),
+            age_seconds=round(now - sent_at, 3),
         )
 
-    def confirm(self, version: int, asked_at: float) -> None:
-        """Take in that ``version`` was still current at ``asked_at``."""
+    def confirm(self, version: int, sent_at: float) -> None:
+        """Record that ``version`` was still current at ``sent_at``."""
         if version == self.version and self.table is not None:
-            self.currency.confirm(asked_at)
+            self.freshness.confirm(sent_at)
--- a/libraries/proxy/src/bamboopier_proxy/forwarder.py
+++ b/libraries/proxy/src/bamboopier_proxy/forwarder.py
@@ -237,7 +237,7 @@
         """Refuse a request with a key once the key may have been revoked."""
         if call.workspace is None:
             return
-        if self._active_configuration.currency.is_fresh(now):
+        if self._active_configuration.freshness.is_fresh(now):
             return
         if call.may_have_run:
             message = "the configuration became too old to send this again"
@@ -340,7 +340,7 @@
     active_configuration: ActiveConfiguration, now: float
 ) -> CallerError:
     """Return the error for a key that may have been revoked in the meantime."""
-    age = active_configuration.currency.find_age(now)
+    age = active_configuration.freshness.find_age(now)
     message = f"the configuration was last confirmed {age:.1f} s ago"
     return CallerError(
         ErrorCode.STALE_CONFIGURATION, message, ExecutionStatus.NOT_EXECUTED, 1.0
--- a/libraries/proxy/src/bamboopier_proxy/part_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_relay.py
@@ -1,9 +1,9 @@
-"""Hands on what the stores of kept parts said, from gateways that ask them.
+"""Relays updates of part stores from the gateways that poll the stores.
 
-Load pattern: a store holds few waiting questions at once and turns others away. With
-21 gateways that each ask nine stores, most questions were turned away, and hardly any
-part was fetched: 13.9 M tokens of shared parts were read again in a day of 34 s. So
-the first few gateways ask the stores, and all others ask one of these, for all stores
+Load pattern: a store holds only a few requests open at once and rejects others. With 21
+gateways that each polled nine stores, most requests were rejected, and hardly any part
+was fetched: 13.9 M tokens of shared parts were recomputed in a test day of 34 s. So a
+few selected gateways poll the stores, and all others poll one of these, for all stores
 at once.
 """
 
@@ -29,12 +29,12 @@
     from .settings import Endpoint
 
 PATH = "/parts"
-# Seconds for one call between gateways.
+# Timeout of one call between gateways.
 CALL_SECONDS = 0.6
 
 
 class UpdatePosition(msgspec.Struct, array_like=True):
-    """Up to where the asking gateway knows the changes of a store."""
+    """Position up to which the requesting gateway has the changes of a store."""
 
     address: str
     epoch: int
@@ -42,19 +42,20 @@
 
 
 class StoreUpdate(msgspec.Struct, array_like=True):
-    """What the answering gateway knows of a store beyond the position."""
+    """Changes of a store after the position, as the responding gateway has them."""
 
     address: str
     epoch: int
     position: int
-    # Since the store answered last.
+    # Since the store's last response.
     response_age_ms: int
-    # For how long this start of it had been known then; below 0 if it was seen later.
+    # For how long the store's current instance had been known at that response; below 0
+    # if it was first observed later.
     instance_known_ms: int
     clock_ms: int
-    # ``changes`` are all parts there, not those after the position.
+    # Whether ``changes`` are all stored parts, not only those after the position.
     is_snapshot: bool
-    # Scope, part, tokens; 0 tokens for one that is gone.
+    # Scope, part, tokens; 0 tokens for a part that was removed.
     changes: list[tuple[str, str, int]]
 
 
@@ -63,96 +64,96 @@
 
 
 class PartRelay:
-    """Both sides of a call for news."""
+    """Requests updates from other gateways, and answers their requests."""
 
-    def __init__(self, kept: PartStoreIndex, caller: HttpCaller) -> None:
-        self._kept = kept
+    def __init__(self, index: PartStoreIndex, caller: HttpCaller) -> None:
+        self._index = index
         self._caller = caller
-        # The other side's position for each store, by its address.
+        # The other gateway's position for each store, by the store's address.
         self._positions: dict[str, int] = {}
         self._requested_gateway = ""
 
     def answer(self, body: bytes) -> web.Response:
-        """Return the news of all stores that are trusted here."""
+        """Return the updates of all stores whose state is valid here."""
         try:
             positions = _request_decoder.decode(body)
         except msgspec.MsgspecError as error:
             return web.Response(status=400, text=str(error))
         now = read_clock()
-        known = {q.address: q for q in positions}
-        news = [
-            _make_update(now, store, known.get(store.address))
-            for store in self._kept.stores
+        positions_by_address = {q.address: q for q in positions}
+        updates = [
+            _make_update(now, store, positions_by_address.get(store.address))
+            for store in self._index.stores
             if store.is_current(now)
         ]
-        return web.Response(body=msgspec.msgpack.encode(news))
+        return web.Response(body=msgspec.msgpack.encode(updates))
 
     async def request(self, gateway: Endpoint) -> Result[int, str]:
-        """Take the news that a gateway has; return how many stores it trusts."""
+        """Apply the updates of a gateway; return the number of stores in them."""
         if self._requested_gateway != str(gateway):
-            # Each gateway counts changes in its own way.
+            # Positions are specific to a gateway.
             self._positions.clear()
             self._requested_gateway = str(gateway)
         positions = [
             UpdatePosition(s.address, s.epoch, self._positions.get(s.address, -1))
-            for s in self._kept.stores
+            for s in self._index.stores
         ]
         sent_at = read_clock()
-        answer = await self._caller.call(
+        response = await self._caller.call(
             "POST",
             f"http://{gateway}{PATH}",
             msgspec.msgpack.encode(positions),
             patience=CALL_SECONDS,
         )
-        if isinstance(answer, Err):
-            return Err(str(answer.err_value))
-        if answer.ok_value.status != 200:
-            return Err(f"status {answer.ok_value.status}")
+        if isinstance(response, Err):
+            return Err(str(response.err_value))
+        if response.ok_value.status != 200:
+            return Err(f"status {response.ok_value.status}")
         try:
-            news = _response_decoder.decode(answer.ok_value.body)
+            updates = _response_decoder.decode(response.ok_value.body)
         except msgspec.MsgspecError as error:
             return Err(str(error))
         read_at = read_clock()
-        for found in news:
-            self._take(sent_at, read_at, found)
-        return Ok(len(news))
+        for found in updates:
+            self._apply(sent_at, read_at, found)
+        return Ok(len(updates))
 
-    def _take(self, sent_at: float, read_at: float, found: StoreUpdate) -> None:
-        store = self._kept.find(found.address)
+    def _apply(self, sent_at: float, read_at: float, found: StoreUpdate) -> None:
+        store = self._index.find(found.address)
         if store is None:
             return
-        # Until the answer was made. The way here is not added: a start must not look
-        # older than it is.
-        known = (found.response_age_ms + found.instance_known_ms) / 1000
-        news = PartUpdate(
+        # Up to the creation of the response. Transfer time is not added: an instance
+        # must not look older than it is.
+        instance_known = (found.response_age_ms + found.instance_known_ms) / 1000
+        update = PartUpdate(
             found.epoch,
             found.clock_ms,
             tuple(PartChange(*change) for change in found.changes),
             found.is_snapshot,
-            max(0.0, known),
+            max(0.0, instance_known),
         )
-        if store.is_outdated(news):
+        if store.is_outdated(update):
             return
-        store.apply_update(sent_at - found.response_age_ms / 1000, read_at, news)
+        store.apply_update(sent_at - found.response_age_ms / 1000, read_at, update)
         self._positions[found.address] = found.position
 
 
 def _make_update(
-    now: float, store: PartStore, known: UpdatePosition | None
+    now: float, store: PartStore, position: UpdatePosition | None
 ) -> StoreUpdate:
     changes = None
-    if known is not None and known.epoch == store.epoch:
-        changes = store.list_changes(known.position)
+    if position is not None and position.epoch == store.epoch:
+        changes = store.list_changes(position.position)
     is_snapshot = changes is None
     listed = store.list_parts() if changes is None else changes
     return StoreUpdate(
         store.address,
         store.epoch,
         store.position,
-        # Rounded up: the answer must not look younger than it is.
+        # Rounded up: the response must not look younger than it is.
         int(store.find_age(now) * 1000) + 1,
-        # Rounded down, and by what the age was rounded up: their sum must not make the
-        # start look older than it is.
+        # Rounded down, and reduced by the amount by which the age was rounded up: their
+        # sum must not make the instance look older than it is.
         math.floor(store.epoch_known_seconds * 1000) - 1,
         store.clock_ms,
         is_snapshot,
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -19,8 +19,8 @@
     Mutation(
         "weights heard of after a pause may be as old as that",
         f"{PROXY}/observers.py",
-        "        unread_since = self._pauses.find_earliest_arrival(now)\n",
-        "        unread_since = now\n",
+        "        earliest_arrival = self._pauses.find_earliest_arrival(now)\n",
+        "        earliest_arrival = now\n",
         "libraries/proxy",
         f"{OBSERVER}.test_a_version_received_after_a_pause_may_be_as_old_as_it",
     ),
@@ -35,8 +35,8 @@
     Mutation(
         "what is written is the earliest time, not that of hearing",
         f"{PROXY}/publish_times.py",
-        "        named_at = time.time() - age\n",
-        "        named_at = time.time()\n",
+        "        published_at = time.time() - age\n",
+        "        published_at = time.time()\n",
         "libraries/proxy",
         f"{AGES}.test_the_earliest_time_is_written_not_that_of_receipt",
     ),
@@ -132,7 +132,7 @@
     Mutation(
         "news of a store's former start are not taken when they are handed on",
         f"{PROXY}/part_relay.py",
-        "        if store.is_outdated(news):\n            return\n",
+        "        if store.is_outdated(update):\n            return\n",
         "",
         "libraries/proxy",
         f"{STARTS}.test_nothing_is_saved_soon_after_a_known_restart",
@@ -148,8 +148,8 @@
     Mutation(
         "what was told before a change bounds its age after a pause",
         f"{PROXY}/observers.py",
-        "        return max(known_until, unread_since)\n",
-        "        return unread_since\n",
+        "        return max(known_until, earliest_arrival)\n",
+        "        return earliest_arrival\n",
         "libraries/proxy",
         f"{FOLLOWED}.test_weights_published_after_a_pause_allow_older_ones",
     ),
