--- a/libraries/decisions/src/bamboopier_decisions/forwarding/cold_start_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/cold_start_limit.py
@@ -1,13 +1,14 @@
-"""How many requests a second a cold target gets from this gateway.
+"""Limits the requests a second that this gateway sends to a cold target.
 
-Load pattern: a data centre's engines come back together, and every gateway sends them
-their whole share at once. A cold engine bears a few requests a second and crashes well
-above that, so each gateway keeps to its part of that rate.
+Load pattern: the engines of a data centre restart together, and every gateway sends
+them its whole share at once. A cold engine handles a few requests a second and crashes
+well above that rate, so each gateway is limited to its share of the rate.
 
-With more gateways than a target bears requests, a part is less than one a second. One
-each would be too many, and so would one each after a moment without callers: a gateway
-sends in a short slot of its own that comes back after some seconds, and not after it.
-The slots of all gateways lie evenly, in the order of their names.
+With more gateways than the target handles requests a second, the share is below one a
+second. One request from each gateway within a second would be too many, also after an
+idle period. Each gateway therefore sends only within a short time slot of its own that
+recurs every few seconds. The time slots of all gateways are evenly spaced, in the order
+of the gateways' names.
 """
 
 from __future__ import annotations
@@ -16,28 +17,28 @@
 from collections import deque
 
 WINDOW_SECONDS = 1.0
-# Requests sent within a second may arrive within less, as links differ: a gateway
-# counts a little more than a second.
+# Requests sent within a second may arrive within less, as latencies differ: a gateway
+# counts over a little more than a second.
 WINDOW_MARGIN = 0.1
-# Seconds for which a slot is open: some callers come in it, and few slots touch the
-# same second beside those that begin in it.
+# Seconds for which a time slot is open: long enough for some callers to arrive in it,
+# and short enough that few slots overlap a second in which they do not start.
 TIME_SLOT_SECONDS = 0.1
-# Share of a target's rate that slots give out: gateways hear of its start some time
-# apart, and do not always agree on how many they are.
+# Share of a target's rate that is assigned to time slots: gateways detect its start at
+# different times, and their counts of gateways may differ for a while.
 TIME_SLOT_SHARE = 0.8
 
 
 def hash_phase(target: str) -> float:
-    """Return where the first gateway's slots at a target lie, from 0 to 1.
+    """Return the offset of the first gateway's time slots at a target, from 0 to 1.
 
-    It differs by target, so that a gateway does not come last at all of them.
+    The offset differs by target, so that a gateway is not last at all of them.
     """
     digest = hashlib.blake2b(target.encode(), digest_size=4).digest()
     return int.from_bytes(digest, "big") / 2**32
 
 
 class ColdStartLimit:
-    """Counts what was sent to one target while it is cold."""
+    """Limits the requests that are sent to one target while it is cold."""
 
     __slots__ = ("_phase", "_sent", "_started_at", "_ends_at")
 
@@ -48,13 +49,13 @@
         self._sent: deque[float] = deque()
 
     def start(self, now: float, seconds: float) -> None:
-        """Take in that the target is cold for ``seconds`` more."""
+        """Record that the target is cold for ``seconds`` more."""
         if not self.is_cold(now):
             self._started_at = now
         self._ends_at = max(self._ends_at, now + seconds)
 
     def is_cold(self, now: float) -> bool:
-        """Say whether the target is cold."""
+        """Return whether the target is cold."""
         return now < self._ends_at
 
     def may_send(
@@ -64,10 +65,10 @@
         gateway_count: int,
         gateway_index: int | None = 0,
     ) -> bool:
-        """Say whether this gateway's part of ``per_second`` allows one more.
+        """Return whether this gateway's share of ``per_second`` allows a request.
 
-        It is the one at ``gateway_index``, from 0, in the order of the gateways' names. While
-        that is not known it has no slot.
+        ``gateway_index`` is this gateway's index, from 0, in the order of the gateways'
+        names. While it is None the gateway has no time slot.
         """
         if not self.is_cold(now):
             return True
@@ -85,7 +86,7 @@
         )
 
     def record_sent(self, now: float) -> None:
-        """Count a request."""
+        """Record a request."""
         if self.is_cold(now):
             self._sent.append(now)
 
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/fleet.py
@@ -1,8 +1,9 @@
-"""The targets a gateway may send to, and what is under way at each.
+"""The targets a gateway may send to, and the requests in flight at each.
 
-Load pattern: several gateways send prompts of very different size to few engines, whose
-memory is the bound. Each gateway counts its own requests at once and adds what the
-others last told, so that no call is needed before a request is sent.
+Load pattern: several gateways send prompts of very different sizes to few engines,
+whose memory is the limit. Each gateway counts its own requests at once and adds the
+loads that other gateways last reported, so that no call is needed before a request is
+sent.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
     from .rate_limit import RateLimit
     from .specs import TargetEntry
 
-# Seconds after the store's return in which an entry that is missing may only have
-# lapsed while the store was away: targets that live are listed again within two.
+# Seconds after the store recovered in which an entry that is missing may only have
+# expired during the outage: live targets are listed again within two.
 STORE_RECOVERY_SECONDS = 2.2
-# Targets without an entry whose limits are remembered.
+# Targets without an entry whose rate limits are kept.
 MAX_FORMER_TARGETS = 64
-# For ``store_recovered_at``: the store was not away.
+# For ``store_recovered_at``: the store had no outage.
 NEVER = float("-inf")
 
 
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _FormerTarget:
-    """A target without an entry that had said what it takes."""
+    """A target without an entry that had reported a rate limit."""
 
     entry: TargetEntry
     limit: RateLimit
@@ -56,13 +57,13 @@
         self._states: dict[str, TargetState] = {}
         self._services: Mapping[str, ServiceSpec] = {}
         self._by_service: dict[str, list[TargetState]] = {}
-        # Targets whose entry is missing since the store came back, and until when
-        # they are still used.
+        # Targets whose entry is missing since the store recovered, and until when they
+        # are still used.
         self._missing: dict[str, float] = {}
-        # By name, the oldest first.
+        # By name, oldest first.
         self._former: dict[str, _FormerTarget] = {}
         self._drained_data_centres: frozenset[str] = frozenset()
-        # The gateways that share the targets, and this one's place among their names.
+        # Number of gateways that share the targets, and the index of this one by name.
         self.gateway_count = 1
         self.gateway_index: int | None = 0
 
@@ -72,11 +73,11 @@
         return list(self._states)
 
     def find(self, name: str) -> TargetState | None:
-        """Return a target's state."""
+        """Return a target's state, or None if it is not registered."""
         return self._states.get(name)
 
     def list_targets(self, service: str, now: float) -> list[TargetState]:
-        """Return the targets of a service that new requests may go to."""
+        """Return the targets of a service that new requests may be sent to."""
         self._remove_expired(now)
         closed = self._drained_data_centres
         return [
@@ -86,7 +87,7 @@
         ]
 
     def is_open(self, state: TargetState, now: float) -> bool:
-        """Say whether ``state`` is still to be used, right before a send."""
+        """Return whether ``state`` may still be used, checked right before a send."""
         self._remove_expired(now)
         return (
             self._states.get(state.entry.name) is state
@@ -95,11 +96,11 @@
         )
 
     def drain_data_centres(self, names: Iterable[str]) -> None:
-        """Send nothing to the targets of these data centres."""
+        """Send no requests to the targets of these data centres."""
         self._drained_data_centres = frozenset(names)
 
     def set_services(self, services: Mapping[str, ServiceSpec]) -> None:
-        """Take the operator's services."""
+        """Set the services of the configuration."""
         self._services = services
         for state in self._states.values():
             found = services.get(state.entry.service)
@@ -113,7 +114,7 @@
         entries: Iterable[TargetEntry],
         store_recovered_at: float = NEVER,
     ) -> None:
-        """Take the whole list; those missing after an outage keep a while."""
+        """Apply the complete list; entries missing after an outage stay for a while."""
         listed = {entry.name: entry for entry in entries}
         for entry in listed.values():
             self.put(now, entry)
@@ -122,7 +123,7 @@
         self._index_by_service()
 
     def put(self, now: float, entry: TargetEntry) -> None:
-        """Take one new or changed entry."""
+        """Apply one new or changed entry."""
         self._missing.pop(entry.name, None)
         state = self._states.get(entry.name)
         if state is not None and _is_same_instance(state.entry, entry):
@@ -144,11 +145,12 @@
         self._index_by_service()
 
     def remove(self, now: float, name: str, store_recovered_at: float = NEVER) -> None:
-        """Take in that an entry is gone.
+        """Apply the removal of an entry.
 
-        Failure answered: a target goes seconds after the store's return, and is sent
-        requests as one that may only have lapsed. Counted from the return, its time is
-        over when those that did lapse are back, however late it goes.
+        Guards against sending requests to a target that is removed seconds after the
+        store recovered, as if its entry had only expired during the outage. The time
+        for which it is kept counts from the recovery, so that it ends when the targets
+        whose entries did expire are listed again, however late the removal comes.
         """
         state = self._states.get(name)
         if state is None:
@@ -165,7 +167,7 @@
     def begin(
         self, now: float, state: TargetState, prompt: Prompt | None
     ) -> InFlightRequest:
-        """Count a request that is sent now."""
+        """Record a request that is sent now."""
         load = Load(requests=1)
         if prompt is not None:
             load.pending_prefill = state.count_prefill(prompt)
@@ -179,12 +181,12 @@
         return InFlightRequest(state, load, prompt)
 
     def record_prefilled(self, sent: InFlightRequest) -> None:
-        """Take in that the prompt has been read: the first event came."""
+        """Record that the prompt has been prefilled: the first event was received."""
         sent.state.own_load.pending_prefill -= sent.load.pending_prefill
         sent.load.pending_prefill = 0
 
     def end(self, sent: InFlightRequest) -> None:
-        """Take in that the request is over."""
+        """Record the end of a request."""
         own = sent.state.own_load
         own.requests -= sent.load.requests
         if sent.prompt is not None:
@@ -192,16 +194,16 @@
         own.pending_prefill -= sent.load.pending_prefill
 
     def set_other_loads(self, loads: Mapping[str, Load]) -> None:
-        """Take what the other gateways have under way at each target."""
+        """Set the loads of the other gateways at each target."""
         for name, state in self._states.items():
             state.other_load = loads.get(name) or Load()
 
     def _remember_rate_limit(self, state: TargetState) -> None:
-        """Keep what a target that is no longer listed says that it takes.
+        """Keep the rate limit of a target that is no longer listed.
 
-        Failure answered: a target in need is cut off from the store, so its entry
-        lapses, and comes back. Its limit forgotten, it would get a burst from all
-        gateways before the first of them is answered.
+        Guards against a burst: a rate-limited target is cut off from the store, so its
+        entry expires, and is listed again. Without its limit it would receive a burst
+        from all gateways before the first response.
         """
         if not state.rate_limit.in_force:
             return
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/gateway_headroom.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/gateway_headroom.py
@@ -1,39 +1,41 @@
-"""How much of a target's free room one gateway takes before it hears from the others.
+"""Limits how much of a target's headroom one gateway uses before hints arrive.
 
 Load pattern: an engine has just loaded weights, or all others are full, and every
-gateway sees the same room. Each fills it by itself: five gateways that each send what
-takes an engine half a second to read leave it with two and a half. Gateways hear of
-each other up to a quarter of a second late, so for that time each keeps to its part of
-the room, and sends at least one request. Replayed at twice what six engines read, 952
-prompts have their first token within 0.6 s, and 886 without it; an engine that five
-gateways find empty has its last first token after 0.5 s, and after 2.0 s without.
+gateway sees the same headroom. If each gateway fills it alone, five gateways that each
+send what takes an engine half a second to prefill leave it with two and a half seconds
+of work. Load hints from other gateways arrive up to a quarter of a second late, so for
+that time each gateway is limited to its share of the headroom, and sends at least one
+request. In a replay at twice the prefill rate of six engines, 952 prompts have their
+first token within 0.6 s, and 886 without this limit; an engine that five gateways find
+empty has its last first token after 0.5 s, and after 2.0 s without.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-# Seconds until the others' hints show what they sent: between the mean and the longest
-# age of a hint. At 0.3 s, returning prompts leave their owner too often: 4.37 M tokens
-# of 40 sessions are read, 4.04 M at 0.2 s, replayed.
+# Seconds until the hints of other gateways include what they sent: between the mean and
+# the maximum age of a hint. At 0.3 s, prompts of returning sessions are routed away
+# from the engine that caches them too often: in a replay of 40 sessions 4.37 M tokens
+# are prefilled, 4.04 M at 0.2 s.
 HINT_DELAY_SECONDS = 0.2
-# Gateways get uneven shares of the callers: each may take so many even parts.
+# Callers are spread unevenly over gateways: each gateway may use this many even shares.
 MAX_SKEW = 2.0
 
 
 class GatewayHeadroom:
-    """What this gateway has sent to one target within the last moments."""
+    """What this gateway has sent to one target within ``HINT_DELAY_SECONDS``."""
 
     __slots__ = ("_memory", "_sent", "_prefill")
 
     def __init__(self) -> None:
-        # Time, unread tokens and tokens of memory of each request.
+        # Time, prefill tokens and memory tokens of each request.
         self._sent: deque[tuple[float, int, int]] = deque()
         self._prefill = 0
         self._memory = 0
 
     def record_sent(self, now: float, prefill: int, memory: int) -> None:
-        """Count a request."""
+        """Record a request with its prefill and memory, both in tokens."""
         self._sent.append((now, prefill, memory))
         self._prefill += prefill
         self._memory += memory
@@ -41,9 +43,9 @@
     def allows_prefill(
         self, now: float, tokens: int, headroom: float, gateway_count: int
     ) -> bool:
-        """Say whether ``tokens`` more may be sent to be read.
+        """Return whether a request with ``tokens`` more to prefill may be sent.
 
-        ``headroom`` are the tokens that fit beside what is known to be under way.
+        ``headroom`` is the number of tokens that fit in addition to the known load.
         """
         self._expire(now)
         return _allows(self._prefill, tokens, headroom, gateway_count)
@@ -51,7 +53,7 @@
     def allows_memory(
         self, now: float, tokens: int, headroom: float, gateway_count: int
     ) -> bool:
-        """Say whether a request that needs ``tokens`` of memory may be sent."""
+        """Return whether a request that needs ``tokens`` of memory may be sent."""
         self._expire(now)
         return _allows(self._memory, tokens, headroom, gateway_count)
 
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_cache_estimate.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_cache_estimate.py
@@ -1,7 +1,7 @@
-"""Which parts of prompts a target probably has cached.
+"""Estimates which parts of prompts a target has cached.
 
-A belief only: it comes from what this gateway sent there, and the engine evicts as it
-likes. A wrong belief costs one prompt a prefill, never correctness.
+This is an estimate only: it is based on what this gateway sent there, and the engine
+evicts by its own rules. A wrong estimate costs one prompt a prefill, never correctness.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class PartCacheEstimate:
-    """The parts sent to one target last, up to what its memory can hold."""
+    """The parts most recently sent to one target, up to its cache capacity."""
 
     __slots__ = ("_capacity", "_held", "_parts")
 
@@ -33,7 +33,7 @@
         return cached
 
     def add(self, prompt: Prompt) -> None:
-        """Take in that the target reads ``prompt``."""
+        """Add the parts of a prompt that is sent to the target."""
         for part in prompt.shared_parts:
             if part.name not in self._parts:
                 self._held += part.tokens
@@ -44,6 +44,6 @@
             self._held -= tokens
 
     def clear(self) -> None:
-        """Forget everything: new weights, or a new start."""
+        """Remove all parts, after new weights or with a new instance."""
         self._parts.clear()
         self._held = 0
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
@@ -1,14 +1,15 @@
-"""Which parts of prompts lie whole in a store, and may be read from there.
-
-Load pattern: prompts that share long beginnings return to engines that have evicted
-them. Reading 8,600 tokens anew takes an engine 77 ms, during which it reads nothing
-else; fetching them over a store's link takes 25 ms and leaves the engine free.
-
-Failures answered. A store that restarts has lost everything, and what is then written
-there again is not whole at first: a fetch in that moment would read a part of a part.
-So a belief is good only for a while after the store last answered under the same start,
-an engine is told until when it may fetch, and nothing is written to a store until its
-start has been known for longer than that.
+"""Indexes which prompt parts are fully stored in part stores and may be fetched.
+
+Load pattern: prompts that share long prefixes return to engines that have evicted them.
+Recomputing 8,600 tokens takes an engine 77 ms, during which it prefills nothing else;
+fetching them over a store's link takes 25 ms and leaves the engine free.
+
+Guards against reading incomplete data. A store that restarts has lost everything, and
+what is then written there again is incomplete at first: a fetch at that moment would
+read a fragment of a part. The index is therefore valid only for a limited time after
+the store's last response from the same instance (epoch), an engine gets a deadline for
+its fetch, and nothing is written to a store until its instance has been known for
+longer than that.
 """
 
 from __future__ import annotations
@@ -18,44 +19,45 @@
 
 from ..routing.rendezvous import compute_weight
 
-# Seconds after a store's last answer for which beliefs hold: two questions and the
-# pause between them, so that one answer that is late changes nothing.
+# Seconds after a store's last response for which its index is valid: two requests and
+# the interval between them, so that one late response changes nothing.
 UPDATE_VALID_SECONDS = 1.6
-# Seconds after a store's start was first seen before anything is written there. It is
-# longer than the trust in an answer, so that fetches from before the start have ended.
+# Seconds after an epoch was first seen before anything is written to the store. This is
+# longer than a response is valid, so that fetches from the previous epoch have ended.
 SAVE_HOLD_OFF_SECONDS = 2.5
-# A store is taken for full at this share of its room: what does not fit is lost.
+# A store counts as full at this share of its capacity: it discards what does not fit.
 MAX_FILL_SHARE = 0.97
-# Parts below this many tokens are read anew: a fetch waits some ms before it begins.
+# Parts below this many tokens are recomputed: a fetch waits some ms before it starts.
 MIN_FETCH_TOKENS = 100
-# Changes of a store that are kept to be handed on; who is behind further gets all.
+# Changes of a store that are kept to be relayed; a reader that is further behind gets a
+# snapshot.
 MAX_CHANGES = 2000
-# A save that does not show within so many seconds may be tried again.
+# A save that is not reported within this many seconds may be tried again.
 SAVE_RETRY_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class PartChange:
-    """A part that now lies whole in a store, or no longer does."""
+    """A part that is now fully stored in a store, or no longer is."""
 
     scope: str
     part: str
-    # Tokens stored; 0 once it is gone.
+    # Tokens stored; 0 after its removal.
     tokens: int
 
 
 @dataclass(frozen=True, slots=True)
 class PartUpdate:
-    """One answer of a store."""
+    """One response of a store."""
 
-    # Changes at each start.
+    # Changes with each instance of the store.
     epoch: int
-    # Milliseconds on the clock that engines and stores share; 0 if it was not told.
+    # Milliseconds on the clock that engines and stores share; 0 if not reported.
     clock_ms: int
     changes: tuple[PartChange, ...]
-    # ``changes`` are all parts there, not those since the last answer.
+    # ``changes`` lists all stored parts, not those since the last response.
     is_snapshot: bool = False
-    # Seconds for which this start was known to whoever handed the answer on.
+    # Seconds for which the process that relayed the response had known this epoch.
     epoch_known_seconds: float = 0.0
 
 
@@ -65,7 +67,7 @@
 
     fetch: tuple[str, ...]
     save: tuple[str, ...]
-    # Milliseconds on the engines' clock; a later fetch is thrown away. 0 for no fetch.
+    # Milliseconds on the engines' clock; a later fetch is discarded. 0 for no fetch.
     fetch_deadline_ms: int
 
     @property
@@ -75,7 +77,7 @@
 
 
 class PartStore:
-    """What is believed of one store."""
+    """The state of one store as last reported."""
 
     __slots__ = (
         "_changes",
@@ -93,42 +95,43 @@
 
     def __init__(self, address: str, capacity: int) -> None:
         self.address = address
-        # Tokens it has room for.
+        # Tokens that it can hold.
         self.capacity = capacity
-        # Of the start that is believed in; 0 for none.
+        # The current epoch; 0 for none.
         self.epoch = 0
-        # When this start was first seen, never too early, and when it answered last,
-        # never too late: in doubt saves begin later, and trust ends sooner.
+        # When this epoch was first seen, never too early, and when its last response
+        # was requested, never too late: in doubt saves start later, and the index
+        # expires sooner.
         self._epoch_seen_at = float("inf")
         self._confirmed_at = float("-inf")
-        # Of the last answer, also of a start that is no longer believed in.
+        # From the last response, also of an epoch that has been invalidated.
         self.clock_ms = 0
-        # Changes counted since this start was first seen here, and the last of them.
+        # Number of changes since this epoch was first seen here, and the last of them.
         self.position = 0
         self._changes: deque[PartChange] = deque(maxlen=MAX_CHANGES)
         self._parts: dict[tuple[str, str], int] = {}
-        # Parts sent there, and when.
+        # Parts that engines were told to save there, and when.
         self._saving: dict[tuple[str, str], float] = {}
         self._stored_tokens = 0
 
     @property
     def parts(self) -> int:
-        """Return the number of parts believed to lie there."""
+        """Return the number of parts assumed to be stored there."""
         return len(self._parts)
 
     @property
     def stored_tokens(self) -> int:
-        """Return the tokens believed to lie there."""
+        """Return the number of tokens assumed to be stored there."""
         return self._stored_tokens
 
     def apply_update(self, sent_at: float, read_at: float, update: PartUpdate) -> bool:
-        """Take an answer asked for and read at these times; True for a new start.
+        """Apply a response requested and read at these times; True for a new epoch.
 
-        Failure answered: a gateway is suspended for seconds with a question open, in
-        which the store begins anew. Dated by the question, that start would be old
-        enough to be written to at once, while others still fetch what lay there before:
-        they could read half a part. It began before the answer was read, so that what
-        counts from then on waits long enough.
+        Guards against dating a new epoch too early: a gateway is suspended for seconds
+        with a request open, during which the store restarts. Dated by the request, that
+        epoch would be old enough to be written to at once, while others still fetch
+        what was stored before: they could read half a part. The epoch started before
+        the response was read, so the hold-off that counts from then is long enough.
         """
         restarted = update.epoch != self.epoch
         if restarted:
@@ -147,58 +150,60 @@
         return restarted
 
     def is_outdated(self, update: PartUpdate) -> bool:
-        """Say whether news that were handed on are of a start before the known one.
-
-        Failure answered: a gateway heard of a store's new start, and then asks one that
-        has not. Taken as news, the former start would be believed in again, with parts
-        that are lost, and for so long known that it may be written to at once.
-
-        An epoch orders nothing. Both answers name the clock of all stores at their
-        making, and no answer of a start is made after one of the next: one with an
-        earlier time and another epoch is of a start before. If that clock jumps back, a
-        start is taken later by as much, and prompts are read anew meanwhile.
+        """Return whether a relayed update is of an earlier epoch than the current one.
+
+        Guards against returning to an earlier epoch: a gateway has received a store's
+        new epoch, and then requests updates from a gateway that has not. The earlier
+        epoch would be restored, with parts that are lost, and with an age that allows
+        writes at once.
+
+        Epochs are not ordered. Both responses contain the clock of all stores at the
+        time they were made, and no response of an epoch is made after one of the next:
+        a response with an earlier time and another epoch is of an earlier epoch. If
+        that clock jumps back, a new epoch is accepted later by as much, and prompts are
+        recomputed meanwhile.
         """
         return update.epoch != self.epoch and update.clock_ms < self.clock_ms
 
     def invalidate(self) -> None:
-        """Take in that a call failed: the store may be starting anew."""
+        """Invalidate the index after a failed call: the store may be restarting."""
         self._forget()
         self.epoch = 0
         self._epoch_seen_at = float("inf")
         self._confirmed_at = float("-inf")
 
     def is_current(self, now: float) -> bool:
-        """Say whether beliefs still hold."""
+        """Return whether the index is still valid."""
         return now - self._confirmed_at < UPDATE_VALID_SECONDS
 
     def can_save(self, now: float, tokens: int) -> bool:
-        """Say whether a part of so many tokens may be written."""
+        """Return whether a part of ``tokens`` tokens may be written."""
         settled = now - self._epoch_seen_at >= SAVE_HOLD_OFF_SECONDS
         has_headroom = self._stored_tokens + tokens <= self.capacity * MAX_FILL_SHARE
         return settled and has_headroom and self.is_current(now)
 
     def contains(self, scope: str, part: str, tokens: int) -> bool:
-        """Say whether the whole part lies there."""
+        """Return whether the complete part is stored there."""
         return self._parts.get((scope, part)) == tokens
 
     def is_saving(self, now: float, scope: str, part: str) -> bool:
-        """Say whether the part was sent there a moment ago."""
+        """Return whether an engine was recently told to save the part."""
         sent = self._saving.get((scope, part))
         return sent is not None and now - sent < SAVE_RETRY_SECONDS
 
     def record_save(self, now: float, scope: str, part: str) -> None:
-        """Take in that an engine is told to write the part."""
+        """Record that an engine is told to save the part."""
         self._saving[scope, part] = now
 
     def find_age(self, now: float) -> float:
-        """Return the seconds since the store answered last."""
+        """Return the seconds since the last response of the store was requested."""
         return now - self._confirmed_at
 
     @property
     def epoch_known_seconds(self) -> float:
-        """Return for how long this start had been known as the last answer was asked.
+        """Return for how long the epoch had been known at the last request.
 
-        It is below 0 as long as only the answer that told of the start is known.
+        The value is below 0 while only the response that reported the epoch is known.
         """
         return self._confirmed_at - self._epoch_seen_at
 
@@ -210,14 +215,15 @@
         return list(self._changes)[len(self._changes) - count :]
 
     def list_parts(self) -> list[PartChange]:
-        """Return all parts believed to lie there."""
+        """Return all parts assumed to be stored there."""
         return [PartChange(*key, tokens) for key, tokens in self._parts.items()]
 
     def find_fetch_deadline_ms(self, now: float) -> int:
-        """Return until when a fetch may go on, on the engines' clock."""
+        """Return the deadline of a fetch, in milliseconds on the engines' clock."""
         left = self._confirmed_at + UPDATE_VALID_SECONDS - now
         age = now - self._confirmed_at
-        # The answer named the clock at its making, which is not before it was asked.
+        # The response contains the clock at the time it was made, which is not before
+        # it was requested.
         return self.clock_ms + int((age + left) * 1000) if self.clock_ms else 0
 
     def _apply(self, change: PartChange) -> None:
@@ -239,7 +245,7 @@
 
 
 class PartStoreIndex:
-    """All stores, and the plan for a prompt."""
+    """All part stores, and the plan for a prompt."""
 
     def __init__(self) -> None:
         self._stores: dict[str, PartStore] = {}
@@ -250,7 +256,7 @@
         return list(self._stores.values())
 
     def set_stores(self, capacities: dict[str, int]) -> None:
-        """Take the stores that the operator declared, by address."""
+        """Set the configured stores: capacities in tokens by address."""
         for address in [a for a in self._stores if a not in capacities]:
             del self._stores[address]
         for address, capacity in capacities.items():
@@ -261,19 +267,19 @@
                 store.capacity = capacity
 
     def find(self, address: str) -> PartStore | None:
-        """Return a store."""
+        """Return a store, or None if it is not configured."""
         return self._stores.get(address)
 
     def choose_store(self, part: str) -> PartStore | None:
         """Return the store a part belongs to; the same at every gateway.
 
-        A store gets parts in proportion to its room.
+        Stores are assigned parts in proportion to their capacity.
         """
         best: PartStore | None = None
         score = -1.0
         for store in self._stores.values():
-            # The largest of (weight in 0..1) ** (1 / room) falls on each store with a
-            # chance proportional to its room.
+            # The largest of (weight in 0..1) ** (1 / capacity) falls on each store with
+            # a probability proportional to its capacity.
             drawn = (compute_weight(part.encode(), store.address) + 1) / 2.0**64
             found = drawn ** (1e6 / max(1, store.capacity))
             if found > score:
@@ -300,7 +306,7 @@
         """Return where to fetch and to save; None when there is nothing to do.
 
         ``parts`` are the shared ones in order, with their tokens; ``others`` is how
-        many of the prompt's parts follow that are the request's own.
+        many of the prompt's parts follow that belong to this request alone.
         """
         fetch: list[str] = []
         save: list[str] = []
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/pause_tracker.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/pause_tracker.py
@@ -1,8 +1,8 @@
-"""When this process paused, and since when what it reads may have been waiting.
+"""Tracks pauses of this process, and how long its input may have been waiting.
 
-Failure answered: a process is suspended for seconds, and takes what it reads after that
-for news of this moment. Load pattern: a tick five times a second, and a question for
-each thing whose age matters, a few a minute.
+Guards against stale input: a process is suspended for seconds and treats what it reads
+afterwards as current. Load pattern: a tick five times a second, and a query for each
+input whose age matters, a few a minute.
 
 All times are seconds on a clock that also counts while the machine is suspended.
 """
@@ -13,33 +13,34 @@
 
 # Seconds between two ticks.
 TICK_SECONDS = 0.2
-# Seconds between two ticks from which the process is taken to have stood still. A busy
-# event loop makes a tick late by a tenth; what waits for less than this is within the
-# margin that each limit has.
+# Seconds between two ticks from which the process counts as paused. A busy event loop
+# delays a tick by a tenth; an input that waits for less than this is within the margin
+# that each limit has.
 PAUSE_SECONDS = 0.6
-# Seconds after a pause in which the work that piled up is done.
+# Seconds after a pause in which the backlog of work is processed.
 CATCH_UP_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Pause:
-    """One time for which the process paused."""
+    """One time for which the process was paused."""
 
     started_at: float
     ended_at: float
 
     @property
     def caught_up_at(self) -> float:
-        """Return when all that had waited has been read.
+        """Return when all input that had been waiting has been read.
 
-        A peer whose segments were not acknowledged repeats them at doubled intervals:
-        the last comes no later after the pause than the pause was long.
+        A peer whose segments were not acknowledged retransmits them at doubled
+        intervals: the last one arrives no later after the pause than the pause was
+        long.
         """
         return self.ended_at + (self.ended_at - self.started_at) + CATCH_UP_SECONDS
 
 
 class PauseTracker:
-    """The last two times at which one process paused, and how long it ran."""
+    """The last two pauses of one process, and how long it has been running."""
 
     __slots__ = ("_previous", "_last", "_paused_seconds", "_ticked_at")
 
@@ -47,11 +48,11 @@
         self._ticked_at = now
         self._last: Pause | None = None
         self._previous: Pause | None = None
-        # Seconds of all pauses.
+        # Total of all pauses.
         self._paused_seconds = 0.0
 
     def record_tick(self, now: float) -> float:
-        """Take in that the process runs; return the seconds it stood still, or 0."""
+        """Record that the process is running; return the seconds it paused, or 0."""
         started_at, self._ticked_at = self._ticked_at, now
         gap = now - started_at
         if gap < PAUSE_SECONDS:
@@ -61,30 +62,31 @@
         return gap
 
     def read_running_clock(self, now: float) -> float:
-        """Return seconds on a clock that stands still while the process does.
+        """Return seconds on a clock that stops while the process is paused.
 
-        What is measured by it is never longer than the time that passed, pauses left
-        out. It can be too short by up to ``PAUSE_SECONDS``: the clock runs on until a
-        pause shows, and then goes back.
+        A duration measured with it is never longer than the elapsed time without
+        pauses. It can be too short by up to ``PAUSE_SECONDS``: the clock runs on until
+        a pause is detected, and is then set back.
         """
         gap = now - self._ticked_at
-        # It may run again, and this is read before the tick that is due.
+        # The process may be running again before the tick that is due.
         pending = gap if gap >= PAUSE_SECONDS else 0.0
         return now - self._paused_seconds - pending
 
     def find_earliest_arrival(self, now: float) -> float:
-        """Return since when something that is read now may have waited.
+        """Return the earliest time at which something read now may have arrived.
 
-        That is ``now`` unless the process paused a moment ago.
+        That is ``now`` unless the process paused recently.
         """
         last, previous = self._last, self._previous
         if now - self._ticked_at >= PAUSE_SECONDS:
-            # It runs again, and this is read before the tick that is due.
+            # The process is running again before the tick that is due.
             last, previous = Pause(self._ticked_at, now), self._last
         if last is None or now >= last.caught_up_at:
             return now
         if previous is not None and last.started_at < previous.caught_up_at:
-            # What waited in the pause before may have been unread when this one began.
-            # No further back: a slow process would take all news for ever older ones.
+            # Input that waited in the previous pause may have been unread when this one
+            # started. Earlier pauses are ignored: a slow process would otherwise treat
+            # all input as older and older.
             return previous.started_at
         return last.started_at
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -1,9 +1,10 @@
-"""Which target a request goes to, or that all are full.
+"""Chooses the target of a request, or reports that all are full.
 
-Load pattern: prompts that share long beginnings, over engines of which each caches a
-part of them. By load alone every prompt is read anew everywhere; by its beginning alone
-a popular one floods its owner while others idle. The expected time to the first token
-weighs both: what has to be read here, and what is still to be read before it.
+Load pattern: prompts that share long prefixes, over engines of which each caches some
+of them. Placement by load alone recomputes every prompt everywhere; placement by prefix
+alone floods the owner of a popular prefix while other engines are idle. The expected
+time to the first token covers both: what has to be prefilled here, and what is still to
+be prefilled before it.
 """
 
 from __future__ import annotations
@@ -23,42 +24,49 @@
     from .prompt import Prompt
     from .target_state import TargetState
 
-# Prompt tokens an engine reads in a second; the operators' sheet gives 112 a ms.
+# Prompt tokens an engine prefills in a second; the operator's data sheet states 112 a
+# ms.
 PREFILL_RATE = 112_000.0
-# Seconds that one running request adds to the time of a first token: it shares each
-# step of the batch. A step of 128 requests takes 6 ms longer than one of a single.
+# Seconds that one running request adds to the time to the first token: it shares each
+# step of the batch. A step of 128 requests takes 6 ms longer than one of a single
+# request.
 SECONDS_PER_RUNNING_REQUEST = 0.0008
-# Chance that the first owner of a prompt's beginning has it cached when this gateway
-# has not sent it there itself: the others choose the same owner.
+# Probability that the first owner of a prompt's prefix has it cached when this gateway
+# has not sent it there itself: the other gateways choose the same owner.
 OWNER_HIT_PROBABILITY = 0.8
-# What a token fetched from a store counts as, in tokens read: 8,600 take 25 ms, not
-# 77 ms, and the engine reads other prompts meanwhile.
+# Cost of a token fetched from a store, in prefilled tokens: 8,600 take 25 ms, not 77
+# ms, and the engine prefills other prompts meanwhile.
 FETCHED_TOKEN_COST = 0.15
-# What a shared token counts as that is read here though another engine has read it:
-# beside its own time it takes that of the prompts behind it. Of 3, 6 and 12 this reads
-# least again: 0.93 M tokens of 40 returning sessions in 30 s (1.37 M at 3), replayed.
+# Weight of a shared token that is recomputed here though another engine has it cached:
+# in addition to its own time it delays the prompts behind it. In replays with 3, 6 and
+# 12 this weight recomputes least: 0.93 M tokens of 40 returning sessions in 30 s (1.37
+# M at 3).
 REPEATED_PREFILL_WEIGHT = 6.0
-# Seconds for leaving the data centre: the way there and back, and its price in bytes.
+# Penalty in seconds for a target in another data centre: the round trip, and its price
+# in bytes.
 REMOTE_PENALTY_SECONDS = 0.004
-# Seconds a target's failing requests count as; a target that fails a tenth of its
-# requests is as bad as one that is this much slower by a tenth.
+# Penalty in seconds at a failure rate of 1; a target that fails a tenth of its requests
+# is as bad as one that is slower by a tenth of this.
 FAILURE_PENALTY_SECONDS = 2.0
-# Seconds that older weights count as: an answer made on them is worth a fifth less.
+# Penalty in seconds for older weights: a response made with them is worth a fifth less.
 OLD_WEIGHTS_PENALTY_SECONDS = 0.1
-# An answer is long from this many expected tokens: it holds up a target that is to load
-# new weights for half a second and more.
+# A response is long from this many expected tokens: it delays a target that is to load
+# new weights by half a second and more.
 LONG_OUTPUT_TOKENS = 100
-# Seconds that such a target counts as slower for a long answer: what the load waits.
+# Penalty in seconds for a long response at a target that loads new weights soon: the
+# delay of the load.
 LOADING_SOON_PENALTY_SECONDS = 0.5
 # Share of an engine's memory above which a request is not sent, by its priority, 0 the
-# most urgent. Long prompts of low priority would else fill the memory, and short urgent
-# ones wait behind them: an engine that is full puts runs back and reads them again.
+# most urgent. Otherwise long prompts of low priority would fill the memory, and short
+# urgent ones would wait behind them: an engine that is full preempts running requests
+# and recomputes them.
 MAX_MEMORY_SHARES = (1.05, 0.98, 0.9)
-# Seconds of unread prompts above which no more are sent, by priority: what is less
-# urgent leaves room, and what is sent gets its first token within its aim.
+# Seconds of pending prefill above which no more requests are sent, by priority: less
+# urgent ones leave headroom, and those that are sent get their first token within their
+# latency objective.
 PREFILL_BACKLOG_SECONDS = (0.6, 0.45, 0.4)
-# Requests under way at a plain target, as a share of its slots, above which it is full.
-# Its own queue covers the time in which a gateway hears of a free slot.
+# Requests in flight at a target without an engine, as a multiple of its slots, above
+# which it is full. Its own queue covers the delay until a gateway detects a free slot.
 PLAIN_LOAD_FACTOR = 2.0
 
 
@@ -78,7 +86,7 @@
 
     @property
     def max_backlog_seconds(self) -> float:
-        """Return the backlog up to which the request is sent."""
+        """Return the prefill backlog up to which the request is sent."""
         return PREFILL_BACKLOG_SECONDS[self._priority_index]
 
     @property
@@ -101,19 +109,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimitedTargets:
-    """Targets whose own limits leave no room for this gateway's next request."""
+    """Targets whose rate limits allow this gateway no further request for now."""
 
     count: int
     # No other target is known that the request has not been sent to.
     covers_all: bool
-    # When the first of them takes one again.
+    # When the first of them accepts a request again.
     next_at: float
-    # Requests a second that all of them take from this gateway.
+    # Requests a second that all of them together accept from this gateway.
     gateway_rate: float
 
 
 class Placement:
-    """The outcome of looking for a target."""
+    """The result of choosing a target."""
 
     __slots__ = ("known", "limited", "open", "state", "usable")
 
@@ -127,12 +135,12 @@
     ) -> None:
         # The chosen target; None when all usable ones are full, or none is usable.
         self.state = state
-        # Targets registered and open that could ever hold the request, those that may
-        # be tried, those with room.
+        # Numbers of targets: registered and open ones that could hold the request when
+        # idle, those that may be tried, and those with capacity.
         self.known = known
         self.usable = usable
         self.open = open_
-        # Of the others, those that get nothing now by their own word.
+        # The targets that get no request now because of the rate limit they reported.
         self.limited = limited
 
 
@@ -147,7 +155,7 @@
 ) -> Placement:
     """Return the target with the least expected time to the first byte.
 
-    Targets with weights older than the oldest that is allowed are left out.
+    Targets with weights older than the oldest that is allowed are excluded.
     """
     listed = fleet.list_targets(demand.service, now)
     known = [state for state in listed if _fits(state, demand)]
@@ -178,7 +186,7 @@
 
 
 def has_capacity(now: float, fleet: Fleet, state: TargetState, demand: Demand) -> bool:
-    """Say whether a target takes one more such request without a long wait."""
+    """Return whether a target can accept one more such request without a long wait."""
     engine = state.service.engine
     prompt = demand.prompt
     if engine is None or prompt is None:
@@ -202,10 +210,10 @@
 
 
 def _fits(state: TargetState, demand: Demand) -> bool:
-    """Say whether an idle target could hold the request.
+    """Return whether an idle target could hold the request.
 
-    An engine rejects a prompt larger than its memory as if it were full, for ever. A
-    caller would wait for room that never comes, and come back for the same.
+    An engine rejects a prompt larger than its memory as if it were full, always. A
+    caller would wait for capacity that never becomes free, and retry in vain.
     """
     engine = state.service.engine
     if engine is None or demand.prompt is None:
@@ -225,7 +233,7 @@
 def _find_limited(
     now: float, fleet: Fleet, states: list[TargetState]
 ) -> dict[TargetState, float]:
-    """Return the targets that get nothing now by their own limits, and until when."""
+    """Return the targets that their rate limits exclude now, and until when."""
     limited = {}
     for state in states:
         next_at = state.rate_limit.find_next(
@@ -259,7 +267,7 @@
 
 
 def _exclude_draining(now: float, states: list[TargetState]) -> list[TargetState]:
-    """Return the targets that take long answers; all if none of them does."""
+    """Return the targets that accept long responses; all if none of them does."""
     return [state for state in states if now >= state.short_answers_until] or states
 
 
@@ -277,7 +285,7 @@
 
 
 def _find_owner(states: list[TargetState], demand: Demand) -> str:
-    """Return the target that a prompt's beginning belongs to, also while it is full."""
+    """Return the target that owns a prompt's prefix, also while it is full."""
     if demand.prompt is None or not demand.prompt.affinity:
         return ""
     names = [state.entry.name for state in states]
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/prompt.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/prompt.py
@@ -1,20 +1,20 @@
-"""A prompt as its caller describes it: parts that prompts share, in order."""
+"""A prompt as its caller describes it: an ordered list of parts."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Callers' estimates are right at the median and often far off: most answers stay below
-# this multiple.
+# Callers' estimates are right at the median and often far off: most responses stay
+# below this multiple.
 ESTIMATE_FACTOR = 1.5
-# Share of the allowed output that an answer takes where its caller gives no estimate;
-# limits are set for the longest answer, and means lie at a third of them.
+# Share of the allowed output that a response uses where its caller gives no estimate;
+# limits are set for the longest response, and means are at a third of them.
 DEFAULT_OUTPUT_SHARE = 0.35
 
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A run of tokens that other prompts may begin with, too."""
+    """A run of tokens that other prompts may also start with."""
 
     name: str
     tokens: int
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """What a model engine has to read and may write."""
+    """What a model engine has to prefill and may generate."""
 
     model: str
     tokens_in: int
-    # The most tokens of output that the caller allows.
+    # Maximum tokens of output that the caller allows.
     max_output: int
     parts: tuple[PromptPart, ...]
     # The caller's estimate of the output; 0 for none.
@@ -34,18 +34,18 @@
 
     @property
     def tokens_out(self) -> int:
-        """Return the tokens of output to expect."""
+        """Return the expected tokens of output."""
         if self.estimated_output:
             return min(self.max_output, int(self.estimated_output * ESTIMATE_FACTOR))
         return int(self.max_output * DEFAULT_OUTPUT_SHARE)
 
     @property
     def shared_parts(self) -> tuple[PromptPart, ...]:
-        """Return the parts that belong not to this request alone."""
+        """Return the parts that do not belong to this request alone."""
         return self.parts[:-1]
 
     @property
     def affinity(self) -> str:
-        """Return the name of the longest shared beginning; empty when there is none."""
+        """Return the name of the longest shared prefix; empty when there is none."""
         shared = self.shared_parts
         return shared[-1].name if shared else ""
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/specs.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/specs.py
@@ -1,4 +1,4 @@
-"""What an operator declared and what targets said of themselves.
+"""What the operator configured and what targets reported of themselves.
 
 Times are in seconds, sizes in bytes, sizes of prompts and memory in tokens.
 """
@@ -16,18 +16,18 @@
     SAFE = "safe"
     # At most once.
     ONCE = "once"
-    # At most once from its beginning; a new run may go on after the last event.
+    # At most once from its start; a new run may resume after the last event.
     RESUMABLE = "resumable"
 
     @property
     def allows_rerun(self) -> bool:
-        """Say whether a second run from the beginning does no harm."""
+        """Return whether a second run from the start does no harm."""
         return self is not RetrySafety.ONCE
 
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One of the services a route divides its requests between."""
+    """One of the services that a route divides its requests between."""
 
     service: str
     weight: float = 1.0
@@ -35,33 +35,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Which requests go to which service, and how they may be treated."""
+    """Which requests go to which service, and how they may be handled."""
 
     name: str
     host: str
-    # Begins and ends with a slash.
+    # Starts and ends with a slash.
     prefix: str
     repeat: RetrySafety
-    # The answer is a stream of events.
+    # The response is a stream of events.
     streams: bool
-    # The longest time a caller is kept waiting for its final answer.
+    # Maximum seconds until the caller gets its final response.
     timeout: float
-    # Within this time to the first byte an answer has its full worth.
+    # Seconds to the first byte within which a response has its full value.
     latency_objective: float
     # 0 is the most urgent.
     priority: int
     services: tuple[WeightedService, ...]
-    # Targets that one request may be sent to, the first included.
+    # Maximum number of targets that one request may be sent to, the first included.
     max_targets: int
-    # No API key is asked for.
+    # No API key is required.
     public: bool
-    # Requests carry prompts whose parts targets may have cached.
+    # Requests contain prompts whose parts targets may have cached.
     has_prompt: bool
 
 
 @dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """What a service's model engines can hold."""
+    """The capacity of a service's model engines."""
 
     slots: int
     memory_tokens: int
@@ -70,14 +70,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """A service as the operator declared it."""
+    """A service as the operator configured it."""
 
     name: str
     health_path: str
-    # Connections one target accepts from all callers together.
+    # Maximum connections that one target accepts from all callers together.
     max_connections: int
-    # A target that started is cold for so long and then bears so many requests a
-    # second; 0 where there is no such limit.
+    # A target is cold for this long after its start and then handles this many requests
+    # a second; 0 where there is no such limit.
     cold_seconds: float
     cold_per_second: float
     engine: EngineSpec | None
@@ -85,21 +85,21 @@
 
 @dataclass(frozen=True, slots=True)
 class PartStoreSpec:
-    """A store in which engines keep parts of prompts."""
+    """A store in which engines save parts of prompts."""
 
     name: str
     # IP:PORT.
     address: str
     data_centre: str
-    # Tokens it has room for.
+    # Tokens that it can hold.
     capacity: int
-    # It drops nothing by itself, and says when a part lies whole in it.
+    # It evicts nothing by itself, and reports when a part is fully stored.
     managed: bool
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take."""
+    """Limits on the size and duration of what a caller sends."""
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -113,9 +113,9 @@
 
     name: str
     keys: tuple[str, ...]
-    # Goes before the route's where it is set.
+    # Overrides the priority of the route where it is set.
     priority: int | None
-    # Shares no cached part with other workspaces.
+    # Shares no cached parts with other workspaces.
     isolated: bool
 
 
@@ -134,11 +134,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetEntry:
-    """One start of a target, as it registered itself."""
+    """One instance of a target, as it registered itself."""
 
     name: str
-    # Milliseconds since 1970 of its start: a later start under the same name is
-    # another incarnation that knows nothing of the one before.
+    # Milliseconds since 1970 of its start: a later start under the same name is another
+    # instance, without the state of the previous one.
     started_ms: int
     service: str
     host: str
@@ -146,7 +146,7 @@
     data_centre: str
     slots: int
     leaving: bool
-    # Seconds that it stays cold, as of its last change of this entry.
+    # Seconds for which it stays cold, as of its last change of this entry.
     cold_seconds: float
     # Weight version by model.
     versions: dict[str, int] = field(default_factory=dict)
