--- a/libraries/decisions/src/bamboopier_decisions/forwarding/circuit_breaker.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/circuit_breaker.py
@@ -1,27 +1,27 @@
-"""Whether a target is passed over because of how it answered.
+"""Decides whether a target is skipped because of its recent failures.
 
-Load pattern: one target of several fails part of its requests, or hangs, while its
-health check is good. Least-loaded choice makes it worse: what fails at once looks idle.
-A target whose recent failures stand out is passed over for a pause that doubles, and
-tried again with single requests.
+Load pattern: one target of several fails some of its requests, or does not respond,
+while its health check succeeds. Least-loaded placement makes it worse: a target that
+fails at once looks idle. The circuit breaker of a target whose recent failures stand
+out opens, each time for twice as long; then single requests probe the target.
 """
 
 from __future__ import annotations
 
-# Weight of one answer in the moving share of failures: about the last eight count.
+# Weight of one response in the moving failure rate: about the last eight count.
 FAILURE_RATE_WEIGHT = 0.12
-# A target is passed over above this share of failures. Half the requests failing is
-# what a faulty target shows; chance reaches it seldom at a share of one in ten.
+# The circuit breaker opens above this failure rate. A faulty target fails half of its
+# requests; at a rate of one in ten, chance seldom reaches this value.
 MAX_FAILURE_RATE = 0.3
-# Seconds a target is passed over, doubled each time up to the longest.
+# Seconds for which the circuit breaker is open, doubled each time up to the maximum.
 INITIAL_OPEN_SECONDS = 0.5
 MAX_OPEN_SECONDS = 4.0
-# A target that cannot be reached shows at once; a restart takes about a second.
+# An unreachable target is detected at once; a restart takes about a second.
 UNREACHABLE_OPEN_SECONDS = 0.3
 
 
 class CircuitBreaker:
-    """One target's recent answers."""
+    """The circuit breaker of one target."""
 
     __slots__ = ("_open_seconds", "_probing", "_failure_rate", "_open_until")
 
@@ -29,27 +29,27 @@
         self._failure_rate = 0.0
         self._open_seconds = 0.0
         self._open_until = float("-inf")
-        # One request is on its way to find out whether the target answers again.
+        # One request is in flight that probes whether the target responds again.
         self._probing = False
 
     @property
     def failure_rate(self) -> float:
-        """Return the moving share of failures, 0 to 1."""
+        """Return the moving failure rate, 0 to 1."""
         return self._failure_rate
 
     def allows_request(self, now: float) -> bool:
-        """Say whether a request may be sent."""
+        """Return whether a request may be sent."""
         if now < self._open_until:
             return False
         return not (self._open_seconds > 0 and self._probing)
 
     def record_sent(self) -> None:
-        """Take in that a request was sent."""
+        """Record that a request was sent."""
         if self._open_seconds > 0:
             self._probing = True
 
     def record_success(self) -> None:
-        """Take in a whole answer."""
+        """Record a complete response."""
         self._failure_rate *= 1 - FAILURE_RATE_WEIGHT
         self._probing = False
         if self._open_seconds > 0:
@@ -57,11 +57,11 @@
         self._open_seconds = 0.0
 
     def record_inconclusive(self) -> None:
-        """Take in an end that says nothing of the target."""
+        """Record an end that shows nothing about the target."""
         self._probing = False
 
     def record_failure(self, now: float) -> None:
-        """Take in a request that the target failed."""
+        """Record a request that the target failed."""
         self._failure_rate += (1 - self._failure_rate) * FAILURE_RATE_WEIGHT
         was_probing = self._probing
         self._probing = False
@@ -69,7 +69,7 @@
             self._open(now, INITIAL_OPEN_SECONDS)
 
     def record_unreachable(self, now: float) -> None:
-        """Take in that no connection to the target came about."""
+        """Record that no connection to the target could be opened."""
         self._probing = False
         self._open(now, UNREACHABLE_OPEN_SECONDS)
 
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py
@@ -1,17 +1,19 @@
-"""How many requests a second one target gets from this gateway, by its own word.
-
-Load pattern: a target in need says in its answers what it takes from all gateways
-together. Each answer reaches one gateway, and each has callers enough to send all of
-that. So gateways tell each other what they were told, and each keeps to an equal part.
-
-Few gateways each save up a second of their part, so that callers who come together are
-served. With more gateways than the target takes requests, saved parts would add up to a
-burst. Then gateways take turns, in the order of their names, and send one request in a
-turn; the turns of all are as long as the target needs between two requests.
-
-An answer that names no limit ends it, if its request was sent after the limit had last
-been named: answers overtake each other. Nothing else ends it; a gateway that is cut off
-keeps to what it knows.
+"""Limits the requests a second to one target by the rate limit it reports.
+
+Load pattern: a rate-limited target reports in its responses the rate that it accepts
+from all gateways together. Each response reaches one gateway, and each gateway has
+enough callers to use all of that rate. Gateways therefore forward the reported limit to
+each other, and each is limited to an equal share.
+
+With few gateways each has a token bucket that holds one second of its share, so that
+callers who arrive together are served. With more gateways than the target accepts
+requests, full buckets would add up to a burst. In that case gateways use time slots, in
+the order of their names, and send one request in a time slot; each time slot is as long
+as the target needs between two requests.
+
+A response that reports no limit ends the limit, if its request was sent after the limit
+had last been reported: responses overtake each other. Nothing else ends it; a gateway
+that is cut off keeps the last limit it received.
 """
 
 from __future__ import annotations
@@ -20,34 +22,36 @@
 from dataclasses import dataclass
 
 NEVER = float("-inf")
-# Requests a second that are tried at a target which takes none: only an answer can say
-# that it takes some again.
+# Requests a second that are sent to a target that accepts none: only a response can
+# report that it accepts some again.
 MIN_PER_SECOND = 0.25
-# Gateways beyond what a target takes in a second up to which each saves up its part.
+# Number of gateways, in addition to the requests a target accepts in a second, up to
+# which each has a token bucket.
 BUCKET_GATEWAYS = 3.0
-# Requests that one gateway saves up, and the seconds in which its part makes more.
+# Minimum capacity of the bucket in requests, and the seconds of this gateway's share
+# that make up a larger capacity.
 MIN_BUCKET_SIZE = 1.0
 BUCKET_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class LimitUpdate:
-    """What gateways tell each other of one target's limit.
+    """What gateways report to each other of one target's limit.
 
     Times are on the clock of the gateway that reads it.
     """
 
     per_second: float
-    # When the target last named it, as an answer came.
+    # When the target last reported the limit, by the arrival of the response.
     reported_at: float
-    # When a request was last sent whose answer named none.
+    # When a request was last sent whose response reported no limit.
     ended_at: float
-    # Since when it has been named without an end.
+    # Since when the limit has been reported without an end.
     reported_since: float
 
 
 class RateLimit:
-    """What one target takes a second, and what this gateway sent it of that."""
+    """The rate limit of one target, and this gateway's use of its share."""
 
     __slots__ = (
         "_ended_at",
@@ -64,39 +68,39 @@
     )
 
     def __init__(self, phase: float = 0.0) -> None:
-        # Where the first gateway's turns lie, from 0 to 1; differs by target.
+        # Offset of the first gateway's time slots, from 0 to 1; differs by target.
         self._phase = phase
         self.per_second = math.inf
         self._reported_at = self._ended_at = NEVER
-        # The same by answers to this gateway alone: only these are told to others, so
-        # that nobody's word comes back to it as news.
+        # The same by responses to this gateway alone: only these are forwarded to other
+        # gateways, so that no report returns to its origin as an update.
         self._own_reported_at = self._own_ended_at = NEVER
         self._reported_since = NEVER
         self._credits = 0.0
         self._refilled_at = NEVER
         self._gateway_count = 1
-        # The turn in which a request was sent.
+        # The time slot in which a request was sent.
         self._used_time_slot: int | None = None
 
     @property
     def in_force(self) -> bool:
-        """Say whether the target names a limit, as far as is known."""
+        """Return whether the target reports a limit, as far as is known."""
         return self._reported_at > self._ended_at
 
     @property
     def last_response_at(self) -> float:
-        """Return when this gateway itself last learnt something from an answer."""
+        """Return when a response to this gateway last reported or ended the limit."""
         return max(self._own_reported_at, self._own_ended_at)
 
     def record_limit(self, now: float, per_second: float) -> bool:
-        """Take in an answer that names a limit; say whether that is new."""
+        """Record a response that reports a limit; return whether that is new."""
         self._own_reported_at = now
         return self._apply_reported(now, now, per_second, now)
 
     def record_no_limit(self, sent_at: float) -> bool:
-        """Take in an answer without a limit to a request sent at ``sent_at``.
+        """Record a response without a limit to a request sent at ``sent_at``.
 
-        Returns whether that ends a limit.
+        Return whether that ends a limit.
         """
         if self._reported_at == NEVER:
             return False
@@ -104,7 +108,7 @@
         return self._apply_ended(sent_at)
 
     def apply_update(self, now: float, update: LimitUpdate) -> bool:
-        """Take what another gateway was told; say whether it changes anything."""
+        """Apply an update of another gateway; return whether it changes anything."""
         ended = self._apply_ended(update.ended_at)
         if update.reported_at <= max(update.ended_at, self._reported_at):
             return ended
@@ -113,7 +117,7 @@
         )
 
     def make_update(self) -> LimitUpdate:
-        """Return what this gateway was told itself."""
+        """Return what was reported to this gateway itself."""
         return LimitUpdate(
             self.per_second,
             self._own_reported_at,
@@ -124,10 +128,10 @@
     def may_send(
         self, now: float, gateway_count: int, gateway_index: int | None
     ) -> bool:
-        """Say whether this gateway's part allows one more request.
+        """Return whether this gateway's share allows one more request.
 
-        It is the one at ``gateway_index``, from 0, in the order of the gateways' names; while
-        that is not known it has no turn.
+        ``gateway_index`` is this gateway's index, from 0, in the order of the gateways'
+        names; while it is None the gateway has no time slot.
         """
         return self.find_next(now, gateway_count, gateway_index) <= now
 
@@ -145,7 +149,7 @@
         return now + missing / self.gateway_rate
 
     def record_sent(self, now: float) -> None:
-        """Count a request."""
+        """Record a request."""
         if not self.in_force:
             return
         if self._uses_time_slots:
@@ -156,7 +160,7 @@
 
     @property
     def gateway_rate(self) -> float:
-        """Return the requests a second that are this gateway's."""
+        """Return this gateway's share in requests a second."""
         return self._rate / self._gateway_count
 
     @property
@@ -173,7 +177,7 @@
         is_new = not self.in_force or per_second != self.per_second
         if not self.in_force:
             self._reported_since = reported_since
-            # What callers sent before it was known has used up the first part.
+            # Requests sent before the limit was known have used up the first share.
             self._credits, self._refilled_at = 0.0, now
             self._used_time_slot = None
         else:
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/rollout_order.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/rollout_order.py
@@ -1,9 +1,11 @@
-"""The order in which targets load newly named weights, the same at every process.
+"""The order in which targets load a published weight version.
+
+All processes compute the same order, so gateways can route long responses away from the
+engines of the next wave.
 
 Load pattern: all engines of a service have to load within seconds, a third of them at a
-time, and each first lets its running streams end. A long stream holds a place to load
-for its whole length. Everybody computes the same order, so gateways can keep long
-answers away from the engines whose turn comes next.
+time, and each first lets its running streams end. A long stream occupies one of the
+concurrent loads for its whole length.
 """
 
 from __future__ import annotations
@@ -16,14 +18,15 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Targets of a service for each one that may load at the same time: a load takes longer
+# Targets of a service for each one that may load concurrently: a load takes longer
 # while more than about a third of the engines do so.
 TARGETS_PER_CONCURRENT_LOAD = 3
-# Turns ahead of the one that loads whose targets get fewer long answers.
+# Waves after the one that loads whose targets get fewer long responses.
 WAVES_AHEAD = 1
-# Seconds from the start of one turn to that of the next: a drain of two seconds and a
-# load of 1.4 s, of which the next drain overlaps the load. Sooner, two thirds of the
-# engines take no long answers at once; later, more answers are made on older weights.
+# Seconds from the start of one wave to that of the next: a drain of two seconds and a
+# load of 1.4 s, of which the next drain overlaps the load. With a shorter interval, two
+# thirds of the engines accept no long responses at the same time; with a longer one,
+# more responses are made with older weights.
 WAVE_SECONDS = 2.6
 
 
@@ -35,8 +38,8 @@
 def list_pending(versions: Mapping[str, int], newest: int) -> list[str]:
     """Return the targets that have still to load ``newest``, the next one first.
 
-    ``versions`` holds each target's version. The oldest come first: the time allowed
-    runs out for them before it does for those that have a version in between.
+    ``versions`` holds each target's version. The oldest come first: their grace period
+    ends before that of targets with a version in between.
     """
     behind = [name for name, version in versions.items() if version < newest]
     key = str(newest).encode()
@@ -44,9 +47,9 @@
 
 
 def find_wave_delay(versions: Mapping[str, int], newest: int, target: str) -> float:
-    """Return the seconds from the naming of ``newest`` to the turn of ``target``.
+    """Return the seconds from publication of ``newest`` to the wave of ``target``.
 
-    Time alone decides: a target that nobody orders holds up none behind it.
+    Only time counts: a target that receives no order delays none of those after it.
     """
     order = list_pending(versions, newest)
     if target not in order:
@@ -55,6 +58,6 @@
 
 
 def list_loading_soon(versions: Mapping[str, int], newest: int) -> frozenset[str]:
-    """Return the targets whose turn has come or comes next."""
+    """Return the targets of the current and the next wave."""
     count = count_concurrent_loads(len(versions)) * (1 + WAVES_AHEAD)
     return frozenset(list_pending(versions, newest)[:count])
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/route_table.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/route_table.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request, and the workspace of a key."""
+"""Finds the route of a request, and the workspace of an API key."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
     @property
     def needs_key(self) -> bool:
-        """Say whether routes that are not public ask for a key."""
+        """Return whether routes that are not public require a key."""
         return self.configuration.workspaces is not None
 
     def find_route(self, host: str, path: str) -> Route | None:
@@ -49,12 +49,12 @@
         return None
 
     def find_workspace(self, key: str) -> Workspace | None:
-        """Return the workspace that holds ``key``."""
+        """Return the workspace of ``key``, or None if the key is unknown."""
         return self._by_key.get(key)
 
 
 def choose_service(route: Route, random: random.Random) -> str:
-    """Return the service that one request goes to, by the declared weights."""
+    """Return a random service for one request, by the configured weights."""
     if len(route.services) == 1:
         return route.services[0].service
     weights = [s.weight for s in route.services]
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
@@ -1,10 +1,10 @@
-"""This gateway's share of the sends beyond the first that a service may get.
+"""Limits this gateway's retries to its share of a service's retry budget.
 
-Load pattern: a partial failure under load, when every gateway would send each failed
-request again and the service would carry a multiple of what it cannot carry now. The
-operator bounds repeats over all gateways in a sliding window; each keeps to the same
-ratio of its own requests and to an equal part of the constant slack, so the parts add
-up without a call for each retry.
+Load pattern: a partial failure under load, when every gateway would retry each failed
+request and the service would receive a multiple of a load that it already cannot
+handle. The operator limits retries over all gateways in a sliding window; each gateway
+applies the same ratio to its own requests and uses an equal share of the constant
+slack, so the shares add up without a call for each retry.
 """
 
 from __future__ import annotations
@@ -12,26 +12,26 @@
 from collections import deque
 from dataclasses import dataclass
 
-# Share of the common slack that is divided among the gateways. The rest covers a
-# gateway that restarts and has forgotten what it already spent in the window.
+# Share of the total slack that is divided among the gateways. The rest covers a gateway
+# that restarts without the count of its retries in the window.
 SLACK_SHARE = 0.6
-# Share of the ratio that is used: the windows of the gateways do not begin together.
+# Share of the ratio that is used: the windows of the gateways do not start together.
 RATIO_SHARE = 0.8
 
 
 @dataclass(frozen=True, slots=True)
 class RetryBudgetLimits:
-    """How much of a service's traffic may be repeats, over all gateways."""
+    """How much of a service's traffic may be retries, over all gateways."""
 
-    # Repeats for each request.
+    # Retries for each request.
     ratio: float
-    # Repeats allowed beside, in each window.
+    # Additional retries allowed in each window.
     slack: float
     window_seconds: float
 
 
 class SharedRetryBudget:
-    """Counts one service's requests and repeats of this gateway in a window."""
+    """Counts one service's requests and retries of this gateway in a window."""
 
     __slots__ = ("_ratio", "_retries", "_requests", "_slack", "_window")
 
@@ -41,17 +41,17 @@
         self.set_limits(limits)
 
     def set_limits(self, limits: RetryBudgetLimits) -> None:
-        """Take other bounds; what was counted goes on counting."""
+        """Set new limits; earlier requests and retries still count."""
         self._ratio = limits.ratio * RATIO_SHARE
         self._slack = limits.slack * SLACK_SHARE
         self._window = limits.window_seconds
 
     def record_request(self, now: float) -> None:
-        """Count a caller's request."""
+        """Record a caller's request."""
         self._requests.append(now)
 
     def try_spend(self, now: float, gateway_count: int) -> bool:
-        """Spend one repeat, with the slack divided by ``gateway_count``; False if none."""
+        """Spend one retry, with the slack divided by ``gateway_count``; False if none."""
         _remove_before(self._requests, now - self._window)
         _remove_before(self._retries, now - self._window)
         allowed = self._ratio * len(self._requests) + self._slack / max(
@@ -64,7 +64,7 @@
 
 
 class SharedRetryBudgets:
-    """The shares of all services."""
+    """The retry budgets of all services."""
 
     __slots__ = ("_limits", "_budgets")
 
@@ -73,14 +73,14 @@
         self._budgets: dict[str, SharedRetryBudget] = {}
 
     def find(self, service: str) -> SharedRetryBudget:
-        """Return the share of a service."""
+        """Return the budget of a service; a new one on first use."""
         budget = self._budgets.get(service)
         if budget is None:
             budget = self._budgets[service] = SharedRetryBudget(self._limits)
         return budget
 
     def set_limits(self, limits: RetryBudgetLimits) -> None:
-        """Take other bounds, also for the services that are already known."""
+        """Set new limits, also for the existing budgets."""
         self._limits = limits
         for budget in self._budgets.values():
             budget.set_limits(limits)
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/target_state.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of one start of a target."""
+"""The state of one instance of a target, as a gateway estimates it."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     from .prompt import Prompt
     from .specs import ServiceSpec, TargetEntry
 
-# Share of an engine's memory that is believed to hold shared parts; the rest holds
-# what runs.
+# Share of an engine's memory that is assumed to hold shared parts; the rest holds
+# running requests.
 CACHE_SHARE = 0.6
 
 
 class Load:
-    """Work of one target: requests, tokens of memory, and tokens still to be read."""
+    """Load of one target: requests, and tokens of memory and of pending prefill."""
 
     __slots__ = ("memory", "requests", "pending_prefill")
 
@@ -40,7 +40,7 @@
 
 
 class TargetState:
-    """One target: its entry, own load, load told by other gateways, and standing."""
+    """One target: its entry, its load from this and other gateways, and its limits."""
 
     __slots__ = (
         "headroom",
@@ -67,45 +67,45 @@
         self.circuit_breaker = CircuitBreaker()
         self.cold_start = ColdStartLimit(hash_phase(entry.name))
         self.rate_limit = RateLimit(hash_phase(entry.name))
-        # Until then it turns requests away, by its own word.
+        # Until then it rejects requests, as it reported.
         self.busy_until = float("-inf")
-        # Until then it gets short answers only: it is about to load new weights.
+        # Until then it gets short responses only: it is about to load new weights.
         self.short_answers_until = float("-inf")
         self.versions = dict(entry.versions)
         memory = service.engine.memory_tokens if service.engine else 0
         self.cached_parts = PartCacheEstimate(int(memory * CACHE_SHARE))
-        # Requests of this gateway under way that need each shared part: while there
-        # is one, the engine cannot evict it.
+        # Number of this gateway's requests in flight that need each shared part: while
+        # there is one, the engine cannot evict the part.
         self.pinned: Counter[str] = Counter()
 
     @property
     def slots(self) -> int:
-        """Return the requests it runs at once."""
+        """Return the maximum number of concurrent requests."""
         return max(1, self.entry.slots)
 
     @property
     def requests(self) -> int:
-        """Return the requests under way, other gateways' included."""
+        """Return the requests in flight, including those of other gateways."""
         return self.own_load.requests + self.other_load.requests
 
     @property
     def memory(self) -> int:
-        """Return the tokens of memory that requests under way need."""
+        """Return the tokens of memory that requests in flight need."""
         return self.own_load.memory + self.other_load.memory
 
     @property
     def pending_prefill(self) -> int:
-        """Return the prompt tokens not yet read."""
+        """Return the prompt tokens not yet prefilled."""
         return self.own_load.pending_prefill + self.other_load.pending_prefill
 
     def update_entry(self, entry: TargetEntry) -> None:
-        """Take a newer entry of the same start."""
+        """Apply a newer entry of the same instance."""
         self.entry = entry
         for model, version in entry.versions.items():
             self.record_version(model, version)
 
     def record_version(self, model: str, version: int) -> None:
-        """Take in a weight version; a change empties the engine's cache."""
+        """Record a weight version; a change empties the engine's cache."""
         known = self.versions.get(model, 0)
         if version > known:
             self.versions[model] = version
@@ -113,21 +113,21 @@
                 self.cached_parts.clear()
 
     def count_memory(self, prompt: Prompt) -> int:
-        """Return the tokens of memory that ``prompt`` needs beside what is pinned.
+        """Return the tokens of memory that ``prompt`` needs besides pinned parts.
 
-        A part that several requests share is held once.
+        A part that several requests share is stored once.
         """
         held = sum(p.tokens for p in prompt.shared_parts if self.pinned[p.name])
         return max(1, prompt.tokens_in - held) + prompt.tokens_out
 
     def pin(self, prompt: Prompt) -> int:
-        """Take in that ``prompt`` is sent; return the memory it adds."""
+        """Pin the shared parts of a prompt that is sent; return the memory it adds."""
         memory = self.count_memory(prompt)
         self.pinned.update(part.name for part in prompt.shared_parts)
         return memory
 
     def unpin(self, prompt: Prompt) -> int:
-        """Take in that ``prompt`` is over; return the memory that falls free."""
+        """Unpin the shared parts of a prompt that ended; return the memory it frees."""
         self.pinned.subtract(part.name for part in prompt.shared_parts)
         for part in prompt.shared_parts:
             if self.pinned[part.name] <= 0:
@@ -135,5 +135,5 @@
         return self.count_memory(prompt)
 
     def count_prefill(self, prompt: Prompt) -> int:
-        """Return the tokens of ``prompt`` that it probably has to read."""
+        """Return the tokens of ``prompt`` that the target probably has to prefill."""
         return max(1, prompt.tokens_in - self.cached_parts.count_cached(prompt))
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/wait_queue.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/wait_queue.py
@@ -1,9 +1,10 @@
-"""How long a request may wait for room, and when a refused one should come back.
+"""Limits how long a request waits for capacity, and when a rejected one returns.
 
-Load pattern: a burst fills all targets for a fraction of a second. Refusing at once
-wastes the room that falls free a moment later; waiting long costs the caller the time
-in which it could go elsewhere. A request waits a part of its aim, the most urgent
-first, and is then told when to come back, spread so that they do not return together.
+Load pattern: a burst fills all targets for a fraction of a second. Rejecting at once
+wastes the capacity that becomes free a moment later; a long wait costs the caller the
+time in which it could be served elsewhere. A request waits for a share of its latency
+objective, the most urgent first, and is then rejected with a Retry-After that is
+random, so that callers do not return together.
 """
 
 from __future__ import annotations
@@ -14,20 +15,20 @@
 if TYPE_CHECKING:
     import random
 
-# Share of the time to the first byte that a caller hopes for, which may pass in the
-# queue. What is served within the rest is still in time.
+# Share of the latency objective that may pass in the queue. A request that is served
+# within the rest is still in time.
 OBJECTIVE_SHARE = 0.6
-# Share of the time left that a request may spend waiting.
+# Share of the remaining time that a request may spend waiting.
 REMAINING_SHARE = 0.25
-# Seconds after which a refused request may come back, at least and at most.
+# Minimum and maximum seconds after which a rejected request may return.
 RETRY_AFTER_SECONDS = (0.4, 1.2)
-# Share of the time left that a caller waits at most before it comes back; later hints
-# are cut to it, so that many would return at the same moment.
+# Maximum share of the remaining time that a caller waits before it returns; it cuts a
+# later Retry-After to this share, so that many callers would return at the same moment.
 RETRY_AFTER_SHARE = 0.3
 
 
 def find_max_wait(latency_objective: float, remaining: float) -> float:
-    """Return the seconds a request may wait for room."""
+    """Return the maximum seconds that a request may wait for capacity."""
     return max(
         0.0, min(latency_objective * OBJECTIVE_SHARE, remaining * REMAINING_SHARE)
     )
@@ -36,10 +37,10 @@
 def draw_retry_after(
     remaining: float, random: random.Random, capacity_in: float = 0.0
 ) -> float:
-    """Return the seconds after which a refused request should come back.
+    """Return the random seconds after which a rejected request should return.
 
-    There is known to be no room for ``capacity_in`` seconds; a caller that came back before
-    would be refused again.
+    No capacity is expected for ``capacity_in`` seconds; a caller that returned before
+    would be rejected again.
     """
     shortest, longest = RETRY_AFTER_SECONDS
     max_seconds = remaining * RETRY_AFTER_SHARE
@@ -48,7 +49,7 @@
 
 
 class WaitQueue:
-    """Requests that wait for room, the most urgent first, then the oldest."""
+    """Requests that wait for capacity, the most urgent first, then the oldest."""
 
     __slots__ = ("_count", "_entries", "_removed")
 
@@ -67,17 +68,17 @@
         return self._count
 
     def remove(self, ticket: int) -> None:
-        """Take a request out, wherever it stands."""
+        """Remove a request, wherever it is in the queue."""
         self._removed.add(ticket)
         while self._entries and self._entries[0][1] in self._removed:
             _, first = heapq.heappop(self._entries)
             self._removed.discard(first)
 
     def count_before(self, priority: int) -> int:
-        """Return the requests that go before a new one of ``priority``."""
+        """Return the number of requests ahead of a new one of ``priority``."""
         return sum(p <= priority and t not in self._removed for p, t in self._entries)
 
     def list_tickets(self, count: int) -> list[int]:
-        """Return the next ``count`` requests in order."""
+        """Return the tickets of the next ``count`` requests in order."""
         found = heapq.nsmallest(count + len(self._removed), self._entries)
         return [t for _, t in found if t not in self._removed][:count]
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/weight_versions.py
@@ -1,68 +1,73 @@
-"""Which weight versions a request may begin on.
+"""Decides which weight versions a request may start on.
 
-Failure answered: an engine that missed its order goes on with old weights for ever, and
-its answers are those of a model that was replaced. Older versions serve while the newer
-is being loaded, since none would serve otherwise; after that time they get nothing.
+Guards against an engine that missed its order and goes on with old weights: its
+responses are those of a model that was replaced. Older versions serve while the newer
+one is being loaded, since none would serve otherwise; after that grace period they get
+no requests.
 
-The time of a version runs from the earliest moment at which it may have been named, not
-from when this process heard of it: a process that was suspended, or whose watch went
-silent, hears late. Counted from then, older versions would serve too long there.
+The grace period of a version starts at the earliest time at which the version may have
+been published, not when this process received it: a process that was suspended, or
+whose watch stopped responding, receives it late. Counted from then, older versions
+would serve too long there.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Seconds before the end of the time allowed for a new version from which the older one
-# gets no requests. They cover the time until this process heard of it, and the time in
-# which a request that was sent waits at the engine before it begins.
+# Seconds before the end of a version's grace period from which older versions get no
+# requests. They cover the delay until this process received the version, and the time
+# for which a sent request waits at the engine before it starts.
 SEND_MARGIN_SECONDS = 2.6
-# Seconds before that end from which a request that has not begun is taken back: its
-# target may be suspended, or full, for longer than the time above covers. They cover a
-# look at what waits, the way to the target, and a first answer that is on its way.
+# Seconds before that end from which a request that has not started is aborted: its
+# target may be suspended, or full, for longer than the margin above covers. They cover
+# a check of the waiting requests, the latency to the target, and a first response that
+# is in flight.
 WAIT_MARGIN_SECONDS = 0.5
 
 
-# Versions whose time is over that are kept: the newest of them is the bound, and the
-# one before it takes its place should it turn out to be named later.
+# Versions with an expired grace period that are kept: the newest of them is the oldest
+# allowed version, and the one before replaces it should it turn out to be published
+# later.
 MAX_EXPIRED = 2
 
 
 @dataclass(frozen=True, slots=True)
 class PublishTime:
-    """When a version was named, as somebody knows it."""
+    """When a version was published, as one process knows it."""
 
-    # It was not named before this, or that is a guess.
+    # The version was not published before this, or this is a guess.
     published_at: float
     guessed: bool
 
 
 class WeightVersions:
-    """The versions named for each model, and since when each may have been."""
+    """The versions published for each model, and the earliest time of each."""
 
     __slots__ = ("_recorded", "_grace", "_observed", "_published_at")
 
     def __init__(self, grace_seconds: float) -> None:
         self._grace = grace_seconds
-        # The versions of each model that this process heard of.
+        # The versions of each model that this process received.
         self._observed: dict[str, dict[int, PublishTime]] = {}
-        # The earliest times at which they may have been named, as others wrote them.
+        # The earliest times at which they may have been published, as recorded by
+        # others.
         self._recorded: dict[str, dict[int, PublishTime]] = {}
-        # Both together.
+        # Both merged.
         self._published_at: dict[str, dict[int, float]] = {}
 
     def set_grace(self, seconds: float) -> None:
-        """Take another time for which older versions may serve."""
+        """Set the seconds for which older versions may serve."""
         self._grace = seconds
 
     def record_published(
         self, model: str, version: int, published_at: float, *, guessed: bool = False
     ) -> bool:
-        """Take in a named version; True if it is newer than those known.
+        """Record a published version; True if it is newer than those known.
 
-        ``published_at`` is the earliest time at which it may have been named, minus infinity
-        where nothing is known of that. A guess may be too late, and gives way to what
-        others wrote.
+        ``published_at`` is the earliest time at which it may have been published, minus
+        infinity where nothing is known of that. A guess may be too late, and is
+        replaced by what others recorded.
         """
         if version <= self.find_newest(model):
             return False
@@ -75,35 +80,35 @@
     def record_publish_time(
         self, model: str, version: int, published_at: float, *, guessed: bool = False
     ) -> None:
-        """Take in the earliest time, or the guess, that somebody wrote down."""
+        """Record the earliest time, or the guess, that another process recorded."""
         self._recorded.setdefault(model, {})[version] = PublishTime(
             published_at, guessed
         )
         self._merge(model)
 
     def has_unknown_publish_time(self) -> bool:
-        """Say whether nothing is known of when one of the newest was named."""
+        """Return whether the publish time of one of the newest versions is unknown."""
         return any(
             self.find_published_at(model) == float("-inf") for model in self._observed
         )
 
     def is_guessed(self, model: str, version: int) -> bool:
-        """Say whether the time of a version is a guess."""
+        """Return whether the publish time of a version is a guess."""
         observed = self._observed.get(model, {}).get(version)
         return observed is not None and observed.guessed
 
     def is_recorded(self, model: str, version: int) -> bool:
-        """Say whether somebody wrote down when a version was named."""
+        """Return whether a process has recorded the publish time of a version."""
         return version in self._recorded.get(model, {})
 
     def find_newest(self, model: str) -> int:
-        """Return the newest version; 0 when none was named."""
+        """Return the newest version; 0 when none was published."""
         return max(self._observed.get(model, ()), default=0)
 
     def find_published_at(self, model: str) -> float:
-        """Return the earliest time at which the newest version may have been named.
+        """Return the earliest time at which the newest version may have been published.
 
-        Minus infinity when none was named, or when nobody knows.
+        Minus infinity when none was published, or when the time is unknown.
         """
         newest = self.find_newest(model)
         return self._published_at.get(model, {}).get(newest, float("-inf"))
@@ -129,14 +134,14 @@
         return expired[-1] if expired else 0
 
     def count_versions(self, model: str) -> int:
-        """Return the number of versions of which anything is kept."""
+        """Return the number of versions that are kept."""
         return len(self._published_at.get(model, ()))
 
     def _remove_before(self, model: str, version: int) -> None:
-        """Forget versions that decide nothing any more.
+        """Remove versions that no longer affect any decision.
 
-        Weights are named for as long as a process runs, and every request looks through
-        all that are known.
+        Weights are published for as long as a process runs, and every request searches
+        all known versions.
         """
         for known in (self._observed, self._recorded, self._published_at):
             versions = known.get(model, {})
@@ -144,11 +149,11 @@
                 del versions[old]
 
     def _merge(self, model: str) -> None:
-        """Put together what is known of each version.
+        """Merge what is known of each version.
 
-        The store shows the newest version only: the time of those named before it,
-        which others wrote down, goes on as well, and ends sooner for the targets that
-        have none of them.
+        The store shows the newest version only: the grace periods of versions published
+        before it, which others recorded, still count, and end sooner for the targets
+        that have none of these versions.
         """
         observed = self._observed.get(model, {})
         newest = self.find_newest(model)
@@ -162,14 +167,14 @@
 
 
 def _choose_time(known: PublishTime | None, recorded: PublishTime) -> float:
-    """Return the earliest time of a naming by what is known here and was written.
+    """Return the earliest publish time by what is known here and was recorded.
 
-    A guess may be too late: taken for more than a time that is known, it would let
-    older weights serve too long.
+    A guess may be too late: preferred to a known time, it would let older weights serve
+    too long.
     """
     if known is None or known.guessed:
         return recorded.published_at
     if recorded.guessed and known.published_at > float("-inf"):
         return known.published_at
-    # Neither is later than the true time, so the later one is nearer.
+    # Neither is later than the true time, so the later one is closer.
     return max(known.published_at, recorded.published_at)
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -67,7 +67,8 @@
     Mutation(
         "the time of older weights is looked at right before the send",
         f"{PROXY}/forwarder.py",
-        "        if not is_open or not self._planner.may_start(now, call, in_flight):\n",
+        "        if not is_open or"
+        " not self._planner.may_start(now, call, in_flight):\n",
         "        if not is_open:\n",
         "libraries/proxy",
         f"{ATTEMPTS}.test_nothing_is_sent_to_a_target_whose_weights_expired",
@@ -107,7 +108,9 @@
     Mutation(
         "a cold target gets less than one a second from each of many gateways",
         f"{FORWARDING}/cold_start_limit.py",
-        " and self._is_in_time_slot(now, gateway_rate * TIME_SLOT_SHARE, phase)\n",
+        " and self._is_in_time_slot(\n"
+        "            now, gateway_rate * TIME_SLOT_SHARE, phase\n"
+        "        )\n",
         "\n",
         "libraries/decisions",
         "tests.forwarding.test_bounds.ColdStartLimitTests"
@@ -116,7 +119,8 @@
     Mutation(
         "gateways that do not know how many they are take the smallest part",
         f"{PROXY}/gateway_state.py",
-        "        self.fleet.gateway_count, self.fleet.gateway_index = ASSUMED_GATEWAYS, None\n",
+        "        self.fleet.gateway_count, self.fleet.gateway_index ="
+        " ASSUMED_GATEWAYS, None\n",
         "",
         "libraries/proxy",
         f"{PEERS}.test_a_gateway_without_the_list_sends_nothing_to_cold_targets",
