--- a/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/shared_retry_budget.py
@@ -51,7 +51,10 @@
         self._requests.append(now)
 
     def try_spend(self, now: float, gateway_count: int) -> bool:
-        """Spend one retry, with the slack divided by ``gateway_count``; False if none."""
+        """Spend one retry if allowed, with the slack divided by ``gateway_count``.
+
+        Return whether it was allowed.
+        """
         _remove_before(self._requests, now - self._window)
         _remove_before(self._retries, now - self._window)
         allowed = self._ratio * len(self._requests) + self._slack / max(
--- a/libraries/decisions/tests/forwarding/builders.py
+++ b/libraries/decisions/tests/forwarding/builders.py
@@ -1,4 +1,4 @@
-"""Entries, services, prompts and fleets for the tests of forwarding decisions."""
+"""Builders of entries, services, prompts and fleets for forwarding tests."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def make_fleet(entries: Iterable[TargetEntry], now: float = 0.0) -> Fleet:
-    """Return a fleet that knows these entries."""
+    """Return a fleet with these entries."""
     fleet = Fleet()
     fleet.set_services(make_services())
     fleet.replace(now, entries)
@@ -90,7 +90,9 @@
     return Route(**{**fields, **changes})
 
 
-def make_declared(routes: Iterable[Route], **changes: Any) -> DeclaredConfiguration:
+def make_configuration(
+    routes: Iterable[Route], **changes: Any
+) -> DeclaredConfiguration:
     """Return a configuration with one workspace."""
     workspace = Workspace("midlands", ("k1", "k2"), None, isolated=False)
     fields: dict[str, Any] = {
--- a/libraries/decisions/tests/forwarding/test_bounds.py
+++ b/libraries/decisions/tests/forwarding/test_bounds.py
@@ -1,4 +1,7 @@
-"""Bounds that several gateways share without a call: repeats, cold targets, keys."""
+"""Tests of limits on retries, cold targets, stale configurations and failing targets.
+
+Several gateways share the first two without a call between them.
+"""
 
 from __future__ import annotations
 
@@ -19,14 +22,15 @@
 BOUNDS = RetryBudgetLimits(ratio=0.2, slack=54, window_seconds=10.0)
 
 
-# What the rules allow a cold target beyond what it bears in a second.
-COLD_OVER, COLD_SLACK = 1.5, 5.0
+# Requests that a cold target may receive in a second: this factor of its rate, and so
+# many more.
+COLD_FACTOR, COLD_SLACK = 1.5, 5.0
 
 
 class SharedRetryBudgetTests(unittest.TestCase):
-    def test_changed_bounds_hold_for_services_already_known(self) -> None:
-        # The operator allows no more repeats beside the ratio while a service has
-        # failures. Its next failing request is not sent again.
+    def test_changed_limits_apply_to_existing_budgets(self) -> None:
+        # Guards against old limits staying in use. The operator removes the slack while
+        # a service has failures; its next failing request is not retried.
         shares = SharedRetryBudgets(BOUNDS)
         share = shares.find("desk")
         self.assertTrue(share.try_spend(1.0, 1))
@@ -34,10 +38,10 @@
         self.assertIs(shares.find("desk"), share)
         self.assertFalse(share.try_spend(1.1, 1))
 
-    def test_gateways_together_stay_within_the_bound(self) -> None:
-        # Every request of a service fails and each of four gateways would repeat it.
-        # In every window of ten seconds the repeats of all of them stay below a fifth
-        # of the requests and the slack.
+    def test_all_gateways_together_stay_within_the_limits(self) -> None:
+        # Every request of a service fails and each of four gateways would retry it. In
+        # every window of ten seconds the retries of all of them stay below a fifth of
+        # the requests and the slack.
         gateways = [SharedRetryBudget(BOUNDS) for _ in range(4)]
         repeats: list[float] = []
         for step in range(3000):
@@ -51,8 +55,9 @@
             self.assertLessEqual(len(inside), 0.2 * 1000 + 54)
         self.assertGreater(len(repeats), 300)
 
-    def test_a_restart_of_one_gateway_does_not_break_the_bound(self) -> None:
-        # One of four gateways restarts in the window and has forgotten its repeats.
+    def test_a_restart_of_one_gateway_does_not_exceed_the_limits(self) -> None:
+        # One of four gateways restarts in the window and has lost the count of its
+        # retries.
         spent = 0
         for shares in ([SharedRetryBudget(BOUNDS) for _ in range(5)],):
             for share in shares:
@@ -63,8 +68,8 @@
 
 class ColdStartLimitTests(unittest.TestCase):
     def test_all_gateways_together_respect_the_rate(self) -> None:
-        # Five gateways send to an engine that is cold, as fast as they may. In no
-        # second does it get more than 18 requests.
+        # Five gateways send to a cold engine as fast as they may. In no second does it
+        # receive more than 18 requests.
         ramps = [ColdStartLimit() for _ in range(5)]
         sent: list[float] = []
         for ramp in ramps:
@@ -80,11 +85,12 @@
             self.assertLessEqual(len(inside), 18)
         self.assertGreater(len(sent), 30)
 
-    def test_more_gateways_than_a_cold_target_bears_requests(self) -> None:
-        # An engine comes back cold and bears 13 requests a second, or 10; it crashes
-        # well above that. There are more gateways than that, and each sent one in a
-        # second: callers met an engine that crashed under all of them. Requests wait
-        # at every gateway from the beginning, or all come after two seconds.
+    def test_more_gateways_than_requests_a_second_of_a_cold_target(self) -> None:
+        # Guards against one request a second from each gateway. An engine restarts cold
+        # and handles 13 requests a second, or 10; it crashes well above that. There are
+        # more gateways than that, and callers met an engine that crashed under the sum.
+        # Requests wait at every gateway from the start, or all arrive after two
+        # seconds.
         for gateways, rate in ((28, 13.0), (68, 10.0), (340, 13.0)):
             for idle in (0.0, 2.0):
                 with self.subTest(gateways=gateways, idle=idle):
@@ -92,28 +98,28 @@
                     most = max(
                         sum(start <= t < start + 1 for t in sent) for start in sent
                     )
-                    self.assertLessEqual(most, rate * COLD_OVER + COLD_SLACK)
-                    # It serves at least half of what it bears.
+                    self.assertLessEqual(most, rate * COLD_FACTOR + COLD_SLACK)
+                    # It serves at least half of its rate.
                     self.assertGreater(len(sent), (10.0 - idle) * rate / 2)
 
     def flood(
         self, gateways: int, rate: float, seconds: float, idle: float
     ) -> list[float]:
-        """Let all send what they may to a cold target; return when they did."""
+        """Send all allowed requests to a cold target; return when they are sent."""
         ramps = [ColdStartLimit(hash_phase("i-1")) for _ in range(gateways)]
         for number, ramp in enumerate(ramps):
-            # They hear of its start within some milliseconds.
+            # The gateways receive its start within some milliseconds.
             ramp.start(number * 0.0002, seconds)
         sent: list[float] = []
         for step in range(int(idle * 100) + 10, int(seconds * 100)):
             now = step * 0.01
-            for place, ramp in enumerate(ramps):
-                if ramp.may_send(now, rate, gateways, place):
+            for gateway_index, ramp in enumerate(ramps):
+                if ramp.may_send(now, rate, gateways, gateway_index):
                     ramp.record_sent(now)
                     sent.append(now)
         return sent
 
-    def test_a_warm_target_has_no_bound(self) -> None:
+    def test_a_warm_target_has_no_limit(self) -> None:
         ramp = ColdStartLimit()
         for _ in range(100):
             self.assertTrue(ramp.may_send(5.0, 18.0, 1))
@@ -121,22 +127,22 @@
 
 
 class ConfigurationFreshnessTests(unittest.TestCase):
-    def test_a_proof_counts_from_its_question(self) -> None:
-        # The answer to a question of second 10 arrives at second 14. A key could have
-        # been taken away at 10.1, so at 15 the proof is five seconds old.
+    def test_a_confirmation_counts_from_its_request(self) -> None:
+        # The response to a request of second 10 arrives at second 14. A key could have
+        # been revoked at 10.1, so at 15 the confirmation is five seconds old.
         currency = ConfigurationFreshness(5.0)
         self.assertFalse(currency.is_fresh(1.0))
         currency.confirm(10.0)
         self.assertTrue(currency.is_fresh(14.0))
         self.assertFalse(currency.is_fresh(15.0 - SEND_MARGIN))
 
-    def test_an_older_proof_takes_nothing_back(self) -> None:
+    def test_an_older_confirmation_changes_nothing(self) -> None:
         currency = ConfigurationFreshness(5.0)
         currency.confirm(10.0)
         currency.confirm(3.0)
         self.assertTrue(currency.is_fresh(14.0))
 
-    def test_without_a_bound_one_proof_is_enough(self) -> None:
+    def test_without_a_maximum_age_one_confirmation_is_enough(self) -> None:
         currency = ConfigurationFreshness(None)
         self.assertFalse(currency.is_fresh(1.0))
         currency.confirm(0.0)
@@ -144,7 +150,7 @@
 
 
 class CircuitBreakerTests(unittest.TestCase):
-    def test_a_target_that_fails_half_is_passed_over(self) -> None:
+    def test_a_target_that_fails_half_of_its_requests_is_skipped(self) -> None:
         standing = CircuitBreaker()
         for step in range(30):
             now = step * 0.05
@@ -168,7 +174,7 @@
             else:
                 standing.record_success()
 
-    def test_it_is_tried_again_with_one_request(self) -> None:
+    def test_one_request_probes_the_target(self) -> None:
         standing = CircuitBreaker()
         standing.record_unreachable(0.0)
         self.assertFalse(standing.allows_request(0.1))
@@ -178,7 +184,7 @@
         standing.record_success()
         self.assertTrue(standing.allows_request(1.0))
 
-    def test_a_failed_try_doubles_the_pause(self) -> None:
+    def test_a_failed_probe_doubles_the_open_time(self) -> None:
         standing = CircuitBreaker()
         standing.record_unreachable(0.0)
         standing.record_sent()
--- a/libraries/decisions/tests/forwarding/test_fleet.py
+++ b/libraries/decisions/tests/forwarding/test_fleet.py
@@ -1,4 +1,4 @@
-"""Which targets are used as entries come, change, lapse and go."""
+"""Tests of which targets are used as entries change, expire and are removed."""
 
 from __future__ import annotations
 
@@ -16,38 +16,38 @@
     def setUp(self) -> None:
         self.fleet = make_fleet([make_entry("i-1"), make_entry("i-2")])
 
-    def test_a_leaving_target_gets_nothing(self) -> None:
+    def test_a_leaving_target_is_not_listed(self) -> None:
         self.fleet.put(1.0, make_entry("i-1", leaving=True))
         self.assertEqual(self.list_names(1.0), ["i-2"])
 
-    def test_a_removed_entry_is_gone_at_once_while_the_store_is_well(self) -> None:
+    def test_a_removal_applies_at_once_without_an_outage(self) -> None:
         self.fleet.remove(1.0, "i-1")
         self.assertEqual(self.list_names(1.0), ["i-2"])
 
-    def test_after_an_outage_a_missing_entry_keeps_two_seconds(self) -> None:
+    def test_a_missing_entry_stays_two_seconds_after_an_outage(self) -> None:
         self.fleet.replace(10.0, [make_entry("i-2")], store_recovered_at=10.0)
         self.assertEqual(self.list_names(10.1), ["i-1", "i-2"])
         self.assertEqual(self.list_names(10.0 + STORE_RECOVERY_SECONDS), ["i-2"])
 
-    def test_one_that_goes_later_keeps_no_longer_than_from_the_return(self) -> None:
+    def test_a_late_removal_counts_from_the_recovery(self) -> None:
         self.fleet.remove(11.5, "i-1", store_recovered_at=10.0)
         self.assertEqual(self.list_names(11.6), ["i-1", "i-2"])
         self.assertEqual(self.list_names(10.0 + STORE_RECOVERY_SECONDS), ["i-2"])
         self.fleet.remove(10.0 + STORE_RECOVERY_SECONDS, "i-2", store_recovered_at=10.0)
         self.assertEqual(self.list_names(10.0 + STORE_RECOVERY_SECONDS), [])
 
-    def test_an_entry_that_is_back_in_time_stays(self) -> None:
+    def test_an_entry_that_is_listed_again_in_time_stays(self) -> None:
         self.fleet.replace(10.0, [make_entry("i-2")], store_recovered_at=10.0)
         self.fleet.put(11.0, make_entry("i-1"))
         self.assertEqual(self.list_names(20.0), ["i-1", "i-2"])
 
-    def test_one_that_was_leaving_before_the_outage_does_not_come_back(self) -> None:
+    def test_a_target_that_was_leaving_before_an_outage_is_removed(self) -> None:
         self.fleet.put(1.0, make_entry("i-1", leaving=True))
         self.fleet.replace(10.0, [make_entry("i-2")], store_recovered_at=10.0)
         self.assertEqual(self.list_names(10.1), ["i-2"])
 
-    def test_a_new_start_under_the_same_name_knows_nothing(self) -> None:
-        # An engine crashes and is back under its name: its cache is empty, and it is
+    def test_a_new_instance_starts_without_state(self) -> None:
+        # An engine crashes and restarts under its name: its cache is empty, and it is
         # cold, so it gets a few requests a second.
         state = self.fleet.find("i-1")
         assert state is not None
@@ -59,7 +59,7 @@
         self.assertTrue(again.cold_start.is_cold(7.9))
         self.assertFalse(self.fleet.is_open(state, 5.0))
 
-    def test_a_closed_data_centre_gets_nothing(self) -> None:
+    def test_targets_of_a_drained_data_centre_are_not_listed(self) -> None:
         self.fleet.put(1.0, make_entry("i-3", data_centre="z2"))
         self.fleet.drain_data_centres(["z1"])
         self.assertEqual(self.list_names(1.0), ["i-3"])
--- a/libraries/decisions/tests/forwarding/test_load_pattern.py
+++ b/libraries/decisions/tests/forwarding/test_load_pattern.py
@@ -1,8 +1,8 @@
-"""Replays of load patterns against the pure decisions: several gateways, few engines.
+"""Replays of load patterns against the decisions: several gateways, few engines.
 
-The engine here reads prompts one after another at 112,000 tokens a second and keeps the
-last 100,000 tokens of shared parts. Gateways know of each other what a hint a quarter
-second old says.
+The engine here prefills prompts one after another at 112,000 tokens a second and caches
+the last 100,000 tokens of shared parts. Gateways see the load of each other as of a
+hint that is up to a quarter of a second old.
 """
 
 from __future__ import annotations
@@ -32,20 +32,20 @@
 PREFILL_RATE = 112_000.0
 CACHE_TOKENS = 100_000
 HINT_SECONDS = 0.25
-# Seconds from the first to the last token of an answer.
+# Seconds from the first to the last token of a response.
 STREAM_SECONDS = 1.5
 
 
 @dataclass
 class Engine:
-    """Reads in order; caches shared parts."""
+    """Prefills prompts in order; caches shared parts."""
 
     free_at: float = 0.0
     cache: OrderedDict[str, int] = field(default_factory=OrderedDict)
-    read: int = 0
+    prefilled: int = 0
 
     def begin(self, now: float, prompt: Prompt) -> float:
-        """Return when the first token comes."""
+        """Return when the first token is generated."""
         cached = 0
         for part in prompt.shared_parts:
             if part.name not in self.cache:
@@ -57,24 +57,24 @@
         while sum(self.cache.values()) > CACHE_TOKENS:
             self.cache.popitem(last=False)
         prefill = prompt.tokens_in - cached
-        self.read += prefill
+        self.prefilled += prefill
         self.free_at = max(now, self.free_at) + prefill / PREFILL_RATE
         return self.free_at
 
 
 @dataclass
 class Outcome:
-    """What callers of one replay saw."""
+    """What callers of one replay observed."""
 
     firsts: list[float] = field(default_factory=list)
-    refused: int = 0
-    read: int = 0
+    rejected: int = 0
+    prefilled: int = 0
     by_engine: dict[str, int] = field(default_factory=dict)
 
     def share_within(self, seconds: float) -> float:
-        """Return the share of all requests whose first token came in time."""
+        """Return the share of requests whose first token came within ``seconds``."""
         in_time = sum(1 for first in self.firsts if first <= seconds)
-        return in_time / (len(self.firsts) + self.refused)
+        return in_time / (len(self.firsts) + self.rejected)
 
 
 def replay(
@@ -85,11 +85,11 @@
 ) -> Outcome:
     """Send each request through the gateways in turn.
 
-    ``limits`` are the requests a second that some engines say they take from all.
+    ``limits`` are the requests a second that some engines report as their total limit.
     """
     generator = random.Random(7)
     names = [f"i-{n}" for n in range(engines)]
-    world = {name: Engine() for name in names}
+    engines_by_name = {name: Engine() for name in names}
     fleets = [make_fleet([make_entry(n) for n in names]) for _ in range(gateway_count)]
     for number, fleet in enumerate(fleets):
         fleet.gateway_count, fleet.gateway_index = gateway_count, number
@@ -99,7 +99,7 @@
             state.rate_limit.record_limit(0.0, per_second)
     outcome = Outcome(by_engine=dict.fromkeys(names, 0))
     events: list[tuple[float, int, str, Fleet, InFlightRequest]] = []
-    told = 0.0
+    reported_at = 0.0
     for number, (now, prompt) in enumerate(arrivals):
         while events and events[0][0] <= now:
             _, _, kind, fleet, sent = heapq.heappop(events)
@@ -107,29 +107,29 @@
                 fleet.record_prefilled(sent)
             else:
                 fleet.end(sent)
-        if now - told >= HINT_SECONDS:
-            told = now
+        if now - reported_at >= HINT_SECONDS:
+            reported_at = now
             share_loads(fleets, names)
         fleet = fleets[number % gateway_count]
         demand = Demand(DESK, 1, prompt)
         wanted = WeightVersionRange()
         found = choose_target(now, fleet, demand, set(), wanted, "z1", generator).state
         if found is None:
-            outcome.refused += 1
+            outcome.rejected += 1
             continue
         sent = fleet.begin(now, found, prompt)
-        first = world[found.entry.name].begin(now, prompt)
+        first = engines_by_name[found.entry.name].begin(now, prompt)
         outcome.by_engine[found.entry.name] += 1
         outcome.firsts.append(first - now)
         heapq.heappush(events, (first, number, "read", fleet, sent))
         end = first + STREAM_SECONDS
         heapq.heappush(events, (end, number, "end", fleet, sent))
-    outcome.read = sum(engine.read for engine in world.values())
+    outcome.prefilled = sum(engine.prefilled for engine in engines_by_name.values())
     return outcome
 
 
 def share_loads(fleets: list[Fleet], names: list[str]) -> None:
-    """Tell each gateway what the others have under way."""
+    """Set at each gateway the load of the others."""
     for fleet in fleets:
         loads: dict[str, Load] = {}
         for other in fleets:
@@ -158,20 +158,21 @@
 
 
 class ReturningPromptTests(unittest.TestCase):
-    def test_sessions_that_fit_the_caches_are_read_once(self) -> None:
+    def test_sessions_that_fit_the_caches_are_prefilled_once(self) -> None:
         # Forty sessions of 8,600 tokens return to six engines through four gateways.
-        # They fit the caches together, so most prompts need only their own part. Where
-        # the owner of a session is not preferred, ten times the first reads are read.
+        # They fit the caches together, so most prompts need only their own part. If the
+        # owner of a session is not preferred, ten times the first prefills are
+        # computed.
         arrivals = draw_arrivals(30.0, 30.0, 40)
         outcome = replay(arrivals, engines=6, gateway_count=4)
         own = sum(prompt.parts[-1].tokens for _, prompt in arrivals)
         first_reads = 40 * 8600 + 6 * 512
-        self.assertLess(outcome.read, own + 4 * first_reads)
+        self.assertLess(outcome.prefilled, own + 4 * first_reads)
         self.assertGreater(outcome.share_within(0.6), 0.99)
 
     def test_a_hot_session_does_not_flood_its_owner(self) -> None:
         # Nine of ten requests belong to one session. Its owner alone would need 25 ms
-        # for each, twice what it has; the others must take part.
+        # for each, twice its capacity; the others must serve some of them.
         generator = random.Random(5)
         arrivals = [
             (when, make_prompt("hot") if generator.random() < 0.9 else prompt)
@@ -184,13 +185,13 @@
 
 
 class LimitTests(unittest.TestCase):
-    def test_what_engines_in_need_do_not_take_is_served_by_the_others(self) -> None:
-        # Two of eight engines take two requests a second each. The other six have room
-        # for what is over that, and no caller notices.
+    def test_other_engines_serve_what_rate_limited_engines_do_not_accept(self) -> None:
+        # Two of eight engines accept two requests a second each. The other six have
+        # capacity for the excess, and callers see no difference.
         arrivals = draw_arrivals(38.0, 30.0, 400)
         limits = {"i-0": 2.0, "i-1": 2.0}
         outcome = replay(arrivals, engines=8, gateway_count=4, limits=limits)
-        self.assertEqual(outcome.refused, 0)
+        self.assertEqual(outcome.rejected, 0)
         self.assertGreater(outcome.share_within(0.6), 0.99)
         for name, per_second in limits.items():
             taken = outcome.by_engine[name] / 30.0
@@ -199,9 +200,10 @@
 
 
 class OverloadTests(unittest.TestCase):
-    def test_twice_what_engines_can_read_still_serves_what_they_can(self) -> None:
-        # Prompts that share nothing arrive at twice the rate that six engines read.
-        # Those that are let in get their first token in time; the rest hears at once.
+    def test_twice_the_prefill_rate_is_served_up_to_capacity(self) -> None:
+        # Prompts that share nothing arrive at twice the prefill rate of six engines.
+        # Those that are accepted get their first token in time; the others are rejected
+        # at once.
         arrivals = [
             (when, make_prompt(f"new-{number}"))
             for number, (when, _) in enumerate(draw_arrivals(112.0, 20.0, 10))
@@ -213,9 +215,9 @@
         self.assertGreater(len(firsts), 0.85 * capacity)
 
     def test_gateways_do_not_fill_an_empty_engine_together(self) -> None:
-        # An engine comes back from a load while all others are full. Five gateways
-        # see it empty and send to it within a quarter of a second, before they hear
-        # of each other. Callers' first tokens are due within 0.6 s.
+        # An engine is available again after a weight load while all others are full.
+        # Five gateways see it empty and send to it within a quarter of a second, before
+        # the hints of the others arrive. Callers' first tokens are due within 0.6 s.
         generator = random.Random(5)
         moments = sorted(generator.uniform(0.0, 0.2) for _ in range(60))
         arrivals = [(at, make_prompt(f"new-{n}")) for n, at in enumerate(moments)]
@@ -223,10 +225,10 @@
         self.assertLess(max(outcome.firsts), 0.9)
         self.assertGreaterEqual(len(outcome.firsts), 5)
 
-    def test_no_request_is_refused_while_engines_have_room(self) -> None:
+    def test_no_request_is_rejected_while_engines_have_capacity(self) -> None:
         arrivals = draw_arrivals(20.0, 30.0, 400)
         outcome = replay(arrivals, engines=6, gateway_count=4)
-        self.assertEqual(outcome.refused, 0)
+        self.assertEqual(outcome.rejected, 0)
 
 
 if __name__ == "__main__":
--- a/libraries/decisions/tests/forwarding/test_placement.py
+++ b/libraries/decisions/tests/forwarding/test_placement.py
@@ -1,4 +1,4 @@
-"""Which targets are considered for one request."""
+"""Tests of which targets are considered for one request."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class PlacementTests(unittest.TestCase):
-    def test_a_prompt_that_no_engine_can_ever_hold_has_no_target(self) -> None:
+    def test_a_prompt_too_large_for_every_engine_has_no_target(self) -> None:
         # The engines are idle, and each would reject the prompt as if it were full.
-        # With no target known the caller hears at once, and not after a wait.
+        # With no target known the caller is rejected at once, and not after a wait.
         fleet = make_fleet([make_entry("i-1"), make_entry("i-2")])
         for shared, known in ((160_000, 2), (170_000, 0)):
             demand = Demand(DESK, 1, make_prompt("s1", shared=shared))
--- a/libraries/decisions/tests/forwarding/test_route_table.py
+++ b/libraries/decisions/tests/forwarding/test_route_table.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, and workspaces by key."""
+"""Tests of routes by host and longest prefix, and of workspaces by key."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from bamboopier_decisions.forwarding.route_table import RouteTable, choose_service
 from bamboopier_decisions.forwarding.specs import WeightedService
 
-from .builders import make_declared, make_route
+from .builders import make_configuration, make_route
 
 
 class RouteTableTests(unittest.TestCase):
     def setUp(self) -> None:
         routes = [make_route("/a/"), make_route("/a/b/"), make_route("/")]
-        self.table = RouteTable(make_declared(routes))
+        self.table = RouteTable(make_configuration(routes))
 
     def find(self, path: str, host: str = "desk.example") -> str | None:
         route = self.table.find_route(host, path)
@@ -35,16 +35,16 @@
     def test_another_host_has_no_route(self) -> None:
         self.assertIsNone(self.find("/a/x", "other.example"))
 
-    def test_a_key_names_its_workspace(self) -> None:
+    def test_a_key_identifies_its_workspace(self) -> None:
         found = self.table.find_workspace("k2")
         self.assertEqual(found.name if found else None, "midlands")
         self.assertIsNone(self.table.find_workspace("k3"))
 
     def test_without_workspaces_no_key_is_needed(self) -> None:
-        table = RouteTable(make_declared([], workspaces=None))
+        table = RouteTable(make_configuration([], workspaces=None))
         self.assertFalse(table.needs_key)
 
-    def test_services_are_drawn_by_weight(self) -> None:
+    def test_services_are_chosen_by_weight(self) -> None:
         services = (WeightedService("old", 90), WeightedService("new", 10))
         route = make_route("/a/", services=services)
         generator = random.Random(1)
--- a/libraries/decisions/tests/forwarding/test_watch_position.py
+++ b/libraries/decisions/tests/forwarding/test_watch_position.py
@@ -1,4 +1,4 @@
-"""What answers to watches prove, and from which revision the next one begins."""
+"""Tests of what responses to watches confirm, and where the next watch starts."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
     WatchPosition,
 )
 
-# Seconds that one watch lasts.
+# Duration of one watch in seconds.
 WAIT = 0.8
 
 
 class WatchPositionTests(unittest.TestCase):
-    def test_a_change_left_out_of_an_answer_is_asked_for_again(self) -> None:
-        # Guards against a change that the store left out of its last answers before it
-        # dropped its history: watched from beyond it, it would never be told.
+    def test_a_change_omitted_from_a_response_is_watched_for_again(self) -> None:
+        # Guards against a change that the store omitted from its last responses before
+        # it dropped its history: a watch from a later revision would never report it.
         position = WatchPosition(10)
-        # The change has revision 15 and is made at 101.0. The answers until 101.9 leave
-        # it out and go on beyond it; one made at 102.4 would tell it.
+        # The change has revision 15 and is made at 101.0. The responses until 101.9
+        # omit it and continue after it; one made at 102.4 would contain it.
         for made, revision in ((100.8, 12), (101.6, 20), (101.9, 22)):
             position.record_unchanged(made, made, revision)
             self.assertLess(position.revision, 15)
 
-    def test_an_answer_proves_nothing_of_the_second_before_it(self) -> None:
-        # Guards against a key that was taken away in that second being trusted on.
+    def test_a_response_confirms_nothing_of_the_second_before_it(self) -> None:
+        # Guards against a key that was revoked in that second and stays in use.
         position = WatchPosition(10)
         proved = position.record_unchanged(100.0 + WAIT, 101.5, 20)
         self.assertAlmostEqual(proved, 100.0 + WAIT - OMISSION_SECONDS)
 
-    def test_the_revision_goes_on_so_that_the_history_is_never_lost(self) -> None:
+    def test_the_revision_advances_within_the_history(self) -> None:
         # Guards against watching from a revision that is older than the history, and
         # reading a megabyte again each time.
         position = WatchPosition(10)
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -114,7 +114,7 @@
         "\n",
         "libraries/decisions",
         "tests.forwarding.test_bounds.ColdStartLimitTests"
-        ".test_more_gateways_than_a_cold_target_bears_requests",
+        ".test_more_gateways_than_requests_a_second_of_a_cold_target",
     ),
     Mutation(
         "gateways that do not know how many they are take the smallest part",
@@ -181,7 +181,7 @@
         "    if False:\n",
         "libraries/decisions",
         "tests.forwarding.test_weights.VersionTests"
-        ".test_a_guess_of_another_makes_no_version_younger_than_is_known",
+        ".test_a_guess_does_not_replace_a_known_publish_time",
     ),
     Mutation(
         "what waits at a target until its weights are over is taken back",
--- a/tools/safeguards/bounds.py
+++ b/tools/safeguards/bounds.py
@@ -34,7 +34,7 @@
         "        return made - OMISSION_SECONDS\n",
         "        return made\n",
         "libraries/decisions",
-        f"{_POSITION_TEST}.test_an_answer_proves_nothing_of_the_second_before_it",
+        f"{_POSITION_TEST}.test_a_response_confirms_nothing_of_the_second_before_it",
     ),
     Mutation(
         "a revision is watched from once it is old enough",
@@ -42,7 +42,7 @@
         "made - self._unsettled[0][0] >= OMISSION_SECONDS",
         "self._unsettled",
         "libraries/decisions",
-        f"{_POSITION_TEST}.test_a_change_left_out_of_an_answer_is_asked_for_again",
+        f"{_POSITION_TEST}.test_a_change_omitted_from_a_response_is_watched_for_again",
     ),
     Mutation(
         "copies for others leave half of a weak link",
@@ -82,7 +82,8 @@
         "return self._reported_at > self._ended_at",
         "return self._ended_at == NEVER < self._reported_at",
         "libraries/decisions",
-        f"{_RATE_TEST}.BeliefTests.test_an_answer_to_an_older_request_does_not_end_it",
+        f"{_RATE_TEST}.LimitStateTests"
+        ".test_a_response_to_an_older_request_does_not_end_it",
     ),
     Mutation(
         "a target that takes nothing is tried again",
@@ -90,7 +91,7 @@
         "max(MIN_PER_SECOND, self.per_second)",
         "max(1e-9, self.per_second)",
         "libraries/decisions",
-        f"{_RATE_TEST}.BeliefTests",
+        f"{_RATE_TEST}.LimitStateTests",
     ),
     Mutation(
         "only what answers said is told to others",
@@ -98,7 +99,7 @@
         "return max(self._own_reported_at, self._own_ended_at)",
         "return max(self._reported_at, self._ended_at)",
         "libraries/decisions",
-        f"{_RATE_TEST}.BeliefTests.test_what_others_told_is_not_told_again",
+        f"{_RATE_TEST}.LimitStateTests.test_updates_of_others_are_not_forwarded",
     ),
     Mutation(
         "another start of a target has no limit",
