--- a/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/part_store_index.py
@@ -135,11 +135,11 @@
         """
         restarted = update.epoch != self.epoch
         if restarted:
-            self._forget()
+            self._clear()
             self.epoch = update.epoch
             self._epoch_seen_at = read_at
         elif update.is_snapshot:
-            self._forget()
+            self._clear()
         self._epoch_seen_at = min(
             self._epoch_seen_at, read_at - update.epoch_known_seconds
         )
@@ -167,7 +167,7 @@
 
     def invalidate(self) -> None:
         """Invalidate the index after a failed call: the store may be restarting."""
-        self._forget()
+        self._clear()
         self.epoch = 0
         self._epoch_seen_at = float("inf")
         self._confirmed_at = float("-inf")
@@ -220,11 +220,11 @@
 
     def find_fetch_deadline_ms(self, now: float) -> int:
         """Return the deadline of a fetch, in milliseconds on the engines' clock."""
-        left = self._confirmed_at + UPDATE_VALID_SECONDS - now
+        remaining = self._confirmed_at + UPDATE_VALID_SECONDS - now
         age = now - self._confirmed_at
         # The response contains the clock at the time it was made, which is not before
         # it was requested.
-        return self.clock_ms + int((age + left) * 1000) if self.clock_ms else 0
+        return self.clock_ms + int((age + remaining) * 1000) if self.clock_ms else 0
 
     def _apply(self, change: PartChange) -> None:
         self.position += 1
@@ -237,7 +237,7 @@
         else:
             self._parts.pop(key, None)
 
-    def _forget(self) -> None:
+    def _clear(self) -> None:
         self._parts.clear()
         self._saving.clear()
         self._changes.clear()
@@ -310,7 +310,7 @@
         """
         fetch: list[str] = []
         save: list[str] = []
-        limits: list[int] = []
+        deadlines: list[int] = []
         for name, tokens in parts:
             store = self.choose_store(name)
             fetched = saved = ""
@@ -319,10 +319,10 @@
                 and tokens >= MIN_FETCH_TOKENS
                 and store.is_current(now)
             ):
-                limit = store.find_fetch_deadline_ms(now)
-                if store.contains(scope, name, tokens) and limit:
+                deadline = store.find_fetch_deadline_ms(now)
+                if store.contains(scope, name, tokens) and deadline:
                     fetched = store.address
-                    limits.append(limit)
+                    deadlines.append(deadline)
                 elif store.can_save(now, tokens) and not store.is_saving(
                     now, scope, name
                 ):
@@ -333,5 +333,5 @@
         if not any(fetch) and not any(save):
             return None
         unshared = ("",) * others
-        until = min(limits, default=0)
+        until = min(deadlines, default=0)
         return PartPlan((*fetch, *unshared), (*save, *unshared), until)
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/placement.py
@@ -38,9 +38,9 @@
 # ms, and the engine prefills other prompts meanwhile.
 FETCHED_TOKEN_COST = 0.15
 # Weight of a shared token that is recomputed here though another engine has it cached:
-# in addition to its own time it delays the prompts behind it. Of the weights 3, 6 and
-# 12, this one recomputes least in a replay: 0.93 M tokens of 40 returning sessions in
-# 30 s (1.37 M at 3).
+# in addition to its own time it delays the prompts behind it. With 3, 6 and 12 tried in
+# a replay, this one recomputes least: 0.93 M tokens of 40 returning sessions in 30 s
+# (1.37 M at 3).
 REPEATED_PREFILL_WEIGHT = 6.0
 # Penalty in seconds for a target in another data centre: the round trip, and its price
 # in bytes.
--- a/libraries/decisions/src/bamboopier_decisions/forwarding/wait_queue.py
+++ b/libraries/decisions/src/bamboopier_decisions/forwarding/wait_queue.py
@@ -22,8 +22,8 @@
 REMAINING_SHARE = 0.25
 # Minimum and maximum seconds after which a rejected request may return.
 RETRY_AFTER_SECONDS = (0.4, 1.2)
-# Maximum share of the remaining time that a caller waits before it returns; it cuts a
-# later Retry-After to this share, so that many callers would return at the same moment.
+# Maximum share of the remaining time that a caller waits before it returns. Later
+# values are cut to it, and callers with a cut value would return at the same moment.
 RETRY_AFTER_SHARE = 0.3
 
 
