--- a/libraries/decisions/src/bamboopier_decisions/admission/__init__.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Which request a target runs next, which wait and which are turned away."""
+"""Admission control: which requests a target starts, queues and rejects."""
--- a/libraries/decisions/src/bamboopier_decisions/admission/concurrency_limit.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/concurrency_limit.py
@@ -1,43 +1,46 @@
-"""How many requests a target runs at once: small when cold, grown by answers.
-
-Load pattern: a target that just started (or went cold) while the whole fleet looks for
-room, and a batch that grows past what the engine carries. Without it every gateway
-sends its share at once and the fresh target falls over; and an engine whose batch no
-longer fits in memory does less the more it is given. The limit lives beside the target,
-so any number of gateways respect it together, and a new agent process starts small.
-
-It grows as TCP's slow start does, by one per answer while it is in use, which doubles
-it once per service time; once it has been too large, by one per round of answers.
-It shrinks when the pace (seconds per generated token, or per request of a plain
-service) is worse than twice the best one seen: a batching engine gives more tokens in
-total while the time between them at most doubles, beyond that only waiting grows (the
-brief allows 57 ms, about twice an engine's 25 ms alone).
+"""Adaptive concurrency limit of a target: starts small, grows with successes.
+
+Load pattern: a target that has just started (or lost its caches) while the whole fleet
+looks for capacity, and a batch that grows beyond what the engine can process. Without
+the limit every gateway sends its share at once and the cold target crashes, and an
+engine whose batch no longer fits in memory gets slower with every request added. The
+limit is kept beside the target, so it holds for any number of gateways together, and a
+new agent process starts with a small one.
+
+It grows as in TCP's slow start, by one per successful response while it is fully used,
+which doubles it once per service time; once it has been too large, it grows by one per
+round of responses. It shrinks when the latency (seconds per generated token, or per
+request of a plain service) exceeds twice the best one seen: the throughput of a
+batching engine still rises while the time between tokens at most doubles; beyond that
+only the waiting time grows (the requirement is 57 ms, about twice the 25 ms of an
+engine with one request).
 """
 
 from __future__ import annotations
 
 INITIAL_LIMIT = 2
-# A failed request takes the limit down by this factor, once per round.
+# Factor by which a failed request shrinks the limit.
 FAILURE_SHRINK_FACTOR = 0.5
-# Pace against the best one above which the limit shrinks.
+# Ratio of the latency to the best one above which the limit shrinks.
 SHRINK_LATENCY_RATIO = 2.0
-# Pace above which slow start ends: answers lag the batch that made them, so doubling
-# on would overshoot by the time the limit shrinks.
+# Ratio above which slow start ends: responses lag behind the batch that produced them,
+# so further doubling would overshoot before the limit shrinks.
 SLOW_START_LATENCY_RATIO = 1.4
-# Least factor of one such step.
+# The limit shrinks by no more than this factor per round.
 MIN_SHRINK_FACTOR = 0.7
-# A pace this much worse than the usual one means a cold engine. It is above what a
-# full batch shows, so that load alone does not look like it.
+# Ratio of a time to first token to the expected one that indicates a cold engine.
+# It is above the ratio of a full batch, so load alone does not reach it.
 COLD_RATIO = 4.0
-# So many such measurements in a row: one may be a hiccup.
+# Consecutive measurements above COLD_RATIO: a single one may be an outlier.
 COLD_SAMPLES = 3
 LATENCY_SMOOTHING = 0.2
-# How fast the best pace follows a worse one seen at low load (new weights, say).
+# Rate at which the best latency follows a higher one at low load, as after a change
+# of weights.
 BEST_LATENCY_SMOOTHING = 0.02
 
 
 class ConcurrencyLimit:
-    """A limit between one and ``maximum``, starting at ``INITIAL_LIMIT``."""
+    """A limit between 1 and ``maximum`` that starts at ``INITIAL_LIMIT``."""
 
     __slots__ = (
         "_best_latency",
@@ -52,12 +55,12 @@
     def __init__(self, maximum: int) -> None:
         self._maximum = maximum
         self._limit = float(min(INITIAL_LIMIT, maximum))
-        # Growth is fast below this and slow above.
+        # Growth is exponential below this limit and linear above.
         self._slow_start_threshold = float(maximum)
         self._round = 0
         self._best_latency = 0.0
         self._latency = 0.0
-        # Consecutive measurements that look like a cold engine.
+        # Consecutive measurements above COLD_RATIO.
         self._cold_samples = 0
 
     @property
@@ -66,7 +69,10 @@
         return int(self._limit)
 
     def record_success(self, running: int, latency: float = 0.0) -> None:
-        """Learn from an answer; ``latency`` is 0 when it was too short to tell."""
+        """Record a successful response while ``running`` requests were in flight.
+
+        ``latency`` is in seconds; 0 if the response was too short to measure it.
+        """
         if latency > 0:
             self._record_latency(running, latency)
         if self._latency > SLOW_START_LATENCY_RATIO * self._best_latency:
@@ -80,22 +86,22 @@
         self._limit = min(float(self._maximum), self._limit + grown)
 
     def record_first_token(self, ratio: float) -> None:
-        """Take the time to a first token as a multiple of the usual one.
+        """Record a time to first token as a multiple of the expected one.
 
-        It tells of a cold engine long before the first slow answer is whole.
+        It reveals a cold engine long before the first slow response is complete.
         """
         self._cold_samples = self._cold_samples + 1 if ratio > COLD_RATIO else 0
         if self._cold_samples >= COLD_SAMPLES:
             self.reset()
 
     def record_failure(self) -> None:
-        """Shrink after a request the target did not answer."""
+        """Shrink the limit after a request that the target failed."""
         self._slow_start_threshold = max(1.0, self._limit * FAILURE_SHRINK_FACTOR)
         self._limit = self._slow_start_threshold
         self._round = 0
 
     def reset(self) -> None:
-        """Start over for a target that went cold."""
+        """Return to the initial limit for a target that is cold."""
         self._limit = float(min(INITIAL_LIMIT, self._maximum))
         self._slow_start_threshold = float(self._maximum)
         self._latency = 0.0
--- a/libraries/decisions/src/bamboopier_decisions/admission/controller.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/controller.py
@@ -1,13 +1,14 @@
-"""The agent's decisions: start, wait or reject, for one target.
+"""Admission control for one target: starts, queues or rejects each request.
 
-Load pattern: more work than the target can carry. Without it the queue grows until
-every answer is late, so that a full system does all the work and answers nobody in
-time. Work that cannot meet its deadline is turned away when that is known, with the
-time after which there will be room.
+Load pattern: sustained overload. Without admission control the queue grows until every
+response is late: the target does all the work and no caller is served in time. A
+request that cannot meet its deadline is rejected as soon as that is known, with the
+time after which there will be capacity.
 
-A burst may fill the queue. A queue that has not been empty for ``STANDING_QUEUE_AFTER_SECONDS`` is
-no burst: it serves nobody more and makes everybody wait, so it is then kept as short as
-``MAX_STANDING_QUEUE_SECONDS`` and the rest learns at once when to return.
+A burst may fill the queue. A queue that has not been empty for
+``STANDING_QUEUE_AFTER_SECONDS`` is a standing queue: it adds delay without adding
+throughput. It is then limited to ``MAX_STANDING_QUEUE_SECONDS`` of work, and the
+requests beyond that are rejected at once with the time to retry.
 """
 
 from __future__ import annotations
@@ -39,19 +40,20 @@
 if TYPE_CHECKING:
     import random
 
-# Shorter would refuse those whose turn still comes while a burst drains, longer would
-# keep everybody waiting under overload (rows "burst" and "overload" of docs/LOAD.md).
+# A shorter time rejects requests that would still be served while a burst drains; a
+# longer one delays every request under overload (rows "burst" and "overload" of
+# docs/LOAD.md).
 STANDING_QUEUE_AFTER_SECONDS = 5.0
-# Waits are known to about a third. Without the margin those who were let in just before
-# their deadline's wait learn late that it was too long.
+# Wait estimates are accurate to about a third. Without the margin, requests that are
+# admitted with little time to spare are rejected only after most of their wait.
 WAIT_ESTIMATE_MARGIN = 1.3
-# Seconds of work that a standing queue holds: enough that no slot stands empty.
+# Seconds of work that a standing queue holds: enough to keep every slot in use.
 MAX_STANDING_QUEUE_SECONDS = 1.0
 MIN_STANDING_QUEUE_LENGTH = 4
 
 
 class _RunningRequest:
-    """A request the target has."""
+    """A request that the target is processing."""
 
     __slots__ = ("arrival", "first_token_at", "request", "started_at")
 
@@ -65,7 +67,7 @@
 
 
 class AdmissionController:
-    """Admits work to one target; one instance per agent."""
+    """Admits requests to one target; one instance per agent."""
 
     def __init__(
         self, max_running: int, max_waiting: int, random: random.Random
@@ -80,46 +82,46 @@
         self._retry_schedule = RetrySchedule(random)
         self._heavy_hitters = HeavyHitters()
         self._throughput = ThroughputRatio()
-        # Since when the queue has not been empty; None while it is.
+        # Time since which the queue has not been empty; None while it is empty.
         self._queue_nonempty_since: float | None = None
 
     @property
     def running(self) -> int:
-        """Return how many requests the target has."""
+        """Return how many requests the target is processing."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Return how many requests wait here."""
+        """Return how many requests are queued."""
         return len(self._queue)
 
     @property
     def limit(self) -> int:
-        """Return how many requests the target may have at once."""
+        """Return how many requests the target may process at once."""
         return self._limit.value
 
     @property
     def prefill_rate(self) -> float:
-        """Return the measured prompt tokens a second."""
+        """Return the estimated prefill rate in prompt tokens per second."""
         return self._cost_estimator.prefill_rate
 
     @property
     def accepting(self) -> bool:
-        """Say whether new work is taken at all."""
+        """Return whether new requests are accepted at all."""
         return not self._stopping
 
     def estimate_delay(self) -> float:
         """Return the expected seconds until a new workspace's request would start.
 
-        What a workspace far above its share has waiting is no delay to the others;
-        gateways that counted it would crowd the targets where it has the least.
+        Queued requests of a heavy hitter do not delay other workspaces. If gateways
+        counted them, they would crowd the targets where the heavy hitter has the least.
         """
         if len(self._running) < self._limit.value:
             return 0.0
         return self._estimate_start(self._queue.estimate_cost_ahead("", 1.0))
 
     def handle(self, event: AdmissionEvent) -> list[AdmissionDecision]:
-        """Take one event; return the decisions it calls for, in order."""
+        """Apply an event; return the resulting decisions in order."""
         decisions = self._decide(event)
         if len(self._queue) == 0:
             self._queue_nonempty_since = None
@@ -158,7 +160,7 @@
         self._heavy_hitters.record_arrival(
             event.now, event.workspace, event.weight, cost
         )
-        waiting = QueuedRequest(
+        queued = QueuedRequest(
             event.request_id,
             event.workspace,
             event.weight,
@@ -167,36 +169,37 @@
             event.deadline - cost,
             cost,
         )
-        wait = self._estimate_wait(waiting)
-        # A queue that stands is no chance bunch that others could take: passed on, its
-        # requests would only be turned away there as well.
+        wait = self._estimate_wait(queued)
+        # A standing queue is not a random peak that other targets could absorb: sent
+        # on, its requests would be rejected there as well.
         if wait > event.max_wait and not self._has_standing_queue(event.now):
             return [Reject(event.request_id, RejectReason.BUSY, 0.0)]
-        if self._will_miss_deadline(waiting, event, wait):
-            return [self._reject(waiting, event.now, RejectReason.DEADLINE)]
+        if self._will_miss_deadline(queued, event, wait):
+            return [self._reject(queued, event.now, RejectReason.DEADLINE)]
         decisions: list[AdmissionDecision] = []
         if len(self._running) >= self.limit and self._is_full(event.now):
-            evicted = self._evict_for(waiting)
+            evicted = self._evict_for(queued)
             if evicted is None:
-                return [self._reject(waiting, event.now, RejectReason.QUEUE_FULL)]
+                return [self._reject(queued, event.now, RejectReason.QUEUE_FULL)]
             self._arrivals.pop(evicted.request_id)
             reason = RejectReason.FAIR_SHARE
             decisions.append(self._reject(evicted, event.now, reason))
-        self._queue.push(waiting)
+        self._queue.push(queued)
         self._arrivals[event.request_id] = event
         return decisions + self._start_next(event.now)
 
     def _will_miss_deadline(
-        self, waiting: QueuedRequest, event: AdmissionRequested, wait: float
+        self, queued: QueuedRequest, event: AdmissionRequested, wait: float
     ) -> bool:
-        """Say whether a request cannot be answered in time.
+        """Return whether a request cannot be completed by its deadline.
 
-        With a slot free it is tried: it takes nobody's place, and the estimate of its
-        length is a mean that half of all answers undercut.
+        With a free slot it is started regardless of the estimate: it delays no other
+        request, and the estimated length is a mean that half of all responses stay
+        below.
         """
         if wait <= 0:
             return event.deadline <= event.now
-        return event.now + WAIT_ESTIMATE_MARGIN * wait > waiting.latest_start
+        return event.now + WAIT_ESTIMATE_MARGIN * wait > queued.latest_start
 
     def _has_standing_queue(self, now: float) -> bool:
         since = self._queue_nonempty_since
@@ -213,20 +216,21 @@
         return len(self._queue) >= bound
 
     def _evict_for(self, arriving: QueuedRequest) -> QueuedRequest | None:
-        """Make room for a workspace below the one with most waiting, if it is.
+        """Evict and return a queued request in favour of ``arriving``, if one may be.
 
-        Without it one workspace fills the bounded queue and the others are refused,
-        however little they ask for.
+        The newest request of the workspace with the largest backlog is evicted if the
+        arriving request's workspace stays below that backlog. Otherwise one workspace
+        fills the bounded queue and all others are rejected, however little they send.
         """
         largest = self._queue.find_largest_backlog()
         if largest is None:
             return None
-        workspace, load = largest
-        own = (self._queue.count(arriving.workspace) + 1) / arriving.weight
-        if own < load and workspace != arriving.workspace:
+        workspace, backlog = largest
+        own_backlog = (self._queue.count(arriving.workspace) + 1) / arriving.weight
+        if own_backlog < backlog and workspace != arriving.workspace:
             newest = self._queue.find_newest(workspace)
         else:
-            # Among its own, an urgent request goes before the newest less urgent one.
+            # Within a workspace, an urgent request replaces the newest less urgent one.
             newest = self._queue.find_newest(arriving.workspace)
             if newest is None or newest.priority <= arriving.priority:
                 return None
@@ -235,21 +239,21 @@
     def _start_next(self, now: float) -> list[AdmissionDecision]:
         decisions: list[AdmissionDecision] = []
         while len(self._running) < self._limit.value:
-            waiting = self._queue.pop(lambda first: self._may_start(first, now))
-            if waiting is None:
+            queued = self._queue.pop(lambda first: self._may_start(first, now))
+            if queued is None:
                 break
-            request_id = waiting.request_id
-            self._throughput.add_started_cost(waiting.cost)
+            request_id = queued.request_id
+            self._throughput.add_started_cost(queued.cost)
             arrival = self._arrivals.pop(request_id)
-            self._running[request_id] = _RunningRequest(waiting, arrival, now)
+            self._running[request_id] = _RunningRequest(queued, arrival, now)
             decisions.append(Start(request_id))
         return decisions
 
-    def _may_start(self, waiting: QueuedRequest, now: float) -> bool:
+    def _may_start(self, queued: QueuedRequest, now: float) -> bool:
         limit = self._limit.value
         if len(self._running) < self._heavy_hitters.compute_heavy_hitter_slots(limit):
             return True
-        return not self._heavy_hitters.is_heavy_hitter(now, waiting.workspace, limit)
+        return not self._heavy_hitters.is_heavy_hitter(now, queued.workspace, limit)
 
     def _record_first_token(self, event: FirstTokenReceived) -> None:
         running = self._running.get(event.request_id)
@@ -263,7 +267,7 @@
         if running.first_token_at is None:
             return
         seconds = running.first_token_at - running.started_at
-        # Prompts that are prefilled together share the engine's speed.
+        # Prompts that are prefilled concurrently share the engine's prefill rate.
         ratio = self._cost_estimator.compare_first_token(prefill_tokens, seconds) / len(
             self._running
         )
@@ -292,31 +296,33 @@
     def _record_success(
         self, event: RequestFinished, running: _RunningRequest, seconds: float
     ) -> None:
-        decode = event.now - (running.first_token_at or running.started_at)
+        decode_seconds = event.now - (running.first_token_at or running.started_at)
         arrival = running.arrival
         tokens = event.output_tokens
-        self._cost_estimator.record_success(seconds, decode, tokens, arrival.max_tokens)
+        self._cost_estimator.record_success(
+            seconds, decode_seconds, tokens, arrival.max_tokens
+        )
         latency = 0.0
         if tokens >= MIN_DECODE_SAMPLE_TOKENS:
-            latency = decode / tokens
+            latency = decode_seconds / tokens
         elif arrival.max_tokens == 0:
             latency = seconds
         in_use = len(self._running) + 1
         if len(self._queue) > 0:
-            # Those far above their share wait although slots are free.
+            # Requests of heavy hitters may be queued although slots are free.
             in_use = max(in_use, self._limit.value)
         self._limit.record_success(in_use, latency)
 
     def _stop(self, now: float) -> list[AdmissionDecision]:
         self._stopping = True
-        waiting = self._queue.list_all()
-        for entry in waiting:
+        queued = self._queue.list_all()
+        for entry in queued:
             self._queue.remove(entry.request_id)
         self._arrivals.clear()
-        return [self._reject(entry, now, RejectReason.STOPPING) for entry in waiting]
+        return [self._reject(entry, now, RejectReason.STOPPING) for entry in queued]
 
     def _tick(self, now: float) -> list[AdmissionDecision]:
-        # Slots that are kept free say nothing of how fast the target works.
+        # Slots kept free from heavy hitters say nothing about the target's throughput.
         full = len(self._running) >= self._limit.value
         standing = full and len(self._queue) > 0
         self._throughput.tick(now, standing, self._limit.value)
@@ -327,10 +333,11 @@
         return [self._reject(entry, now, RejectReason.DEADLINE) for entry in expired]
 
     def _remove_unreachable(self, now: float) -> list[QueuedRequest]:
-        """Take out the newest of the longest lines that will not be reached in time.
+        """Remove and return the newest requests that will not be reached in time.
 
-        The queue may drain more slowly than it seemed on their arrival; without this
-        they would wait until their deadline is past before they are refused.
+        They are taken from the workspaces with the largest backlog. The queue may drain
+        more slowly than estimated on their arrival; without this check they would be
+        rejected only once it is too late to start them.
         """
         unreachable: list[QueuedRequest] = []
         while len(self._queue) > 0:
@@ -345,34 +352,44 @@
             unreachable.append(newest)
         return unreachable
 
-    def _estimate_wait(self, waiting: QueuedRequest) -> float:
-        """Return the expected seconds until a newly arrived request starts."""
-        if self._has_free_slot(waiting):
+    def _estimate_wait(self, queued: QueuedRequest) -> float:
+        """Return the expected seconds until an arriving request starts."""
+        if self._has_free_slot(queued):
             return 0.0
-        workspace, weight = waiting.workspace, waiting.weight
+        workspace, weight = queued.workspace, queued.weight
         return self._estimate_start(self._queue.estimate_cost_ahead(workspace, weight))
 
-    def _has_free_slot(self, waiting: QueuedRequest) -> bool:
-        """Say whether a slot is free for the workspace: others that wait are held."""
+    def _has_free_slot(self, queued: QueuedRequest) -> bool:
+        """Return whether a slot is free for the request's workspace.
+
+        Requests that are queued although a slot is free belong to heavy hitters.
+        """
         if len(self._running) >= self._limit.value:
             return False
-        return self._may_start(waiting, waiting.arrival)
+        return self._may_start(queued, queued.arrival)
 
     def _estimate_start(self, cost_ahead: float) -> float:
-        """Return the expected seconds until work behind ``cost_ahead`` seconds starts."""
-        # One slot falls free after a service time over their number on average.
-        over = len(self._running) - self._limit.value
-        taken = max(0, 1 + over) * self._cost_estimator.service_seconds
-        return (cost_ahead + taken) / max(1, self._limit.value) / self._throughput.value
+        """Return the expected seconds until a request starts.
+
+        ``cost_ahead`` is the cost in seconds of the queued requests before it.
+        """
+        # On average a slot becomes free after the service time over the slot count.
+        excess = len(self._running) - self._limit.value
+        running_cost = max(0, 1 + excess) * self._cost_estimator.service_seconds
+        return (
+            (cost_ahead + running_cost)
+            / max(1, self._limit.value)
+            / self._throughput.value
+        )
 
     def _reject(
-        self, waiting: QueuedRequest, now: float, reason: RejectReason
+        self, queued: QueuedRequest, now: float, reason: RejectReason
     ) -> Reject:
         if reason is RejectReason.STOPPING:
-            return Reject(waiting.request_id, reason, 0.0)
-        workspace, weight = waiting.workspace, waiting.weight
+            return Reject(queued.request_id, reason, 0.0)
+        workspace, weight = queued.workspace, queued.weight
         delay = self._estimate_start(self._queue.estimate_cost_ahead(workspace, weight))
         share = self._queue.compute_share(workspace, weight)
-        interval = waiting.cost / share / max(1, self._limit.value)
+        interval = queued.cost / share / max(1, self._limit.value)
         wait = self._retry_schedule.reserve(now, workspace, delay, interval)
-        return Reject(waiting.request_id, reason, wait)
+        return Reject(queued.request_id, reason, wait)
--- a/libraries/decisions/src/bamboopier_decisions/admission/cost_estimator.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/cost_estimator.py
@@ -1,39 +1,42 @@
-"""Expected seconds of target time, learnt from what ended.
+"""Estimates the cost of a request in seconds of target time, from finished requests.
 
-Load pattern: a queue whose length in requests says little of its length in seconds.
-Without measurement a deadline that can be met is refused and one that cannot is kept.
-Averages are of sums (seconds over tokens), since the mean of ratios is ruled by the
-shortest requests.
+Load pattern: a queue whose length in requests says little about its length in seconds.
+Without measurement, requests that can meet their deadline are rejected and requests
+that cannot are queued. The averages are ratios of sums (seconds over tokens), since a
+mean of ratios would be dominated by the shortest requests.
 """
 
 from __future__ import annotations
 
-# Assumed until measured: an engine of the brief's class.
+# Tokens per second and seconds per token of the engines that the system is designed
+# for, assumed until measured.
 INITIAL_PREFILL_RATE = 8000.0
 INITIAL_SECONDS_PER_TOKEN = 0.025
-# Answers are seldom as long as they may be; corrected by measurement.
+# Share of max_tokens that a response uses, until measured: few reach the maximum.
 INITIAL_OUTPUT_SHARE = 0.5
-# Weight of a new measurement: the last twenty or so count, a few seconds of a busy
-# target's work.
+# Weight of a new measurement: about the last twenty count, a few seconds on a busy
+# target.
 SMOOTHING = 0.05
-# The prefill rate guides the gateways. One learnt while the engine was cold keeps work
-# away from it, and so the measurements that would correct it: few must suffice.
+# Gateways choose targets by the prefill rate. A low rate measured on a cold engine
+# keeps requests away, and with them the measurements that would correct it, so a few
+# measurements must suffice.
 PREFILL_SMOOTHING = 0.2
-# Answers with fewer tokens show the overhead of an answer, not the engine's pace.
+# Responses with fewer tokens measure the overhead per response, not the decode speed.
 MIN_DECODE_SAMPLE_TOKENS = 8
-# Work of up to so many times the longest answer seen is taken as measured.
+# Estimates are trusted up to this multiple of the longest response measured.
 MAX_EXTRAPOLATION = 4.0
-# Longer work is taken for no more than this multiple of the mean, and this many
-# seconds at least. Without it requests are refused by a deadline on a pace that was
-# assumed, also for what waits before them; what they really use is charged at the end.
+# The cost of a longer request is capped at this multiple of the mean service time, or
+# at the seconds below if those are more. Without the cap, requests are rejected for
+# their deadline on the grounds of an assumed speed, also because of the requests queued
+# before them. The time they really use is charged when they finish.
 UNMEASURED_COST_FACTOR = 4.0
 MIN_UNMEASURED_CAP_SECONDS = 1.0
 
 
 class _SmoothedRatio:
-    """A smoothed sum over another smoothed sum."""
+    """The ratio of two exponentially smoothed sums."""
 
-    __slots__ = ("_denominator", "_smoothing", "_numerator")
+    __slots__ = ("_denominator", "_numerator", "_smoothing")
 
     def __init__(self, initial: float, smoothing: float = SMOOTHING) -> None:
         self._numerator = initial
@@ -48,7 +51,7 @@
         if denominator <= 0:
             return
         if self._denominator == 1.0:
-            # The first assumption weighs as much as a measurement.
+            # The initial value counts as much as one measurement.
             self._numerator *= denominator
             self._denominator = denominator
         self._numerator += self._smoothing * (numerator - self._numerator)
@@ -56,7 +59,7 @@
 
 
 class CostEstimator:
-    """Turns tokens into expected seconds."""
+    """Estimates seconds of target time from token counts."""
 
     __slots__ = (
         "_decode",
@@ -69,31 +72,31 @@
     )
 
     def __init__(self) -> None:
-        # Seconds per prompt token until the first one, whatever part was cached.
+        # Seconds to the first token per prompt token, cached tokens included.
         self._first_token = _SmoothedRatio(1 / INITIAL_PREFILL_RATE)
-        # Seconds per token really prefilled.
+        # Seconds to the first token per prefilled token.
         self._prefill = _SmoothedRatio(1 / INITIAL_PREFILL_RATE, PREFILL_SMOOTHING)
         # Seconds per generated token.
         self._decode = _SmoothedRatio(INITIAL_SECONDS_PER_TOKEN)
-        # Generated tokens of those allowed.
+        # Generated tokens per token allowed.
         self._output = _SmoothedRatio(INITIAL_OUTPUT_SHARE)
         self._service_seconds = 0.0
         self._measured = False
-        # Most tokens of an answer that was measured.
+        # Tokens of the longest response measured.
         self._longest_output = 0
 
     @property
     def prefill_rate(self) -> float:
-        """Return the prompt tokens a second."""
+        """Return the prefilled tokens per second."""
         return 1 / max(1e-9, self._prefill.value)
 
     @property
     def service_seconds(self) -> float:
-        """Return the mean seconds the target is busy with a request."""
+        """Return the mean seconds a request spends at the target; 0 until measured."""
         return self._service_seconds
 
     def estimate(self, prompt_tokens: int, max_tokens: int) -> float:
-        """Return the expected seconds at the target."""
+        """Return the expected seconds of a request at the target."""
         if prompt_tokens == 0 and max_tokens == 0:
             return self._service_seconds
         output = max_tokens * self._output.value
@@ -109,20 +112,20 @@
         )
 
     def _is_measured(self, max_tokens: int) -> bool:
-        """Say whether answers of about the expected length have been measured."""
+        """Return whether responses of about the expected length have been measured."""
         return (
             max_tokens * self._output.value <= MAX_EXTRAPOLATION * self._longest_output
         )
 
     def compare_first_token(self, prefill_tokens: int, seconds: float) -> float:
-        """Return ``seconds`` to a first token as a multiple of the expected ones."""
+        """Return ``seconds`` to a first token as a multiple of the expected time."""
         expected = prefill_tokens * self._prefill.value
         return seconds / expected if expected > 0 and self._measured else 1.0
 
     def record_first_token(
         self, prompt_tokens: int, prefill_tokens: int, seconds: float
     ) -> None:
-        """Learn from a first token."""
+        """Update the estimates with a time to first token of ``seconds``."""
         self._measured = True
         self._first_token.add(seconds, prompt_tokens)
         self._prefill.add(seconds, prefill_tokens)
@@ -130,7 +133,7 @@
     def record_success(
         self, seconds: float, decode_seconds: float, output_tokens: int, allowed: int
     ) -> None:
-        """Learn from a whole answer."""
+        """Update the estimates with a complete response."""
         if self._service_seconds == 0:
             self._service_seconds = seconds
         self._service_seconds += SMOOTHING * (seconds - self._service_seconds)
--- a/libraries/decisions/src/bamboopier_decisions/admission/fair_queue.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/fair_queue.py
@@ -1,14 +1,15 @@
-"""Weighted fair queueing between workspaces, short work first within one.
-
-Load pattern: one workspace sends a hundred times its share, or long prompts stand
-before short ones. Without it whoever sends most gets the target, and a short request
-waits for every long one ahead. Start-time fair queueing charges each workspace its
-work divided by its weight; a workspace that was idle starts at the current virtual
-time, so it neither loses its share nor saves one up.
-
-Every operation costs a logarithm of what waits: removed entries stay in the heaps until
-they surface or outnumber the live ones. Without that each tick and each caller that
-leaves would walk ten thousand waiting requests.
+"""Weighted fair queue between workspaces, with short requests first within each.
+
+Load pattern: one workspace sends a hundred times its share, or long prompts are queued
+before short ones. In a first-in, first-out queue the workspace that sends most gets the
+target, and a short request waits for every long one ahead. Start-time fair queueing
+charges each workspace the cost of its requests divided by its weight; a workspace that
+was idle starts at the current virtual time, so it neither loses its share nor
+accumulates credit.
+
+Every operation takes logarithmic time in the number of queued requests: removed entries
+stay in the heaps until they reach the top or outnumber the live ones. Otherwise each
+tick and each caller that disconnects would scan ten thousand queued requests.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Within a workspace a request's place is its arrival plus this multiple of its
-# expected seconds: short before long, yet long work is reached after a bounded wait.
+# Within a workspace, requests are ordered by arrival plus this multiple of their cost:
+# short before long, while a long request still waits for a bounded time only.
 COST_DELAY_FACTOR = 2.0
-# A heap is rebuilt when dead entries outnumber live ones and this many.
+# A heap is rebuilt when its stale entries outnumber the live ones by this many.
 MIN_STALE_ENTRIES = 64
 
 
@@ -32,8 +33,8 @@
 class QueuedRequest:
     """A request in the queue.
 
-    ``cost`` is its expected seconds of target time; started after ``latest_start`` it
-    could not finish by its deadline.
+    ``cost`` is its expected seconds of target time. A request that starts after
+    ``latest_start`` cannot finish by its deadline.
     """
 
     request_id: str
@@ -46,15 +47,15 @@
 
     @property
     def sort_key(self) -> tuple[int, float, str]:
-        """Return the order within the workspace; smaller goes first."""
-        sort_key = min(self.arrival + COST_DELAY_FACTOR * self.cost, self.latest_start)
-        return (self.priority, sort_key, self.request_id)
+        """Return the key that orders requests of a workspace; smaller goes first."""
+        position = min(self.arrival + COST_DELAY_FACTOR * self.cost, self.latest_start)
+        return (self.priority, position, self.request_id)
 
 
 class _WorkspaceQueue:
-    """One workspace's waiting requests."""
+    """The queued requests of one workspace."""
 
-    __slots__ = ("arrivals", "count", "heap", "virtual_start", "weight", "cost")
+    __slots__ = ("arrivals", "cost", "count", "heap", "virtual_start", "weight")
 
     def __init__(self, virtual_start: float, weight: float) -> None:
         self.heap: list[tuple[tuple[int, float, str], QueuedRequest]] = []
@@ -68,12 +69,12 @@
 
     @property
     def backlog(self) -> float:
-        """Return how many requests wait per unit of weight."""
+        """Return the number of queued requests per unit of weight."""
         return self.count / self.weight
 
 
 class FairQueue:
-    """Holds waiting requests and yields them in fair order."""
+    """Holds queued requests and returns them in fair order."""
 
     def __init__(self) -> None:
         self._queues: dict[str, _WorkspaceQueue] = {}
@@ -82,12 +83,12 @@
         self._by_virtual_start: list[tuple[float, str]] = []
         # Heap of (latest start, request id).
         self._by_latest_start: list[tuple[float, str]] = []
-        # Heap of (minus requests per weight, workspace).
+        # Heap of (minus backlog, workspace).
         self._by_backlog: list[tuple[float, str]] = []
         self._virtual_time = 0.0
         self._cost = 0.0
         self._weight = 0.0
-        # Virtual time each idle workspace has already used, kept while still ahead.
+        # Virtual time of each idle workspace, stored while ahead of the queue's.
         self._idle_virtual_times: dict[str, float] = {}
         self._idle_bound = MIN_STALE_ENTRIES
 
@@ -96,32 +97,33 @@
 
     @property
     def cost(self) -> float:
-        """Return the expected seconds of all that waits."""
+        """Return the cost in seconds of all queued requests."""
         return self._cost
 
     def count(self, workspace: str) -> int:
-        """Return how many requests of ``workspace`` wait."""
+        """Return how many requests of ``workspace`` are queued."""
         queue = self._queues.get(workspace)
         return queue.count if queue is not None else 0
 
     def compute_share(self, workspace: str, weight: float) -> float:
-        """Return the part of the target due to ``workspace`` among those waiting."""
+        """Return the fair share of ``workspace`` among those with queued requests."""
         total = self._weight if workspace in self._queues else self._weight + weight
         return min(1.0, weight / total)
 
     def estimate_cost_ahead(self, workspace: str, weight: float) -> float:
-        """Return the expected seconds of work before a new request of ``workspace``.
+        """Return the expected cost in seconds before a new request of ``workspace``.
 
-        Its own line is served at its share; of each other line about half the first
-        requests go before its first.
+        The workspace's own queue is served at its share. About half of the other
+        workspaces have their first request served before this workspace's first one.
         """
         queue = self._queues.get(workspace)
-        own = queue.cost if queue is not None else 0.0
-        mean = self._cost / max(1, len(self._requests))
-        ahead = (
-            own / self.compute_share(workspace, weight) + mean * len(self._queues) / 2
+        own_cost = queue.cost if queue is not None else 0.0
+        mean_cost = self._cost / max(1, len(self._requests))
+        cost_ahead = (
+            own_cost / self.compute_share(workspace, weight)
+            + mean_cost * len(self._queues) / 2
         )
-        return min(self._cost, ahead)
+        return min(self._cost, cost_ahead)
 
     def push(self, queued: QueuedRequest) -> None:
         """Add a request."""
@@ -148,9 +150,9 @@
     def pop(
         self, is_eligible: Callable[[QueuedRequest], bool] = lambda _: True
     ) -> QueuedRequest | None:
-        """Remove and return the next request that is eligible, if there is one.
+        """Remove and return the next eligible request; None if there is none.
 
-        Each workspace offers its first one only.
+        Only the first request of each workspace is considered.
         """
         skipped: list[tuple[float, str]] = []
         found: QueuedRequest | None = None
@@ -170,7 +172,7 @@
         return found
 
     def remove(self, request_id: str) -> QueuedRequest | None:
-        """Take a request out of the queue, if it waits."""
+        """Remove and return a request; None if it is not queued."""
         queued = self._requests.get(request_id)
         if queued is None:
             return None
@@ -179,25 +181,27 @@
         if len(queue.heap) > 2 * queue.count + MIN_STALE_ENTRIES:
             queue.heap = [entry for entry in queue.heap if self._is_live(entry[1])]
             heapq.heapify(queue.heap)
-            queue.arrivals = deque(w for w in queue.arrivals if self._is_live(w))
+            queue.arrivals = deque(r for r in queue.arrivals if self._is_live(r))
         return queued
 
     def charge(self, workspace: str, seconds: float) -> None:
-        """Correct what ``workspace`` used by ``seconds`` of target time per weight.
+        """Charge ``workspace`` another ``seconds`` of target time per unit of weight.
 
-        Without it a workspace whose answers run longer than expected would get more
-        than its share with each of them.
+        ``seconds`` is negative for a refund. Without this correction a workspace whose
+        responses take longer than expected would exceed its share with each of them.
         """
         queue = self._queues.get(workspace)
         if queue is not None:
             queue.virtual_start = max(self._virtual_time, queue.virtual_start + seconds)
             heapq.heappush(self._by_virtual_start, (queue.virtual_start, workspace))
             return
-        used = self._idle_virtual_times.get(workspace, self._virtual_time) + seconds
-        self._store_idle_virtual_time(workspace, used)
+        virtual_time = (
+            self._idle_virtual_times.get(workspace, self._virtual_time) + seconds
+        )
+        self._store_idle_virtual_time(workspace, virtual_time)
 
     def remove_expired(self, now: float) -> list[QueuedRequest]:
-        """Remove and return what could not finish by its deadline even if next."""
+        """Remove and return the requests that can no longer meet their deadline."""
         expired: list[QueuedRequest] = []
         while self._by_latest_start and self._by_latest_start[0][0] < now:
             _, request_id = heapq.heappop(self._by_latest_start)
@@ -207,19 +211,19 @@
         return expired
 
     def find_largest_backlog(self) -> tuple[str, float] | None:
-        """Return the workspace with most requests per weight, and that number."""
+        """Return the workspace with the largest backlog, and that backlog."""
         while self._by_backlog:
-            backlog, workspace = self._by_backlog[0]
+            negated, workspace = self._by_backlog[0]
             queue = self._queues.get(workspace)
-            if queue is not None and queue.backlog == -backlog:
+            if queue is not None and queue.backlog == -negated:
                 return workspace, queue.backlog
             heapq.heappop(self._by_backlog)
-            if queue is not None and queue.backlog < -backlog:
+            if queue is not None and queue.backlog < -negated:
                 heapq.heappush(self._by_backlog, (-queue.backlog, workspace))
         return None
 
     def find_newest(self, workspace: str) -> QueuedRequest | None:
-        """Return the request of ``workspace`` that came last."""
+        """Return the request of ``workspace`` that arrived last."""
         queue = self._queues.get(workspace)
         if queue is None:
             return None
@@ -228,7 +232,7 @@
         return queue.arrivals[-1]
 
     def list_all(self) -> list[QueuedRequest]:
-        """Return every waiting request."""
+        """Return all queued requests."""
         return list(self._requests.values())
 
     def _is_live(self, queued: QueuedRequest) -> bool:
@@ -261,24 +265,24 @@
         self._weight = self._weight - queue.weight if self._queues else 0.0
         self._store_idle_virtual_time(workspace, queue.virtual_start)
 
-    def _store_idle_virtual_time(self, workspace: str, virtual_start: float) -> None:
-        if virtual_start > self._virtual_time:
-            self._idle_virtual_times[workspace] = virtual_start
+    def _store_idle_virtual_time(self, workspace: str, virtual_time: float) -> None:
+        if virtual_time > self._virtual_time:
+            self._idle_virtual_times[workspace] = virtual_time
         else:
             self._idle_virtual_times.pop(workspace, None)
         if len(self._idle_virtual_times) > self._idle_bound:
             ahead = {
-                w: v
-                for w, v in self._idle_virtual_times.items()
-                if v > self._virtual_time
+                w: t
+                for w, t in self._idle_virtual_times.items()
+                if t > self._virtual_time
             }
             self._idle_virtual_times = ahead
             self._idle_bound = 2 * len(ahead) + MIN_STALE_ENTRIES
 
     def _compact(self) -> None:
         if len(self._by_latest_start) > 2 * len(self._requests) + MIN_STALE_ENTRIES:
-            entries = self._requests.values()
-            self._by_latest_start = [(w.latest_start, w.request_id) for w in entries]
+            requests = self._requests.values()
+            self._by_latest_start = [(r.latest_start, r.request_id) for r in requests]
             heapq.heapify(self._by_latest_start)
         if len(self._by_backlog) > 2 * len(self._queues) + MIN_STALE_ENTRIES:
             queues = self._queues.items()
--- a/libraries/decisions/src/bamboopier_decisions/admission/heavy_hitters.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/heavy_hitters.py
@@ -1,12 +1,15 @@
-"""How much of a target a workspace far above its share may use.
-
-Load pattern: one workspace asks for a hundred times its share while the others ask for
-less than theirs. Fair queueing alone gives every slot that falls free to somebody, so
-the target is always full: each request of the others waits for a slot and then shares
-a full batch, and their first tokens come several times later than without the hot
-caller. Here a workspace that asks for ``HEAVY_HITTER_RATIO`` times its share starts only while
-less than ``HEAVY_HITTER_SHARE`` of the limit is in use, so the others find both a free slot and
-an engine that is not full. When only one workspace is active, all is its share.
+"""Limits the slots of a target that heavy hitters may use.
+
+A heavy hitter is a workspace whose demand is far above its share.
+
+Load pattern: one workspace demands a hundred times its share while the others demand
+less than theirs. Fair queueing alone assigns every slot as soon as it is free, so the
+target is always full: each request of the others waits for a slot and then shares a
+full batch, and their first tokens come several times later than without the heavy
+hitter. Here a workspace that demands ``HEAVY_HITTER_RATIO`` times its share is started
+only while less than ``HEAVY_HITTER_SHARE`` of the limit is in use, so the others find
+both a free slot and an engine that is not full. If only one workspace is active, the
+whole target is its share.
 """
 
 from __future__ import annotations
@@ -15,23 +18,22 @@
 from dataclasses import dataclass
 from math import ceil, exp
 
-# An engine at this part of its concurrency limit gives much of its throughput, while
-# its first tokens come about as fast as from an idle one.
+# At this share of its concurrency limit an engine reaches much of its throughput, while
+# its first tokens come about as fast as from an idle engine.
 HEAVY_HITTER_SHARE = 0.25
-# Chance bunches of a caller within its share stay below this.
+# Random peaks of a workspace within its share stay below this ratio.
 HEAVY_HITTER_RATIO = 3.0
-# A workspace stays marked until it asks for no more than its share: gateways that were
-# told that a target is full for it hold back all but probes, so it seems to ask for
-# less than it does.
+# A workspace stays marked until it demands no more than its share: gateways that were
+# rejected for it send only probes, so the demand seen here is less than the real one.
 RECOVERED_RATIO = 1.0
-# A workspace that asked within this time has a share, and what it asks for is averaged
-# over it: several service times.
+# A workspace with a request within this time is active and has a share; its demand is
+# averaged over the same time. It covers several service times.
 ACTIVE_WINDOW_SECONDS = 10.0
 
 
 @dataclass(slots=True)
 class _Demand:
-    """Seconds of work asked for a second, as of ``updated_at``."""
+    """Seconds of target time demanded per second, as of ``updated_at``."""
 
     weight: float
     updated_at: float
@@ -47,7 +49,7 @@
 
 
 class HeavyHitters:
-    """Knows which workspaces are active and how much each asks for."""
+    """Tracks the demand of active workspaces and marks the heavy hitters."""
 
     def __init__(self) -> None:
         # Least recently active first.
@@ -58,7 +60,7 @@
     def record_arrival(
         self, now: float, workspace: str, weight: float, cost: float
     ) -> None:
-        """Count what a workspace asks for, whether or not it gets it."""
+        """Add a request to a workspace's demand, whether or not it is admitted."""
         demand = self._active.pop(workspace, None) or _Demand(0.0, now)
         self._weight += weight - demand.weight
         demand.weight = weight
@@ -73,13 +75,14 @@
             self._weight -= oldest.weight
 
     def compute_heavy_hitter_slots(self, limit: int) -> int:
-        """Return how many may run before those far above their share must wait."""
+        """Return how many slots may be in use when a heavy hitter's request starts."""
         return max(1, ceil(limit * HEAVY_HITTER_SHARE))
 
     def is_heavy_hitter(self, now: float, workspace: str, limit: int) -> bool:
-        """Say whether ``workspace`` asks for much more than its share and the others.
+        """Return whether ``workspace`` demands far more than its share and the others.
 
-        When all ask for much more than there is, nobody's slots are idle to be lent.
+        If all demand far more than the target can serve, none is marked: no workspace
+        leaves slots unused.
         """
         demand = self._active.get(workspace)
         if demand is None:
@@ -87,7 +90,7 @@
         share = demand.weight / max(demand.weight, self._weight)
         if share > 1 / HEAVY_HITTER_RATIO:
             return False
-        usual = share * max(float(limit), self._total.rate_at(now))
+        fair_demand = share * max(float(limit), self._total.rate_at(now))
         bound = RECOVERED_RATIO if demand.is_heavy_hitter else HEAVY_HITTER_RATIO
-        demand.is_heavy_hitter = demand.rate_at(now) > bound * usual
+        demand.is_heavy_hitter = demand.rate_at(now) > bound * fair_demand
         return demand.is_heavy_hitter
--- a/libraries/decisions/src/bamboopier_decisions/admission/messages.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/messages.py
@@ -1,4 +1,4 @@
-"""Events an agent's admission is told and decisions it answers with."""
+"""Input events and decisions of an agent's admission control."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class RejectReason(StrEnum):
-    """Why a target does not take a request."""
+    """Why a target rejects a request."""
 
     QUEUE_FULL = "queue-full"
     FAIR_SHARE = "fair-share"
     DEADLINE = "deadline"
-    # It would wait longer than its gateway allows; another target may be free.
+    # The request would wait longer than its gateway allows; another may have capacity.
     BUSY = "busy"
     STOPPING = "stopping"
 
@@ -26,22 +26,23 @@
     workspace: str
     # Share of the target relative to other workspaces.
     weight: float
-    # Smaller is served first within the workspace.
+    # Within the workspace, smaller values are served first.
     priority: int
     # Seconds on the same clock as ``now``.
     deadline: float
-    # Tokens to prefill and the most tokens to generate.
+    # Tokens of the prompt and the maximum number of tokens to generate.
     prompt_tokens: int
     max_tokens: int
-    # Seconds its gateway lets it wait here before it tries another target.
+    # Seconds that the gateway lets it wait here before it tries another target.
     max_wait: float = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
 class FirstTokenReceived:
-    """The first byte for a request that had ``prefill_tokens`` of prompt to prefill.
+    """The target sent the first byte of a response.
 
-    0 when that is known only at the end.
+    ``prefill_tokens`` is the number of prompt tokens that were prefilled; 0 if it is
+    reported only at the end of the response.
     """
 
     now: float
@@ -51,22 +52,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFinished:
-    """A started request is over; ``succeeded`` when the target finished it."""
+    """A started request ended; ``succeeded`` if the target completed it."""
 
     now: float
     request_id: str
     succeeded: bool
     output_tokens: int = 0
-    # Neither answered nor failed: the caller left, or it was refused after its start.
-    # It says nothing of the target.
+    # Neither succeeded nor failed: the caller disconnected, or the request was rejected
+    # after its start. It says nothing about the target.
     cancelled: bool = False
-    # Tokens that were prefilled, where ``FirstTokenReceived`` could not say.
+    # Tokens that were prefilled, if ``FirstTokenReceived`` did not report them.
     prefill_tokens: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCancelled:
-    """The gateway cancelled a request that may still be waiting."""
+    """The gateway cancelled a request that may still be queued."""
 
     now: float
     request_id: str
@@ -74,28 +75,28 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetRestarted:
-    """The target has a new start id: cold cache, cold weights, unknown speed."""
+    """The target has a new start id: its caches are cold and its speed is unknown."""
 
     now: float
 
 
 @dataclass(frozen=True, slots=True)
 class StopRequested:
-    """No new work from now on; what runs goes on, what waits is turned away."""
+    """Reject new and queued requests from now on; running ones continue."""
 
     now: float
 
 
 @dataclass(frozen=True, slots=True)
 class ResumeRequested:
-    """New work is taken again: a drain or a load of weights is over."""
+    """Accept new requests again after a drain or a load of weights."""
 
     now: float
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time passed: requests whose deadline cannot be met any more are answered."""
+    """Time passed: reject queued requests that can no longer meet their deadline."""
 
     now: float
 
@@ -109,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Answer not-run now; ``retry_after`` in seconds, 0 when waiting is useless."""
+    """Report not-run now; ``retry_after`` is in seconds, 0 if a retry is useless."""
 
     request_id: str
     reason: RejectReason
--- a/libraries/decisions/src/bamboopier_decisions/admission/retry_schedule.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/retry_schedule.py
@@ -1,9 +1,10 @@
-"""When those turned away should return, so that there is room when they do.
+"""Computes Retry-After times such that there is capacity when callers retry.
 
-Load pattern: sustained overload by callers that obey Retry-After. Without bookings all
-who are refused within a second get the same hint and return together, to be refused
-again. Each refusal books the next piece of its workspace's share of the target, so the
-hints of one workspace follow each other at the rate at which the target serves it.
+Load pattern: sustained overload by callers that obey Retry-After. Without reservations,
+all that are rejected within a second get the same time and retry together, only to be
+rejected again. Each rejection reserves the next interval of its workspace's share of
+the target, so the times of one workspace follow each other at the rate at which the
+target serves it.
 """
 
 from __future__ import annotations
@@ -14,16 +15,16 @@
     import random
 
 MIN_RETRY_AFTER = 0.25
-# Callers that ask again at once book again and again; beyond this a hint says nothing.
+# Callers that retry at once reserve again and again; longer times are meaningless.
 MAX_RETRY_AFTER = 30.0
-# Hints differ by up to this share, or agents that went full together would answer
-# the same second.
+# Relative random spread. Without it, agents that became full together would name the
+# same second.
 JITTER = 0.2
 MIN_RESERVATIONS = 64
 
 
 class RetrySchedule:
-    """Books a time per refusal and workspace."""
+    """Reserves a time to retry for each rejection, by workspace."""
 
     def __init__(self, random: random.Random) -> None:
         self._random = random
@@ -33,7 +34,10 @@
     def reserve(
         self, now: float, workspace: str, delay: float, interval: float
     ) -> float:
-        """Return the seconds to wait: at least ``delay``, ``interval`` after the last."""
+        """Return the seconds to wait before a retry.
+
+        They are at least ``delay``, and ``interval`` after the workspace's last time.
+        """
         earliest = now + max(MIN_RETRY_AFTER, delay)
         latest = now + MAX_RETRY_AFTER
         reserved = min(
--- a/libraries/decisions/src/bamboopier_decisions/admission/throughput_ratio.py
+++ b/libraries/decisions/src/bamboopier_decisions/admission/throughput_ratio.py
@@ -1,9 +1,9 @@
-"""How much of a queue's expected work really gets done a second.
+"""Ratio of the measured to the estimated throughput of a target with a full queue.
 
-Load pattern: a burst. Work is estimated from answers given at low load; a full batch
-serves each request more slowly, so the queue drains at a fraction of what slots and
-estimates promise. Without this measurement requests wait most of their patience before
-it shows that they cannot be served, and their refusal is late.
+Load pattern: a burst. Costs are estimated from responses at low load. A full batch
+serves each request more slowly, so the queue empties at a fraction of the rate that
+follows from slots and estimates. Without this measurement, requests wait for most of
+their timeout before it turns out that they cannot be served, and are rejected late.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ThroughputRatio:
-    """The share of the promised work that is done while a queue stands."""
+    """Estimated cost started per second and slot while requests are queued, 0 to 1."""
 
     __slots__ = ("_done", "_since", "value")
 
@@ -24,11 +24,14 @@
         self._done = 0.0
 
     def add_started_cost(self, seconds: float) -> None:
-        """Count the expected seconds of a request that left the queue to run."""
+        """Add the estimated seconds of a request that was started from the queue."""
         self._done += seconds
 
     def tick(self, now: float, standing: bool, limit: int) -> None:
-        """Take a sample if the queue stood through the whole of it."""
+        """Take a sample if requests were queued during the whole of it.
+
+        ``standing`` says whether all ``limit`` slots are in use and requests queued.
+        """
         if not standing or self._since is None:
             self._since = now if standing else None
             self._done = 0.0
--- a/libraries/decisions/src/bamboopier_decisions/routing/__init__.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Where a gateway sends a request, and what it does when an attempt ends."""
+"""Request routing: which target a gateway chooses, and when it retries."""
--- a/libraries/decisions/src/bamboopier_decisions/routing/messages.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/messages.py
@@ -1,4 +1,4 @@
-"""Events a router is told and decisions it answers with."""
+"""Input events and decisions of a gateway's router."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ExecutionStatus(StrEnum):
-    """What is known about whether a request has run."""
+    """Whether a request was executed, as far as the gateway can tell."""
 
     NOT_EXECUTED = "no"
     EXECUTED = "yes"
@@ -33,7 +33,7 @@
 
 
 class RefuseReason(StrEnum):
-    """Why a request is given up."""
+    """Why the gateway refuses a request."""
 
     NO_TARGET = "no-target"
     OVERLOADED = "overloaded"
@@ -45,25 +45,25 @@
 
 
 class ExclusionReason(StrEnum):
-    """Why a target is not sent a request."""
+    """Why a target is not eligible for a request."""
 
-    # It has had this request.
+    # The request was already sent to it.
     TRIED = "tried"
-    # An attempt broke there a moment ago.
+    # An attempt failed there recently: its connection broke or the target crashed.
     BROKEN = "broken"
-    # Much slower than the others.
+    # Ejected as an outlier: much slower than the others.
     SLOW = "slow"
-    # It said that it takes no work.
+    # It reported that it accepts no requests.
     NOT_ACCEPTING = "not-accepting"
-    # It turned this workspace away until later.
+    # It rejected this workspace for load, and the time to retry has not come.
     REFUSED = "refused"
-    # It has other weights.
+    # It serves another weight version.
     OTHER_WEIGHTS = "other-weights"
 
 
 @dataclass(frozen=True, slots=True)
 class ExcludedTarget:
-    """A target that a refused request was not sent to."""
+    """A target that was excluded for a refused request."""
 
     target: str
     reason: ExclusionReason
@@ -77,19 +77,19 @@
     waiting: int = 0
     limit: int = 1
     queued_tokens: int = 0
-    # Tokens of prompt a second; 0 while the agent has not measured it.
+    # Prompt tokens per second; 0 until the agent has measured it.
     prefill_rate: float = 0.0
     # Seconds until a new request would start.
     queue_delay: float = 0.0
     accepting: bool = True
     start_id: str = ""
-    # Version the target serves; empty when not known or a plain service.
+    # Version the target serves; empty if unknown or for a plain service.
     weight_version: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class TargetView:
-    """A target that may be used, from the VM list and the operator's drains."""
+    """A target that may be used, according to the VM list and the operator's drains."""
 
     target: str
     service: str
@@ -111,23 +111,24 @@
     block_tokens: int = 0
     block_keys: tuple[bytes, ...] = ()
     fingerprint: bytes = b""
-    # Version the request was made for; empty for plain services.
+    # Weight version that the request requires; empty for plain services.
     weight_version: str = ""
-    # Smaller is served first within the workspace.
+    # Within the workspace, smaller values are served first.
     priority: int = 0
 
     @property
     def backoff_key(self) -> str:
-        """Return whose refusals say something of this request.
+        """Return the key under which rejections of this request are recorded.
 
-        A target that is full for a workspace's drafts still takes its urgent ones.
+        A target that is full for a workspace's low priority may still accept its urgent
+        requests.
         """
         return f"{self.priority}:{self.workspace}"
 
 
 @dataclass(frozen=True, slots=True)
 class TargetReported:
-    """An agent's load arrived, on an answer or in reply to a report call."""
+    """An agent reported its load, with a response or in reply to a report call."""
 
     now: float
     target: str
@@ -136,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FirstByteReceived:
-    """An attempt's answer began ``seconds`` after it was sent."""
+    """The first byte of a response, ``seconds`` after the attempt was sent."""
 
     now: float
     request_id: str
@@ -146,25 +147,25 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """One attempt is over. ``ran`` is the truth as far as it is known."""
+    """An attempt ended. ``ran`` is the execution status as far as it is known."""
 
     now: float
     request_id: str
     target: str
     ran: ExecutionStatus
-    # The target refused for load; seconds until it thinks it worthwhile to return.
+    # Seconds until a retry, if the target rejected the request for load; 0 otherwise.
     retry_after: float = 0.0
-    # The connection broke or the target crashed while it had the request.
+    # The connection broke or the target crashed while the request was in flight.
     broken: bool = False
-    # Bytes of the answer already went to the caller, so no other may follow.
+    # Bytes of the response were already sent to the caller, so no other may follow.
     delivered: bool = False
-    # Seconds from sending to the first byte; 0 when none came.
+    # Seconds from sending to the first byte; 0 if none was received.
     first_byte: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class FleetChanged:
-    """The whole set of targets this gateway may use now."""
+    """The complete set of targets that this gateway may use now."""
 
     now: float
     targets: tuple[TargetView, ...]
@@ -172,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A target that was weighed, with its expected seconds to the first byte."""
+    """A target that was considered, with its expected seconds to the first byte."""
 
     target: str
     expected_seconds: float
@@ -186,25 +187,25 @@
     target: str
     reason: SendReason
     candidates: tuple[Candidate, ...]
-    # Seconds it may wait at the target before that turns it away for another.
+    # Seconds it may wait at the target before that rejects it in favour of another.
     max_wait: float = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Answer the caller now. ``retry_after`` is in seconds, 0 when useless."""
+    """Refuse the caller's request. ``retry_after`` is in seconds, 0 if useless."""
 
     request_id: str
     reason: RefuseReason
     ran: ExecutionStatus
     retry_after: float
-    # Where no target was left to send to: why each of the first was not.
+    # The first targets and why each was excluded, if no eligible one was found.
     excluded: tuple[ExcludedTarget, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Deliver:
-    """The attempt's own answer goes (or has gone) to the caller."""
+    """Pass the attempt's response to the caller, unless that was already done."""
 
     request_id: str
 
--- a/libraries/decisions/src/bamboopier_decisions/routing/rendezvous.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/rendezvous.py
@@ -1,9 +1,9 @@
-"""Rendezvous hashing: every gateway computes the same order without a message.
+"""Rendezvous hashing: every process computes the same order without communication.
 
-Load pattern: prompts that come back to a fleet whose members change. Without it a
-directory would have to follow millions of prompts, or a change of membership would
-move them all. A removed target moves only its own share, and the share goes back when
-it returns.
+Load pattern: prompts that return to a fleet whose members change. Without it, a
+directory would have to track millions of prompts, or a change of membership would move
+all of them. If a target is removed, only its own share moves, and the share moves back
+when the target returns.
 """
 
 from __future__ import annotations
--- a/libraries/decisions/src/bamboopier_decisions/routing/router.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/router.py
@@ -1,4 +1,7 @@
-"""The gateway's decisions: which target, another attempt, or a truthful refusal."""
+"""Routes a gateway's requests: chooses targets, retries attempts and refuses requests.
+
+A refusal never reports "not run" for a request that may have been executed.
+"""
 
 from __future__ import annotations
 
@@ -32,26 +35,26 @@
     import random
 
 MAX_ATTEMPTS = 3
-# A request that broke a target may be what broke it: one more target is risked, no
-# third. Without it such a request takes out MAX_ATTEMPTS targets each time it is sent.
+# A request may itself be the cause of a crash, so it is sent to one more target, not to
+# a third. Without this limit it crashes MAX_ATTEMPTS targets each time it is sent.
 MAX_CRASHED_TARGETS = 2
-# Attempts in all, with those that a leaving target turned away.
+# Attempts in total, including those rejected by a target that is leaving.
 MAX_TARGETS_TRIED = 8
-# Retry-After when no target can say how long its queue is.
+# Seconds for Retry-After if no target has reported a time.
 DEFAULT_RETRY_AFTER = 2.0
-# A hint given to one is passed on to others of its workspace up to this many times
-# later, so that they do not return together.
+# A target's retry time is stretched randomly by up to this factor for other requests of
+# the workspace, so that they do not retry together.
 MAX_RETRY_AFTER_FACTOR = 2.0
-# Before every fleet change: targets of the first one are not new, the gateway is.
+# Ramp start of the targets in the first fleet: they are not new, the gateway is.
 LONG_AGO = float("-inf")
-# Targets of which a refusal says why they were not sent the request.
+# Targets for which a refusal lists the exclusion reason.
 MAX_EXCLUDED_LISTED = 8
 
 _NO_TARGETS = ServiceTargets((), ())
 
 
 class _PendingRequest:
-    """A request between its arrival and its final answer."""
+    """A request between its arrival and its final response."""
 
     __slots__ = (
         "attempts",
@@ -65,12 +68,12 @@
     def __init__(self, request: RequestArrived) -> None:
         self.request = request
         self.attempts = 0
-        # Targets that broke with the request under way.
+        # Targets that crashed with the request in flight.
         self.crashed_targets = 0
         self.tried: set[str] = set()
-        # An earlier attempt's outcome is unknown, so "not run" would not be true.
+        # The outcome of an earlier attempt is unknown, so "not run" could be false.
         self.may_have_run = False
-        # Least retry_after among the targets that refused.
+        # Least retry_after of the targets that rejected the request; 0 if none did.
         self.min_retry_after = 0.0
 
 
@@ -81,7 +84,7 @@
         self._random = random
         self._targets: dict[str, TargetState] = {}
         self._services: dict[str, ServiceTargets] = {}
-        # Each target's places on the hash rings.
+        # Hash ring points by target.
         self._points: dict[str, tuple[int, ...]] = {}
         self._warm_prefixes = WarmPrefixes()
         self._pending: dict[str, _PendingRequest] = {}
@@ -89,11 +92,11 @@
 
     @property
     def pending(self) -> int:
-        """Return the number of requests without a final answer."""
+        """Return the number of requests without a final response."""
         return len(self._pending)
 
     def handle(self, event: RoutingEvent) -> RoutingDecision | None:
-        """Take one event; return the decision it calls for, if any."""
+        """Apply an event; return the resulting decision, if any."""
         match event:
             case RequestArrived():
                 return self._start(event)
@@ -110,7 +113,7 @@
         return None
 
     def abandon(self, request_id: str) -> None:
-        """Forget a request whose caller has left."""
+        """Discard a request whose caller has disconnected."""
         self._pending.pop(request_id, None)
 
     def _start(self, request: RequestArrived) -> RoutingDecision:
@@ -132,7 +135,7 @@
         first = not pending.tried
         state = choice.state
         pending.tried.add(state.view.target)
-        # A probe is refused or waits behind its own workspace: it delays no other.
+        # A probe is rejected or queued behind its own workspace: it delays no other.
         if not state.backoff.record_probe(now, request.backoff_key):
             state.record_sent(now, request.prompt_tokens)
         state.outlier_detector.record_probe(now)
@@ -170,7 +173,7 @@
         if key:
             self._warm_prefixes.add(key, event.target)
         targets = self._services.get(request.service)
-        # One that was refused waits for its own share, however quick the target is.
+        # A rejected workspace waits for its own share, however fast the target is.
         if targets is not None and not state.backoff.is_backing_off(
             request.backoff_key
         ):
@@ -198,7 +201,7 @@
             del self._pending[event.request_id]
             return Deliver(event.request_id)
         if event.ran is ExecutionStatus.UNKNOWN and not pending.request.idempotent:
-            # Another attempt could run it twice; the caller is told the truth.
+            # Another attempt could execute it twice: report the unknown outcome.
             pending.may_have_run = True
             return self._refuse(pending, RefuseReason.TARGET_FAILED)
         return self._retry(pending, event)
@@ -217,10 +220,10 @@
             and not event.broken
             and event.retry_after <= 0
         ):
-            # A leaving or drained target, or a busy one that leaves it to another,
-            # turned it away before it could run. That is no load, and it happens to
-            # whole data centres at once: paid from the budget it would refuse most of
-            # what they had waiting.
+            # A target that is leaving, drained or busier than the wait bound allows has
+            # rejected the request before it could run. That is no overload, and it
+            # happens to whole data centres at once: if such attempts used up the
+            # budget, most of the requests queued there would be refused.
             pending.attempts -= 1
         elif pending.attempts >= MAX_ATTEMPTS:
             return self._refuse(pending, RefuseReason.ATTEMPTS)
@@ -247,13 +250,13 @@
         return Refuse(request_id, reason, ran, wait, excluded)
 
     def _update_fleet(self, event: FleetChanged) -> None:
-        since = event.now if self._targets else LONG_AGO
+        ramp_start = event.now if self._targets else LONG_AGO
         states_by_target: dict[str, TargetState] = {}
         by_service: dict[str, list[TargetState]] = {}
         for view in event.targets:
             state = self._targets.get(view.target)
             if state is None:
-                state = TargetState(view, since)
+                state = TargetState(view, ramp_start)
             state.view = view
             states_by_target[view.target] = state
             by_service.setdefault(view.service, []).append(state)
@@ -271,7 +274,7 @@
 def _list_excluded(
     now: float, pending: _PendingRequest, targets: ServiceTargets
 ) -> tuple[ExcludedTarget, ...]:
-    """Return why the first targets are not sent a request that is given up."""
+    """Return the exclusion reasons of the first targets for a refused request."""
     listed = []
     for state in targets.list_first()[:MAX_EXCLUDED_LISTED]:
         reason = find_exclusion_reason(now, state, pending.request, pending.tried)
--- a/libraries/decisions/src/bamboopier_decisions/routing/service_targets.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/service_targets.py
@@ -1,8 +1,8 @@
-"""One service's targets, arranged when the fleet changes so that a choice is cheap.
+"""The targets of one service, indexed on a change of the fleet for cheap lookups.
 
-Load pattern: thousands of requests a second over hundreds of targets. Without it each
-request would walk them all. A choice looks at a few owners and a few random others,
-whatever the number of targets.
+Load pattern: thousands of requests per second over hundreds of targets. Without the
+index each request would scan all of them. A choice examines a few owners and a few
+random others, independent of the number of targets.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 
     from .target_state import TargetState
 
-# Draws for each random candidate that is wanted, before giving up on it.
+# Random draws per candidate before the search stops with fewer candidates.
 DRAWS_PER_CANDIDATE = 3
-# Targets looked at when neither owner nor draw was usable.
+# Targets examined if no owner and no random candidate was usable.
 MAX_SCANNED = 64
-# Distinct targets passed on the ring in search of usable owners.
+# Distinct targets examined on the ring in search of usable owners.
 MAX_RING_TARGETS = 12
-# Slowness moves over several answers; judging it once a second is soon enough.
+# Latency ratios change over several responses, so a check once a second is sufficient.
 OUTLIER_CHECK_SECONDS = 1.0
-# At most one judgement in so many first bytes per target: it walks all targets, and a
-# gateway with few requests must not pay for that with each of them.
+# A check requires one first byte per this many targets since the last one: it scans all
+# targets, so a gateway with few requests must not run it for each of them.
 TARGETS_PER_FIRST_BYTE = 8
 
 
@@ -71,7 +71,7 @@
         is_usable: Callable[[TargetState], bool],
         random: random.Random,
     ) -> list[TargetState]:
-        """Return up to ``count`` distinct usable targets, at random."""
+        """Return up to ``count`` distinct usable targets, picked at random."""
         picked: list[TargetState] = []
         for _ in range(DRAWS_PER_CANDIDATE * count):
             state = self._near[int(random.random() * len(self._near))]
@@ -84,7 +84,7 @@
     def scan(
         self, is_usable: Callable[[TargetState], bool], random: random.Random
     ) -> list[TargetState]:
-        """Return a usable target found by looking at up to ``MAX_SCANNED``."""
+        """Return the first usable of ``MAX_SCANNED`` targets from a random start."""
         start = int(random.random() * len(self._states))
         for offset in range(min(MAX_SCANNED, len(self._states))):
             state = self._states[(start + offset) % len(self._states)]
@@ -93,11 +93,11 @@
         return []
 
     def list_first(self) -> Sequence[TargetState]:
-        """Return as many targets as are looked at for one request."""
+        """Return the first ``MAX_SCANNED`` targets."""
         return self._states[:MAX_SCANNED]
 
     def find_wait(self, now: float, workspace: str) -> float:
-        """Return the least wait that the first targets told ``workspace``."""
+        """Return the least back-off seconds of ``workspace``; 0 if it has none."""
         states = self.list_first()
         waits = [state.backoff.get_wait(now, workspace) for state in states]
         return min((wait for wait in waits if wait > 0), default=0.0)
@@ -105,7 +105,7 @@
     def record_first_byte(
         self, now: float, state: TargetState, seconds: float, tokens: int
     ) -> None:
-        """Learn how fast ``state`` is and set the slowest aside where due."""
+        """Record a time to first byte; eject outliers if a check is due."""
         state.outlier_detector.record_first_byte(now, seconds, tokens, self._median)
         self._first_bytes += 1
         few = self._first_bytes * TARGETS_PER_FIRST_BYTE < len(self._states)
--- a/libraries/decisions/src/bamboopier_decisions/routing/target_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/target_choice.py
@@ -1,8 +1,9 @@
-"""Choose among targets: the prefix's owners unless they are much slower.
+"""Chooses the target of a request: an owner of its prefix unless others are faster.
 
-Load pattern: returning prompts whose context is warm at one target, and hot prefixes
-that one target cannot carry. Without affinity every return recomputes its prompt;
-without the bound one popular catalogue floods its owner while others idle.
+Load pattern: conversations that return to a target with their prefix in cache, and hot
+prefixes that exceed the capacity of one target. Without affinity every return
+recomputes its prompt; without the comparison of delays one popular prefix overloads its
+owner while other targets are idle.
 """
 
 from __future__ import annotations
@@ -20,18 +21,18 @@
     from .target_state import TargetState
     from .warm_prefixes import WarmPrefixes
 
-# Owners weighed for a prefix; the second and third take a hot prefix's overflow.
+# Owners considered for a prefix; the second and third serve the overflow of a hot one.
 OWNER_COUNT = 3
-# Others weighed beside the owners: two random choices avoid the herd that always
-# picking the least loaded of stale reports would form.
+# Targets considered beside the owners. Two random choices avoid the herding that
+# results from picking the least loaded target by outdated reports.
 RANDOM_CANDIDATES = 2
-# Leading blocks that name a prompt's owner. A conversation keeps its first blocks as
-# it grows, so the key stays the same on every return.
+# Leading blocks that determine a prompt's owners. A conversation keeps its first blocks
+# as it grows, so the key stays the same on every return.
 AFFINITY_BLOCKS = 2
 
 
 class TargetChoice:
-    """The chosen target with the reason and all that were weighed."""
+    """The chosen target, the reason for it and all targets considered."""
 
     __slots__ = ("candidates", "is_last", "reason", "saved_seconds", "state")
 
@@ -44,16 +45,16 @@
         is_last: bool,
     ) -> None:
         self.state = state
-        # No other target is left for the request, not even a full one.
+        # No other target remains for the request, not even a full one.
         self.is_last = is_last
-        # Seconds of prefill that a warm prefix is expected to spare there.
+        # Seconds of prefill expected to be saved by a warm prefix.
         self.saved_seconds = saved_seconds
         self.reason = reason
         self.candidates = candidates
 
 
 def compute_affinity_key(block_keys: tuple[bytes, ...]) -> bytes:
-    """Return the key that names a prompt's owners; empty when it has none."""
+    """Return the key that determines a prompt's owners; empty if it has no blocks."""
     if not block_keys:
         return b""
     return block_keys[min(len(block_keys), AFFINITY_BLOCKS) - 1]
@@ -62,7 +63,7 @@
 def find_exclusion_reason(
     now: float, state: TargetState, request: RequestArrived, tried: Set[str]
 ) -> ExclusionReason | None:
-    """Say why a target is not sent the request; None if it may be."""
+    """Return why a target is excluded for the request; None if it is eligible."""
     if state.view.target in tried:
         return ExclusionReason.TRIED
     return state.find_exclusion_reason(now, request.backoff_key, request.weight_version)
@@ -76,7 +77,10 @@
     warm: WarmPrefixes,
     random: random.Random,
 ) -> TargetChoice | None:
-    """Pick the target with the least expected time to the first byte."""
+    """Choose the target with the least expected time to the first byte.
+
+    Return None if no target is eligible.
+    """
     if len(targets) == 0:
         return None
 
@@ -102,7 +106,7 @@
     expected: list[float] = []
     saved_seconds: list[float] = []
     for position, state in enumerate(considered):
-        # Nobody knows better at first than that the first owner is warm.
+        # Until a response was received, only the first owner is assumed to be warm.
         is_probably_warm = state.view.target in warm_targets or (
             position == 0 and bool(owners)
         )
@@ -126,7 +130,7 @@
 def _is_ineligible(
     now: float, state: TargetState, request: RequestArrived, tried: Set[str]
 ) -> bool:
-    """Say whether a target is no choice for a request, also once it has room."""
+    """Return whether a target is excluded even if it had capacity."""
     reason = find_exclusion_reason(now, state, request, tried)
     return reason not in (None, ExclusionReason.REFUSED)
 
--- a/libraries/decisions/src/bamboopier_decisions/routing/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/target_state.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of one target."""
+"""A gateway's view of one target: reported load, requests sent and exclusions."""
 
 from __future__ import annotations
 
@@ -6,34 +6,36 @@
 from .outlier_detection import OutlierDetector
 from .workspace_backoff import WorkspaceBackoff
 
-# Seconds a hop costs: the brief gives about 1 ms between data centres of a region;
-# between regions 30 ms is assumed until measured.
+# Seconds that a hop adds. Data centres of a region are about 1 ms apart; 30 ms is
+# assumed between regions.
 HOP_SECONDS = {
     Distance.SAME_DATA_CENTRE: 0.0,
     Distance.SAME_REGION: 0.002,
     Distance.OTHER_REGION: 0.03,
 }
-# Assumed until the agent reports a measurement.
+# Prompt tokens per second, assumed until the agent reports a measurement.
 DEFAULT_PREFILL_RATE = 8000.0
-# Seconds a target that broke an attempt is passed over, doubled with each further
-# break up to the maximum. Without it every request would try the dead target first.
+# Seconds for which a target is excluded after a crash, doubled with each further crash
+# up to the maximum. Without the back-off every request would try the dead target first.
 INITIAL_BACKOFF_SECONDS = 1.0
 MAX_BACKOFF_SECONDS = 30.0
-# A target that said it takes no work is asked again after this. Reports come only with
-# answers, so without it a target that was down for a moment would stay unused forever.
+# A target that reported that it accepts no requests is tried again after this time.
+# Reports come only with responses, so otherwise a target that was down for a moment
+# would stay unused forever.
 NOT_ACCEPTING_TTL_SECONDS = 2.0
-# What was sent and not yet reported is forgotten evenly over this time: it has been
-# answered or shows in the next report. Without it a target that got the last requests
-# of a busy minute would look loaded until somebody sent to it again.
+# The count of requests sent since the last report decays linearly over this time: they
+# have been completed or appear in the next report. Without the decay, a target that
+# received the last requests of a busy minute would look loaded until the next request
+# is sent to it.
 SENT_DECAY_SECONDS = 2.0
-# Seconds that a full batch adds to a first token: prompts share the prefill.
+# Seconds that a full batch adds to a time to first token: prompts share the prefill.
 BATCH_SECONDS = 0.05
-# Time for a slot to fall free until a queue has shown it.
+# Seconds until a slot becomes free, assumed until a queue has been reported.
 INITIAL_SLOT_SECONDS = 0.1
-# A target that is new or cold is considered with a chance that grows over this time
-# to one. Without it all gateways send a returning data centre its whole share, and
-# long queues form before its agents' limits have grown: they double once per service
-# time, some two to three seconds, from two to a full batch of sixteen.
+# A target that is new or cold is considered with a probability that grows to one over
+# this time. Without the ramp all gateways send a returning data centre its whole share
+# at once, and long queues form before its agents' limits have grown: these double once
+# per service time, some two to three seconds, from two to a full batch of sixteen.
 RAMP_SECONDS = 10.0
 MIN_SELECTION_PROBABILITY = 0.05
 
@@ -59,9 +61,9 @@
     def __init__(self, view: TargetView, ramp_started_at: float) -> None:
         self.view = view
         self.load = TargetLoad()
-        # When it appeared or turned cold.
+        # Time at which the target appeared or became cold.
         self.ramp_started_at = ramp_started_at
-        # Requests and prompt tokens sent since the last report: the report lags.
+        # Requests and prompt tokens sent since the last report, which they are not in.
         self.sent = 0
         self.sent_tokens = 0
         self.backoff = WorkspaceBackoff()
@@ -74,11 +76,11 @@
 
     @property
     def prefill_rate(self) -> float:
-        """Return the prompt tokens a second, assumed until measured."""
+        """Return the prompt tokens per second, an assumed value until measured."""
         return self.load.prefill_rate or DEFAULT_PREFILL_RATE
 
     def update_load(self, now: float, load: TargetLoad) -> None:
-        """Take a fresh report."""
+        """Apply a new load report."""
         if self.load.start_id and load.start_id != self.load.start_id:
             self.ramp_started_at = now
         self.load = load
@@ -89,27 +91,30 @@
             self._slot_seconds = load.queue_delay / (load.waiting + 1)
 
     def record_sent(self, now: float, tokens: int) -> None:
-        """Count a request on its way that no report shows yet."""
+        """Count a request that is not in a report yet."""
         self.sent += 1
         self.sent_tokens += tokens
         self._sent_at = now
 
     def record_crash(self, now: float) -> None:
-        """Pass the target over for a while after a broken attempt."""
+        """Exclude the target for a back-off time after an attempt that broke."""
         self._backoff_seconds = min(
             MAX_BACKOFF_SECONDS, max(INITIAL_BACKOFF_SECONDS, self._backoff_seconds * 2)
         )
         self._backoff_until = now + self._backoff_seconds
 
     def record_success(self) -> None:
-        """Forget earlier breaks: the target answers."""
+        """Reset the back-off after a successful response."""
         self._backoff_seconds = 0.0
         self._backoff_until = 0.0
 
     def find_exclusion_reason(
         self, now: float, workspace: str, version: str
     ) -> ExclusionReason | None:
-        """Say why no work of ``workspace`` on weights ``version`` may go here."""
+        """Return why requests of ``workspace`` for ``version`` may not be sent here.
+
+        None if they may. ``workspace`` is a request's ``backoff_key``.
+        """
         if not self.serves_version(now, version):
             return ExclusionReason.OTHER_WEIGHTS
         if now < self._backoff_until:
@@ -124,26 +129,26 @@
         return None
 
     def compute_selection_probability(self, now: float) -> float:
-        """Return the chance with which this target is considered."""
+        """Return the probability with which this target is considered."""
         return min(
             1.0,
             max(MIN_SELECTION_PROBABILITY, (now - self.ramp_started_at) / RAMP_SECONDS),
         )
 
     def serves_version(self, now: float, version: str) -> bool:
-        """Say whether the target may serve a request made for a weight version.
+        """Return whether the target may serve a request for a weight version.
 
-        What it said a while ago is not held against it: it may have loaded since.
+        An outdated report does not exclude it: it may have loaded the version since.
         """
         if not version or self.load.weight_version in ("", version):
             return True
         return now - self._reported_at >= NOT_ACCEPTING_TTL_SECONDS
 
     def estimate_first_byte(self, now: float, prefill_tokens: int) -> float:
-        """Return the expected seconds to the first byte with ``prefill_tokens`` to prefill.
+        """Return the expected seconds to the first byte of a new request.
 
-        What was sent since the last report counts as if it were still queued, less
-        what has been done since.
+        Requests sent since the last report count as queued, minus the part that has
+        been completed since.
         """
         load = self.load
         sent = self.sent * max(0.0, 1 - (now - self._sent_at) / SENT_DECAY_SECONDS)
--- a/libraries/decisions/src/bamboopier_decisions/routing/wait_bound.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/wait_bound.py
@@ -1,25 +1,25 @@
-"""How long a request may wait at the target it was sent to before another is tried.
+"""Bounds the time a request may wait at a target before another target is tried.
 
-Load pattern: many gateways, each with a small share of the requests. At 340 gateways
-before 730 targets a gateway hears from a given target every 80 seconds, so the load it
-chooses by is long out of date. Without a bound a request that met a busy target waits
-there while others idle. The target knows its queue as it is now: told how long the
-request may wait, it turns the request away at once, and the next one is tried at the
-cost of a hop. The last attempt waits as long as it must: then all are busy, or none
-is left to try. Bounded there, a caller is refused as for overload by a target that is
-busy for a moment, while the only other one is stopped.
+Load pattern: many gateways, each with a small share of the requests. With 340 gateways
+and 730 targets a gateway receives a report of a given target every 80 seconds, so it
+chooses by outdated loads. Without a bound, a request sent to a busy target waits there
+while other targets are idle. The target has the current state of its queue: given the
+time the request may wait, it rejects the request at once, and another target is tried
+at the cost of a hop. The last attempt is not bounded, since all targets are busy or
+none remains to be tried. With a bound, a caller would be refused for overload by a
+target that is busy for a moment, while the only other one is stopped.
 
-Measured with 340 gateways, 40 targets and 80% load in simulated time: first token p95
-0.64 s without, 0.58 s with the bound, 0.54 s with reports as fresh as three gateways
-have them. In trials bounds from 0 to 0.1 s and one or two bounded attempts differed by
-less than 0.02 s, so the largest is taken, which sends the least twice.
+In a simulation with 340 gateways, 40 targets and 80% load, the p95 of the time to first
+token is 0.64 s without the bound, 0.58 s with it, and 0.54 s with reports as recent as
+three gateways have them. Bounds from 0 to 0.1 s and one or two bounded attempts differ
+by less than 0.02 s, so the largest is used, which repeats the fewest attempts.
 """
 
 from __future__ import annotations
 
-# Seconds; a few hops, and a small part of the 0.68 s a first token may take.
+# A few hops, and a small part of the 0.68 s that a first token may take.
 BOUNDED_WAIT_SECONDS = 0.1
-# Attempts that may be turned away for it.
+# Attempts that may be rejected for exceeding the bound.
 BOUNDED_ATTEMPTS = 2
 UNBOUNDED = float("inf")
 
@@ -27,9 +27,9 @@
 def bound_wait(attempt: int, saved_seconds: float, *, is_last: bool) -> float:
     """Return the seconds that attempt number ``attempt``, from 1, may wait.
 
-    ``saved_seconds`` is the prefill that a warm target spares: waiting less than that there is
-    still better than starting cold elsewhere. ``is_last`` says that no other target is
-    left to try.
+    ``saved_seconds`` is the prefill time that a warm target saves: a shorter wait there
+    is still better than a cold start elsewhere. ``is_last`` says that no other target
+    remains to be tried.
     """
     if is_last or attempt > BOUNDED_ATTEMPTS:
         return UNBOUNDED
--- a/libraries/decisions/tests/routing_builders.py
+++ b/libraries/decisions/tests/routing_builders.py
@@ -1,4 +1,4 @@
-"""Routing events with the usual values filled in."""
+"""Builders of routing events with default values."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 def make_router(targets: int, seed: int = 1) -> Router:
-    """Return a router that knows targets ``t0`` and so on."""
+    """Return a router with the targets ``t0``, ``t1`` and so on."""
     router = Router(Random(seed))
     router.handle(make_fleet(targets))
     return router
 
 
 def make_fleet(targets: int, now: float = 0.0) -> FleetChanged:
-    """Return the whole fleet as an event."""
+    """Return the event that reports the complete fleet."""
     near = Distance.SAME_DATA_CENTRE
     views = (TargetView(f"t{number}", SERVICE, near) for number in range(targets))
     return FleetChanged(now, tuple(views))
@@ -38,7 +38,7 @@
     keys: tuple[bytes, ...] = (),
     idempotent: bool = True,
 ) -> RequestArrived:
-    """Return an arrival of 800 prompt tokens with a minute to its deadline."""
+    """Return a request of 800 prompt tokens with a minute to its deadline."""
     return RequestArrived(
         now=now,
         request_id=request_id,
@@ -60,5 +60,5 @@
     retry_after: float = 0.0,
     broken: bool = False,
 ) -> AttemptEnded:
-    """Return the end of an attempt."""
+    """Return the event that ends an attempt."""
     return AttemptEnded(now, request_id, target, ran, retry_after, broken)
--- a/libraries/decisions/tests/test_admission.py
+++ b/libraries/decisions/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Each request gets one final decision, and the target never more than its limit."""
+"""Each request gets one final decision, and no target exceeds its limit."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Keeps the books on what the agent was told about every request."""
+    """Compares the controller with a model of the state of every request."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -48,7 +48,7 @@
 
     def handle(self, event: object) -> None:
         for decision in self.admission.handle(event):
-            # A decision about anything not waiting would be a second one.
+            # A decision on a request that is not queued would be its second one.
             assert decision.request_id in self.waiting
             self.waiting.discard(decision.request_id)
             if isinstance(decision, Start):
@@ -65,25 +65,25 @@
         self.waiting.add(f"r{self.number}")
         self.handle(make_work(self.number, self.now, workspace, timeout))
 
-    @rule(pick=st.integers(0, 7), prefill_tokens=st.integers(0, 800))
-    def begin_answer(self, pick: int, prefill_tokens: int) -> None:
+    @rule(index=st.integers(0, 7), prefill_tokens=st.integers(0, 800))
+    def receive_first_token(self, index: int, prefill_tokens: int) -> None:
         if self.running:
-            name = self.running[pick % len(self.running)]
+            name = self.running[index % len(self.running)]
             self.handle(FirstTokenReceived(self.now, name, prefill_tokens))
 
-    @rule(pick=st.integers(0, 7), how=st.sampled_from("afc"))
-    def end(self, pick: int, how: str) -> None:
+    @rule(index=st.integers(0, 7), outcome=st.sampled_from("afc"))
+    def end(self, index: int, outcome: str) -> None:
         if self.running:
-            name = self.running.pop(pick % len(self.running))
+            name = self.running.pop(index % len(self.running))
             ended = RequestFinished(
-                self.now, name, how == "a", 30, cancelled=how == "c"
+                self.now, name, outcome == "a", 30, cancelled=outcome == "c"
             )
             self.handle(ended)
 
-    @rule(pick=st.integers(0, 7))
-    def withdraw(self, pick: int) -> None:
+    @rule(index=st.integers(0, 7))
+    def cancel(self, index: int) -> None:
         if self.waiting:
-            name = sorted(self.waiting)[pick % len(self.waiting)]
+            name = sorted(self.waiting)[index % len(self.waiting)]
             self.waiting.discard(name)
             self.handle(RequestCancelled(self.now, name))
 
@@ -120,7 +120,10 @@
     def test_workspace_below_its_share_evicts_newest_of_largest_backlog(
         self,
     ) -> None:
-        """A workspace that asks for little is refused: another filled the queue."""
+        """Guards against rejecting a workspace below its share because of a full queue.
+
+        Another workspace has filled the queue.
+        """
         admission = AdmissionController(2, 4, Random(1))
         for number in range(6):
             admission.handle(make_work(number, number * 0.001, "hot"))
@@ -133,7 +136,7 @@
         self.assertEqual(admission.waiting, 4)
 
     def test_retry_after_values_are_spread_out(self) -> None:
-        """All who were refused in a second come back in one and are refused again."""
+        """Guards against callers that are rejected together and also retry together."""
         admission = AdmissionController(2, 4, Random(1))
         hints = [
             decision.retry_after
@@ -148,21 +151,23 @@
 
 
 class ConcurrencyLimitTests(unittest.TestCase):
-    def answer(self, limit: ConcurrencyLimit, count: int, latency: float) -> None:
+    def record_successes(
+        self, limit: ConcurrencyLimit, count: int, latency: float
+    ) -> None:
         for _ in range(count):
             limit.record_success(limit.value, latency)
 
     def test_limit_starts_small_and_grows_with_successes(self) -> None:
         limit = ConcurrencyLimit(32)
         self.assertEqual(limit.value, 2)
-        self.answer(limit, 60, 0.025)
+        self.record_successes(limit, 60, 0.025)
         self.assertEqual(limit.value, 32)
 
     def test_limit_shrinks_when_the_batch_slows_responses(self) -> None:
-        """The engine swaps: each added request makes all of them slower.
+        """Guards against a batch so large that the engine swaps.
 
-        Tokens come at more than twice the best pace, so the limit falls until they
-        do not, although every request is answered.
+        Each added request slows all of them. The time per token exceeds twice the best
+        one, so the limit shrinks until it does not, although every request succeeds.
         """
         limit = ConcurrencyLimit(64)
         for _ in range(600):
@@ -173,7 +178,7 @@
 
     def test_slow_first_tokens_reset_the_limit(self) -> None:
         limit = ConcurrencyLimit(32)
-        self.answer(limit, 60, 0.025)
+        self.record_successes(limit, 60, 0.025)
         limit.record_first_token(6.0)
         limit.record_first_token(6.0)
         self.assertEqual(limit.value, 32)
@@ -181,10 +186,10 @@
         self.assertEqual(limit.value, 2)
 
     def test_cancelled_requests_do_not_change_the_limit(self) -> None:
-        """A fresh engine answers nobody in time and its limit opens nevertheless.
+        """Guards against a limit that grows while a cold engine serves no one in time.
 
-        Its callers leave at their deadlines; counted as answers, they would let the
-        fleet in before it is warm.
+        The callers disconnect at their deadlines. Counted as successes, they would
+        admit the load of the whole fleet before the engine is warm.
         """
         admission = AdmissionController(32, 64, Random(1))
         for number in range(100):
@@ -212,8 +217,8 @@
             ended = RequestFinished(now + seconds, name, True, tokens)
             admission.handle(ended)
 
-    def ask_long(self, admission: AdmissionController, running: int) -> object:
-        """Ask for 1,600 tokens within a minute while others run; return the answer."""
+    def request_long(self, admission: AdmissionController, running: int) -> object:
+        """Request 1,600 tokens in a minute while others run; return the decisions."""
         for number in range(running):
             admission.handle(make_work(1000 + number, 1e4, timeout=600.0))
         arrived = AdmissionRequested(
@@ -222,23 +227,23 @@
         return admission.handle(arrived)
 
     def test_two_token_responses_do_not_inflate_long_estimates(self) -> None:
-        """A target refuses 1,600 tokens by a deadline that it could meet.
+        """Guards against rejecting 1,600 tokens with a deadline that can be met.
 
-        It has given many answers of two tokens that took 0.1 s for their overhead
-        alone. Taken as its pace, 1,600 tokens would take 80 s; it needs 8.
+        The target has served many responses of two tokens that took 0.1 s because of
+        their overhead. Extrapolated, 1,600 tokens would take 80 s; they take 8 s.
         """
         admission = AdmissionController(8, 64, Random(1))
         self.serve(admission, 60, 2, 0.12)
         running = admission.limit + 1
-        self.assertEqual(self.ask_long(admission, running), [])
+        self.assertEqual(self.request_long(admission, running), [])
         self.assertEqual(admission.handle(Tick(1e4 + 1)), [])
         self.assertEqual(admission.waiting, 2)
 
     def test_simultaneous_long_requests_on_a_fresh_target_are_queued(self) -> None:
-        """Of six long streams that start together on a fresh target one is refused.
+        """Guards against rejecting one of six long streams that start together.
 
-        Its limit is two, and nothing long was measured yet. Each takes 8 s, so the
-        last starts after 16 s of its minute.
+        The target is new: its limit is two and no long response was measured yet. Each
+        takes 8 s, so the last starts after 16 s of its minute.
         """
         admission = AdmissionController(32, 64, Random(1))
         self.serve(admission, 3, 2, 0.12)
@@ -257,12 +262,12 @@
     def test_free_slot_admits_regardless_of_the_estimate(self) -> None:
         admission = AdmissionController(8, 64, Random(1))
         self.serve(admission, 60, 64, 6.4)
-        self.assertEqual(self.ask_long(admission, 0), [Start("long")])
+        self.assertEqual(self.request_long(admission, 0), [Start("long")])
 
     def test_latency_of_long_responses_applies_to_queued_requests(self) -> None:
-        """Work that cannot be done by its deadline waits for a place and is cut off."""
+        """Guards against queueing a request that cannot finish by its deadline."""
         admission = AdmissionController(8, 64, Random(1))
         self.serve(admission, 60, 640, 64.0)
-        (decision,) = self.ask_long(admission, admission.limit + 1)
+        (decision,) = self.request_long(admission, admission.limit + 1)
         self.assertIsInstance(decision, Reject)
         self.assertIs(decision.reason, RejectReason.DEADLINE)
--- a/libraries/decisions/tests/test_fair_queue.py
+++ b/libraries/decisions/tests/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""The queue loses and duplicates nothing, stands no slot idle, and keeps shares."""
+"""The queue neither loses nor duplicates requests and preserves fair shares."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class FairQueueMachine(RuleBasedStateMachine):
-    """Compares the queue with a plain dict of what must be in it."""
+    """Compares the queue with a plain dict of the requests it must hold."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -52,18 +52,18 @@
         ]
         assert all(popped.sort_key <= sort_key for sort_key in own)
 
-    @rule(held=st.sampled_from(WORKSPACES))
-    def pop_all_but(self, held: str) -> None:
-        popped = self.queue.pop(lambda first: first.workspace != held)
+    @rule(excluded=st.sampled_from(WORKSPACES))
+    def pop_all_but(self, excluded: str) -> None:
+        popped = self.queue.pop(lambda first: first.workspace != excluded)
         if popped is None:
-            assert all(w.workspace == held for w in self.model.values())
+            assert all(w.workspace == excluded for w in self.model.values())
             return
-        assert popped.workspace != held
+        assert popped.workspace != excluded
         assert self.model.pop(popped.request_id) is popped
 
-    @rule(pick=st.integers(0, 50))
-    def remove(self, pick: int) -> None:
-        name = str(self.number - pick)
+    @rule(offset=st.integers(0, 50))
+    def remove(self, offset: int) -> None:
+        name = str(self.number - offset)
         assert self.queue.remove(name) is self.model.pop(name, None)
 
     @rule(workspace=st.sampled_from(WORKSPACES), seconds=st.floats(-3.0, 3.0))
@@ -109,17 +109,17 @@
     def test_backlogged_workspaces_stay_within_one_request_of_their_share(
         self, data: st.DataObject
     ) -> None:
-        """While two workspaces always wait, neither gets ahead of its weight.
+        """Two workspaces with a constant backlog are served in proportion to weight.
 
-        Start-time fair queueing bounds the difference of work per weight by one
-        request of each.
+        Start-time fair queueing bounds the difference of cost per weight by one request
+        of each.
         """
         queue = FairQueue()
         for number in range(60):
             for workspace in ("a", "b"):
                 cost = data.draw(COSTS)
                 queue.push(make_queued(number, f"{workspace}", cost))
-                # Ids are unique over both lines.
+                # Request ids are unique across both workspaces.
                 number += 1000
         served = {"a": 0.0, "b": 0.0}
         while queue.count("a") and queue.count("b"):
--- a/libraries/decisions/tests/test_load.py
+++ b/libraries/decisions/tests/test_load.py
@@ -1,7 +1,8 @@
-"""What callers receive when the fleet is full, slow, cold or smaller than it was.
+"""Responses that callers receive from a full, slow, cold or reduced fleet.
 
-Each test runs the unchanged router and admission under simulated time (bench_load)
-with fixed seeds, and judges what callers received. Bounds are in simulated seconds.
+Each test runs the production router and admission controller in simulated time
+(bench_load) with fixed seeds and checks the responses that callers received. Bounds are
+in simulated seconds.
 """
 
 from __future__ import annotations
@@ -49,7 +50,7 @@
     def check_overload(self, factor: float, behaviour: Behaviour) -> Outcome:
         outcome = run(make_overload(factor, TARGETS, behaviour, 35.0))
         self.assertGreaterEqual(outcome.per_second, 0.9 * run_at_capacity().per_second)
-        # All ask alike, so none may get much less than the mean.
+        # All workspaces send the same load, so none may get much less than the mean.
         mean = outcome.in_time / WORKSPACES
         self.assertGreaterEqual(outcome.least, 0.7 * mean)
         self.assertEqual(outcome.unhinted, 0)
@@ -57,13 +58,13 @@
         return outcome
 
     def test_throughput_holds_at_five_times_capacity(self) -> None:
-        """Nobody is answered in time although every engine works all the time.
+        """Guards against a fleet that is busy all the time but late for every caller.
 
-        Five times what the fleet carries is asked for. If all of it waits, each
-        request's turn comes after its caller has left.
+        The load is five times the capacity. If all requests are queued, each starts
+        only after its caller has disconnected.
         """
         outcome = self.check_overload(5.0, OBEDIENT)
-        # Those given up learn it soon, and few ask twice: the hint was right.
+        # Refusals are early, and few callers retry twice: the retry time was right.
         self.assertLess(outcome.refusal_p99, 2.0)
         self.assertLess(outcome.asks, 1.1 * outcome.orders)
 
@@ -73,9 +74,10 @@
                 self.check_overload(factor, OBEDIENT)
 
     def test_immediate_retries_do_not_reduce_throughput(self) -> None:
-        """A retry storm: each refused caller is back within a tenth of a second.
+        """Guards against a retry storm: refused callers retry within 0.1 s.
 
-        The asks are some twenty times the orders; answers in time must not suffer.
+        There are some twenty times as many requests as orders; the rate of responses in
+        time must not drop.
         """
         outcome = self.check_overload(5.0, EAGER)
         self.assertGreater(outcome.asks, 10 * outcome.orders)
@@ -83,14 +85,14 @@
 
     def test_throughput_exceeds_baselines_under_overload(self) -> None:
         scenario = make_overload(2.0, TARGETS, OBEDIENT, 35.0)
-        ours = run(scenario).per_second
+        per_second = run(scenario).per_second
         for policy in (ROUND_ROBIN, LEAST_LOADED):
             scenario = make_overload(2.0, TARGETS, OBEDIENT, 35.0)
-            theirs = judge(simulate(policy, scenario), scenario).per_second
-            self.assertGreater(ours, 1.2 * theirs, policy.name)
+            baseline = judge(simulate(policy, scenario), scenario).per_second
+            self.assertGreater(per_second, 1.2 * baseline, policy.name)
 
     def test_burst_is_served_within_caller_timeouts(self) -> None:
-        """A burst is refused although its turn would come before callers leave."""
+        """Guards against refusing a burst that can be served within the timeouts."""
         outcome = run(make_burst(TARGETS))
         self.assertGreater(outcome.in_time, 0.73 * outcome.orders)
         self.assertEqual(outcome.unhinted, 0)
@@ -98,10 +100,10 @@
 
 class HeavyHitterTests(unittest.TestCase):
     def test_heavy_hitter_hardly_delays_others(self) -> None:
-        """Everybody's first token is late since one workspace asks too much.
+        """Guards against late first tokens for all because of one workspace's load.
 
-        It asks for 100 times its share; the nine others for 70% of theirs. Sums over
-        three seeds, as a p95 of some hundred answers is coarse.
+        It sends 100 times its share; the nine others send 70% of theirs. The p95 is
+        averaged over three seeds, since a p95 of some hundred responses is coarse.
         """
         seeds = (1, 2, 3)
         for behaviour in (OBEDIENT, EAGER):
@@ -128,13 +130,13 @@
 
 class PrefixTests(unittest.TestCase):
     def test_a_hot_prefix_is_spread_and_seldom_recomputed(self) -> None:
-        """A popular catalogue makes its one owner slow, or is prefilled by everyone."""
+        """Guards against a hot prefix overloading its owner or prefilled everywhere."""
         scenario = make_hot_prefix(9)
         simulation = simulate(OURS, scenario)
         outcome = judge(simulation, scenario)
         self.assertEqual(outcome.in_time, outcome.orders)
         self.assertLess(outcome.first_p95, 0.4)
-        # Those that arrive before the first prefill ends recompute it beside it.
+        # Requests that arrive before the first prefill ends compute the prefix again.
         shared = sum(order.shared_tokens for order in scenario.orders)
         self.assertLess(outcome.recomputed, 0.06 * shared)
         used = {o.targets[-1] for o in scenario.orders if o.prefix}
@@ -143,9 +145,10 @@
 
 class SlowTargetAndLongRequestTests(unittest.TestCase):
     def test_slow_target_receives_few_requests(self) -> None:
-        """One target in nine falls to a tenth of its speed and a ninth of callers wait.
+        """Guards against slow responses for a ninth of the callers.
 
-        It answers, so nothing fails. Once its slowness shows it may get no more than
+        One target in nine drops to a tenth of its speed. Its requests succeed, so it is
+        not excluded as failed. Once detected as an outlier, it may receive no more than
         half of its ninth.
         """
         scenario = make_slow_target(9)
@@ -157,10 +160,10 @@
         self.assertGreater(outcome.in_time, 0.985 * outcome.orders)
 
     def test_short_requests_are_not_stuck_behind_long_ones(self) -> None:
-        """Short requests wait as long as the long ones that came first.
+        """Guards against short requests that wait for all earlier long ones.
 
-        Long prompts ask for more than the rest of the fleet. First come, first served
-        leaves the short ones a p95 first token of over ten seconds.
+        Long prompts demand more than the remaining capacity. With first come, first
+        served, the p95 first token of the short ones is over ten seconds.
         """
         outcome = run(make_long_among_short(9))
         self.assertGreater(outcome.in_time, 0.8 * outcome.orders)
@@ -169,7 +172,7 @@
 
 class ColdTargetTests(unittest.TestCase):
     def test_cold_fleet_warms_up_without_crashes(self) -> None:
-        """The whole fleet starts, meets its full load and falls over time and again."""
+        """Guards against a cold fleet that crashes repeatedly under its full load."""
         scenario = make_cold_fleet(TARGETS)
         simulation = simulate(OURS, scenario)
         self.assertEqual(judge(simulation, scenario).falls, 0)
@@ -178,57 +181,58 @@
         self.assertGreater(in_time, 0.95 * len(late))
 
     def test_agent_restart_during_the_ramp_resets_the_limit(self) -> None:
-        """An engine half warm is flooded since its new agent has forgotten that.
+        """Guards against overloading an engine that is still warming up.
 
-        All agents restart at 6 s, when their engines have answered a few requests.
+        All agents restart at 6 s, when their engines have served a few requests, and
+        lose the limits they had reached.
         """
         scenario = make_cold_fleet(TARGETS)
-        agents: list[int] = []
+        limits: list[int] = []
 
         def restart_all(simulation: Simulation) -> None:
             for agent in simulation.agents.values():
                 agent.restart_agent()
-                agents.append(agent.admission.limit)
+                limits.append(agent.admission.limit)
 
         scenario.prepare = lambda simulation: simulation.clock.call_at(
             6.0, lambda: restart_all(simulation)
         )
         simulation = simulate(OURS, scenario)
-        self.assertEqual(agents, [2] * TARGETS)
+        self.assertEqual(limits, [2] * TARGETS)
         self.assertEqual(judge(simulation, scenario).falls, 0)
 
     def test_data_centre_outage_and_return_do_not_affect_callers(self) -> None:
-        """Callers notice that a third of the fleet leaves, or that it returns cold.
+        """Guards against failures when a third of the fleet leaves and returns cold.
 
-        The rest carries 80% load meanwhile. What waits at the leaving targets moves
-        on, none of the returning ones may be flooded.
+        The rest serves 80% load meanwhile. Requests queued at the leaving targets move
+        to others, and no returning target may be overloaded.
         """
         scenario = make_data_centre(9)
         simulation = simulate(OURS, scenario)
         outcome = judge(simulation, scenario)
         self.assertGreater(outcome.in_time, 0.985 * outcome.orders)
         self.assertEqual(outcome.falls, 0)
-        gone = {"t0", "t1", "t2"}
+        removed = {"t0", "t1", "t2"}
 
-        def is_sent_to_gone(order: Order) -> bool:
-            return bool(order.targets) and order.targets[0] in gone
+        def is_sent_to_removed(order: Order) -> bool:
+            return bool(order.targets) and order.targets[0] in removed
 
         out = [o for o in scenario.orders if 20.1 <= o.arrival < 40.0]
         back = [o for o in scenario.orders if o.arrival >= 60.0]
-        self.assertEqual(sum(map(is_sent_to_gone, out)), 0)
-        # Cold engines are slower, so less than their third, but not forgotten.
-        self.assertGreater(sum(map(is_sent_to_gone, back)), 0.05 * len(back))
+        self.assertEqual(sum(map(is_sent_to_removed, out)), 0)
+        # Cold engines are slower, so they receive less than their third, but some.
+        self.assertGreater(sum(map(is_sent_to_removed, back)), 0.05 * len(back))
 
 
 class PriorityTests(unittest.TestCase):
     def test_urgent_requests_of_a_full_workspace_go_first(self) -> None:
-        """A dispatch waits behind the same workspace's drafts.
+        """Guards against urgent requests queued behind others of the same workspace.
 
-        Both ask for more than there is; the urgent tenth must hardly wait.
+        Together they exceed the capacity; the urgent tenth must hardly wait.
         """
         maker = OrderMaker(22)
-        patient = Mix(patience=20.0)
-        maker.add(1.5 * CAPACITY * TARGETS, 0.0, 35.0, patient, workspace="w")
+        mix = Mix(patience=20.0)
+        maker.add(1.5 * CAPACITY * TARGETS, 0.0, 35.0, mix, workspace="w")
         for order in maker.orders[::10]:
             order.priority = -1
         scenario = Scenario("priority", maker.orders, TARGETS, 15.0, 35.0)
--- a/libraries/decisions/tests/test_router.py
+++ b/libraries/decisions/tests/test_router.py
@@ -1,4 +1,4 @@
-"""What a gateway decides after refusals, breaks and silence."""
+"""Routing decisions after rejections, crashes and outdated reports."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 class ExecutionStatusTests(unittest.TestCase):
     def test_unknown_stays_unknown_when_the_next_target_rejects(self) -> None:
-        """The caller of an idempotent request is told "not run" though it may have run.
+        """Guards against reporting "not run" for a request that may have been executed.
 
-        The first target breaks off with the request in hand, the second refuses it
-        for load. The second's "not run" is true of itself alone.
+        The first target crashes with the request in flight, the second rejects it for
+        load. The second one's "not run" is true for its own attempt only.
         """
         router = make_router(2)
         first = router.handle(make_request("r"))
@@ -57,10 +57,10 @@
 
 class LeavingTargetTests(unittest.TestCase):
     def test_rejections_by_leaving_targets_do_not_use_the_retry_budget(self) -> None:
-        """A data centre leaves and its waiting requests are refused to their callers.
+        """Guards against refusing the queued requests of a data centre that leaves.
 
-        Its targets turn away all that waits, before running any of it. Fifty requests
-        need another target at once, five times the budget's reserve, with no overload.
+        Its targets reject all queued requests without executing them. Fifty requests
+        need another target at once, five times the saved retries, with no overload.
         """
         router = make_router(4)
         sent = [router.handle(make_request(f"r{n}")) for n in range(50)]
@@ -72,10 +72,10 @@
             self.assertNotEqual(again.target, first.target)
 
     def test_last_remaining_target_gets_an_unbounded_wait(self) -> None:
-        """One of two targets is stopped, and the other is busy for a moment.
+        """Guards against refusals while one of two targets is stopped.
 
-        Told that a request may wait 0.1 s there, it turned it away, though nobody else
-        was left: callers got "overloaded" all the while.
+        The other one is busy for a moment. With a wait bound of 0.1 s it would reject
+        the request, and callers would receive "overloaded" until the first is back.
         """
         router = make_router(2)
         first = router.handle(make_request("r0"))
@@ -84,16 +84,17 @@
             make_end("r0", first.target, ExecutionStatus.NOT_EXECUTED, broken=True)
         )
         self.assertEqual(again.max_wait, UNBOUNDED)
-        # The one that is stopped is passed over for a while.
+        # The stopped target is excluded for its back-off time.
         alone = router.handle(make_request("r1"))
         self.assertEqual(alone.target, again.target)
         self.assertEqual(alone.max_wait, UNBOUNDED)
 
     def test_refusal_lists_exclusion_reasons(self) -> None:
-        """One target drains, and an attempt broke at the other a moment ago.
+        """Guards against refusals whose cause cannot be found.
 
-        Callers are told "overloaded" for a second, though nothing is: only the reasons
-        that are logged with the refusal tell this from load.
+        One target drains, and the other one crashed a moment ago. Callers receive
+        "overloaded" for a second although no target is overloaded: only the exclusion
+        reasons logged with the refusal distinguish this from load.
         """
         router = make_router(2)
         first = router.handle(make_request("r0"))
@@ -114,9 +115,9 @@
         )
 
     def test_rejections_for_load_use_the_retry_budget(self) -> None:
-        """With every target full, retries stay a small part of what is sent."""
+        """With every target full, retries stay a small share of the requests sent."""
         router = make_router(40)
-        extra = 0
+        retries = 0
         for number in range(200):
             decision = router.handle(make_request(f"r{number}", workspace=f"w{number}"))
             while isinstance(decision, Send):
@@ -127,8 +128,8 @@
                     retry_after=1.0,
                 )
                 decision = router.handle(end)
-                extra += isinstance(decision, Send)
-        self.assertLessEqual(extra, 10)
+                retries += isinstance(decision, Send)
+        self.assertLessEqual(retries, 10)
 
     def test_attempts_are_bounded_when_the_whole_fleet_leaves(self) -> None:
         router = make_router(100)
@@ -145,10 +146,11 @@
 
 class StaleReportTests(unittest.TestCase):
     def test_non_accepting_target_is_tried_again(self) -> None:
-        """Callers get no-target forever though the target has long been back.
+        """Guards against a target that stays excluded after it has recovered.
 
-        An engine restarts; its agent's report with the last answer says that it takes
-        no work. Reports come only with answers, so no later one corrects it.
+        An engine restarts; its agent's report with the last response says that it
+        accepts no requests. Reports come only with responses, so no later one corrects
+        it, and callers would receive no-target forever.
         """
         router = make_router(1)
         load = TargetLoad(accepting=False)
@@ -159,10 +161,10 @@
         self.assertIsInstance(later, Send)
 
     def test_sent_counts_decay_while_the_gateway_is_idle(self) -> None:
-        """After a busy minute a prompt's own target is passed over for no reason.
+        """Guards against avoiding a prompt's owner because of old requests.
 
-        The gateway sent it many prompts and heard nothing since; all were served by
-        others' accounts long ago.
+        The gateway sent it many prompts in a busy minute and received no report since;
+        all of them have been completed long ago.
         """
         router = make_router(9)
         keys = (b"a" * 16, b"b" * 16)
@@ -175,10 +177,10 @@
 
 class WorkspaceBackoffTests(unittest.TestCase):
     def test_full_target_receives_only_probes_from_a_rejected_workspace(self) -> None:
-        """A caller that asks again at once has each ask carried to a full target.
+        """Guards against sending every immediate retry of a caller to a full target.
 
-        Only a probe in half a second may go until the hint has passed; the rest is
-        answered by the gateway at once, with the time that is left.
+        Only one probe per half second is sent until the time to retry; the gateway
+        refuses all other requests at once, with the remaining time.
         """
         router = make_router(1)
         sends = 0
@@ -211,10 +213,10 @@
 
 
 class OutlierDetectionTests(unittest.TestCase):
-    """One of six targets takes a second longer to its first byte than the others."""
+    """One of six targets takes a second longer to the first byte than the others."""
 
     def serve(self, router: Router, start: float, slow: set[str]) -> list[str]:
-        """Serve 400 requests over 40 s; return where they went."""
+        """Serve 400 requests over 40 s; return the targets they were sent to."""
         targets: list[str] = []
         for number in range(400):
             now = start + number / 10
@@ -234,11 +236,11 @@
         slow = self.serve(router, 40.0, {"t0"})
         self.assertLess(slow.count("t0"), 8)
         self.serve(router, 80.0, set())
-        healed = self.serve(router, 120.0, set())
-        self.assertGreater(healed.count("t0"), 40)
+        readmitted = self.serve(router, 120.0, set())
+        self.assertGreater(readmitted.count("t0"), 40)
 
     def test_at_most_a_third_of_targets_is_ejected(self) -> None:
-        """A rollout makes half of the targets slow; the rest would be overrun."""
+        """Guards against overloading the rest when a rollout slows half the targets."""
         router = make_router(6)
         slow = {"t0", "t1"}
         self.serve(router, 0.0, slow)
@@ -248,10 +250,10 @@
 
 class RampTests(unittest.TestCase):
     def test_new_targets_receive_their_share_gradually(self) -> None:
-        """A data centre that returns cold is sent its whole share in the first second.
+        """Guards against sending cold targets their whole share in the first second.
 
-        Four targets serve; four more appear. Half of the requests would go there at
-        once; the share must grow over the ramp.
+        Four targets are in use and four more appear, as when a data centre returns.
+        Their share must grow to a half over the ramp.
         """
         router = make_router(4)
         router.handle(make_fleet(8, now=100.0))
--- a/libraries/decisions/tests/test_wait_bound.py
+++ b/libraries/decisions/tests/test_wait_bound.py
@@ -1,4 +1,4 @@
-"""A request does not queue at a busy target while others may be idle."""
+"""A request is not queued at a busy target while others may be idle."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from bamboopier_decisions.routing.wait_bound import BOUNDED_WAIT_SECONDS, UNBOUNDED
 
 TARGETS = 6
-# More requests than any retry budget holds.
+# More than the retries that a retry budget can save.
 REQUESTS = 200
 
 
@@ -38,8 +38,9 @@
 
 class WaitBoundTests(unittest.TestCase):
     def test_busy_target_rejects_requests_beyond_their_wait_bound(self) -> None:
-        # The target is full. A request that may wait 0.1 s is answered "not run"
-        # without a hint, since another target may have room; one without a bound waits.
+        # The target is full. A request that may wait 0.1 s is rejected as "not run"
+        # without a time to retry, since another target may have capacity; a request
+        # without a bound is queued.
         admission = AdmissionController(2, 10, random.Random(1))
         admission.handle(build_work(0, UNBOUNDED))
         admission.handle(RequestFinished(3.0, "r0", succeeded=True, output_tokens=100))
@@ -52,8 +53,8 @@
         self.assertEqual(admission.waiting, 1)
 
     def test_third_attempt_waits_without_a_bound(self) -> None:
-        # Every target the gateway tries is busier than it knew. The third waits as
-        # long as it must; nobody is refused for want of a retry budget.
+        # Every target that the gateway tries is busier than last reported. The third
+        # attempt is unbounded; none is refused for lack of retry budget.
         router = Router(random.Random(2))
         views = [TargetView(f"t{n}", "s", Distance.SAME_REGION) for n in range(TARGETS)]
         router.handle(FleetChanged(0.0, tuple(views)))
