--- a/libraries/decisions/src/bamboopier_decisions/routing/outlier_detection.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/outlier_detection.py
@@ -44,11 +44,11 @@
     """The latency ratio of one target, and whether the target is ejected."""
 
     __slots__ = (
+        "_ejected_until",
         "_ejection_seconds",
         "_passed_probes",
         "_probe_sent_at",
         "_ratios",
-        "_ejected_until",
     )
 
     def __init__(self) -> None:
--- a/libraries/decisions/src/bamboopier_decisions/routing/router.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/router.py
@@ -60,8 +60,8 @@
         "attempts",
         "crashed_targets",
         "may_have_run",
-        "request",
         "min_retry_after",
+        "request",
         "tried",
     )
 
--- a/libraries/decisions/src/bamboopier_decisions/routing/target_state.py
+++ b/libraries/decisions/src/bamboopier_decisions/routing/target_state.py
@@ -49,12 +49,12 @@
         "_reported_at",
         "_sent_at",
         "_slot_seconds",
-        "ramp_started_at",
-        "load",
         "backoff",
+        "load",
+        "outlier_detector",
+        "ramp_started_at",
         "sent",
         "sent_tokens",
-        "outlier_detector",
         "view",
     )
 
@@ -97,7 +97,7 @@
         self._sent_at = now
 
     def record_crash(self, now: float) -> None:
-        """Exclude the target for a back-off time after an attempt that broke."""
+        """Exclude the target for a while after a crash or a broken connection."""
         self._backoff_seconds = min(
             MAX_BACKOFF_SECONDS, max(INITIAL_BACKOFF_SECONDS, self._backoff_seconds * 2)
         )
--- a/libraries/decisions/tests/test_admission.py
+++ b/libraries/decisions/tests/test_admission.py
@@ -138,15 +138,17 @@
     def test_retry_after_values_are_spread_out(self) -> None:
         """Guards against callers that are rejected together and also retry together."""
         admission = AdmissionController(2, 4, Random(1))
-        hints = [
+        retry_times = [
             decision.retry_after
             for number in range(46)
             for decision in admission.handle(make_work(number, 0.0))
             if isinstance(decision, Reject)
         ]
-        self.assertEqual(len(hints), 40)
-        for second in range(int(max(hints))):
-            together = sum(second <= hint < second + 1 for hint in hints)
+        self.assertEqual(len(retry_times), 40)
+        for second in range(int(max(retry_times))):
+            together = sum(
+                second <= retry_time < second + 1 for retry_time in retry_times
+            )
             self.assertLessEqual(together, 8)
 
 
