--- a/libraries/gateway/src/bamboopier_gateway/daemon.py
+++ b/libraries/gateway/src/bamboopier_gateway/daemon.py
@@ -20,7 +20,7 @@
 from bamboopier_objects.peers import PeerClient
 from bamboopier_objects.vm_board import VmBoard
 
-from .agents import Agents
+from .agent_connections import Agents
 from .application import GatewayApplication
 from .fleet import Fleet
 from .forwarder import Forwarder
--- a/libraries/gateway/src/bamboopier_gateway/fleet.py
+++ b/libraries/gateway/src/bamboopier_gateway/fleet.py
@@ -25,7 +25,7 @@
     from bamboopier_objects.vm_board import VmBoard
     from bamboopier_objects.vms import Vm
 
-    from .agents import Agents
+    from .agent_connections import Agents
 
 
 class Fleet:
--- a/libraries/gateway/src/bamboopier_gateway/forwarder.py
+++ b/libraries/gateway/src/bamboopier_gateway/forwarder.py
@@ -31,7 +31,7 @@
     from bamboopier_decisions.routing.router import Router
     from bamboopier_objects.follower import ConfigurationFollower
 
-    from .agents import Agents
+    from .agent_connections import Agents
     from .call import Call
     from .delivery import Delivery
     from .fleet import Fleet
--- a/libraries/gateway/src/bamboopier_gateway/target_poll.py
+++ b/libraries/gateway/src/bamboopier_gateway/target_poll.py
@@ -17,7 +17,7 @@
     from bamboopier_decisions.routing.router import Router
     from bamboopier_objects.follower import ConfigurationFollower
 
-    from .agents import Agents
+    from .agent_connections import Agents
     from .fleet import Fleet
 
 # Reports come with answers; a target that closed or serves another version gets no
--- a/libraries/gateway/tests/relayed_agents.py
+++ b/libraries/gateway/tests/relayed_agents.py
@@ -8,7 +8,7 @@
 
 import grpc
 
-from bamboopier_gateway.agents import OPTIONS
+from bamboopier_gateway.agent_connections import OPTIONS
 from bamboopier_protocol import agent_pb2 as pb
 from bamboopier_protocol.agent_pb2_grpc import (
     AgentServicer,
--- a/libraries/gateway/tests/test_agents.py
+++ b/libraries/gateway/tests/test_agent_connections.py
@@ -7,7 +7,7 @@
 
 import grpc
 
-from bamboopier_gateway.agents import Agents
+from bamboopier_gateway.agent_connections import Agents
 from bamboopier_protocol.agent_pb2_grpc import (
     AgentServicer,
     add_AgentServicer_to_server,
--- a/libraries/gateway/tests/test_fleet.py
+++ b/libraries/gateway/tests/test_fleet.py
@@ -8,7 +8,7 @@
 from bamboopier_configuration.directory import Directory
 from bamboopier_configuration.model import Configuration, Model, Service
 from bamboopier_configuration.settings import Address, GatewaySettings
-from bamboopier_gateway.agents import Agents
+from bamboopier_gateway.agent_connections import Agents
 from bamboopier_gateway.fleet import Fleet
 from bamboopier_objects.vm_board import VmBoard
 from bamboopier_objects.vms import Vm
--- a/libraries/gateway/tests/test_forwarder.py
+++ b/libraries/gateway/tests/test_forwarder.py
@@ -25,7 +25,7 @@
     TargetView,
 )
 from bamboopier_decisions.routing.router import Router
-from bamboopier_gateway.agents import Agents
+from bamboopier_gateway.agent_connections import Agents
 from bamboopier_gateway.errors import CallerError, ErrorCode
 from bamboopier_gateway.forwarder import Forwarder
 from bamboopier_gateway.metrics import GatewayMetrics
--- a/libraries/gateway/tests/test_recall.py
+++ b/libraries/gateway/tests/test_recall.py
@@ -15,7 +15,7 @@
 import grpc
 
 from bamboopier_decisions.routing.messages import ExecutionStatus
-from bamboopier_gateway.agents import Agents
+from bamboopier_gateway.agent_connections import Agents
 from bamboopier_gateway.attempt import AttemptResult
 from bamboopier_gateway.errors import CallerError, ErrorCode
 from bamboopier_gateway.forwarder import Forwarder
--- a/tools/capacity/connections.py
+++ b/tools/capacity/connections.py
@@ -15,7 +15,7 @@
 import grpc
 
 from bamboopier_daemon.daemon import GRPC_OPTIONS
-from bamboopier_gateway.agents import Agents
+from bamboopier_gateway.agent_connections import Agents
 from bamboopier_protocol import agent_pb2 as pb, agent_pb2_grpc
 
 HOST = "127.0.0.1"
--- a/tools/safeguards/at_most_once.py
+++ b/tools/safeguards/at_most_once.py
@@ -161,11 +161,11 @@
     ),
     Mutation(
         "the gateway sends only on a connection that stands",
-        "libraries/gateway/src/bamboopier_gateway/agents.py",
+        "libraries/gateway/src/bamboopier_gateway/agent_connections.py",
         "                if await _is_ready(channel):\n",
         "                if channel.get_state(try_to_connect=True):\n",
         "libraries/gateway",
-        "tests.test_agents.AgentsTests.test_an_agent_that_stands_still_is_sent_nothing",
+        "tests.test_agent_connections.AgentsTests.test_an_agent_that_stands_still_is_sent_nothing",
     ),
     Mutation(
         "an order is written only where its agent has just answered",
@@ -177,7 +177,7 @@
     ),
     Mutation(
         "an order is kept back when the agent does not answer",
-        "libraries/gateway/src/bamboopier_gateway/agents.py",
+        "libraries/gateway/src/bamboopier_gateway/agent_connections.py",
         "            if not await _is_answered(stub, end - time.monotonic()):\n"
         "                return None\n",
         "            await _is_answered(stub, end - time.monotonic())\n",
@@ -186,7 +186,7 @@
     ),
     Mutation(
         "an order goes out on the channel that replaced the one that was asked",
-        "libraries/gateway/src/bamboopier_gateway/agents.py",
+        "libraries/gateway/src/bamboopier_gateway/agent_connections.py",
         "            if channel is not None and "
         "self._channels.get(address) is channel:\n",
         "            if True:\n",
@@ -195,11 +195,11 @@
     ),
     Mutation(
         "a question cancelled with its channel is not taken for a caller who left",
-        "libraries/gateway/src/bamboopier_gateway/agents.py",
+        "libraries/gateway/src/bamboopier_gateway/agent_connections.py",
         "        return await asked.code() is grpc.StatusCode.OK\n",
         "        return bool(await asked)\n",
         "libraries/gateway",
-        "tests.test_agents",
+        "tests.test_agent_connections",
     ),
     Mutation(
         "a request that no connection had is told as not run",
--- a/tools/safeguards/places.py
+++ b/tools/safeguards/places.py
@@ -46,7 +46,7 @@
     ),
     Mutation(
         "a vanished target keeps its streams",
-        "libraries/gateway/src/bamboopier_gateway/agents.py",
+        "libraries/gateway/src/bamboopier_gateway/agent_connections.py",
         "close(CLOSE_GRACE_SECONDS)",
         "close(None)",
         ".",
