--- a/libraries/gateway/src/bamboopier_gateway/agent_connections.py
+++ b/libraries/gateway/src/bamboopier_gateway/agent_connections.py
@@ -40,7 +40,7 @@
 CLOSE_GRACE_SECONDS = 7 * 86_400.0
 
 
-class Agents:
+class AgentConnections:
     """Hands out stubs by address; closes what it opened."""
 
     def __init__(self, certificates: Certificates | None = None) -> None:
--- a/libraries/gateway/src/bamboopier_gateway/daemon.py
+++ b/libraries/gateway/src/bamboopier_gateway/daemon.py
@@ -20,7 +20,7 @@
 from bamboopier_objects.peers import PeerClient
 from bamboopier_objects.vm_board import VmBoard
 
-from .agent_connections import Agents
+from .agent_connections import AgentConnections
 from .application import GatewayApplication
 from .fleet import Fleet
 from .forwarder import Forwarder
@@ -49,7 +49,7 @@
         platform = await stack.enter_async_context(
             HttpPlatform(settings.platform_url, certificates.make_client_context())
         )
-        agents = await stack.enter_async_context(Agents(certificates))
+        agents = await stack.enter_async_context(AgentConnections(certificates))
         router = Router(generator)
         vms = VmBoard(generator)
         fleet = Fleet(
--- a/libraries/gateway/src/bamboopier_gateway/fleet.py
+++ b/libraries/gateway/src/bamboopier_gateway/fleet.py
@@ -25,7 +25,7 @@
     from bamboopier_objects.vm_board import VmBoard
     from bamboopier_objects.vms import Vm
 
-    from .agent_connections import Agents
+    from .agent_connections import AgentConnections
 
 
 class Fleet:
@@ -35,7 +35,7 @@
         self,
         settings: GatewaySettings,
         vms: VmBoard,
-        agents: Agents,
+        agents: AgentConnections,
         apply: Callable[[FleetChanged], None],
         random: random.Random,
     ) -> None:
--- a/libraries/gateway/src/bamboopier_gateway/forwarder.py
+++ b/libraries/gateway/src/bamboopier_gateway/forwarder.py
@@ -31,7 +31,7 @@
     from bamboopier_decisions.routing.router import Router
     from bamboopier_objects.follower import ConfigurationFollower
 
-    from .agent_connections import Agents
+    from .agent_connections import AgentConnections
     from .call import Call
     from .delivery import Delivery
     from .fleet import Fleet
@@ -59,7 +59,7 @@
         self,
         router: Router,
         fleet: Fleet,
-        agents: Agents,
+        agents: AgentConnections,
         follower: ConfigurationFollower,
         metrics: GatewayMetrics,
         quarantine: SharedQuarantine,
--- a/libraries/gateway/src/bamboopier_gateway/target_poll.py
+++ b/libraries/gateway/src/bamboopier_gateway/target_poll.py
@@ -17,7 +17,7 @@
     from bamboopier_decisions.routing.router import Router
     from bamboopier_objects.follower import ConfigurationFollower
 
-    from .agent_connections import Agents
+    from .agent_connections import AgentConnections
     from .fleet import Fleet
 
 # Reports come with answers; a target that closed or serves another version gets no
@@ -38,7 +38,7 @@
     def __init__(
         self,
         fleet: Fleet,
-        agents: Agents,
+        agents: AgentConnections,
         follower: ConfigurationFollower,
         router: Router,
     ) -> None:
--- a/libraries/gateway/tests/test_agent_connections.py
+++ b/libraries/gateway/tests/test_agent_connections.py
@@ -7,7 +7,7 @@
 
 import grpc
 
-from bamboopier_gateway.agent_connections import Agents
+from bamboopier_gateway.agent_connections import AgentConnections
 from bamboopier_protocol.agent_pb2_grpc import (
     AgentServicer,
     add_AgentServicer_to_server,
@@ -32,7 +32,7 @@
     await asyncio.Event().wait()
 
 
-class AgentsTests(unittest.IsolatedAsyncioTestCase):
+class AgentConnectionsTests(unittest.IsolatedAsyncioTestCase):
     async def test_an_agent_that_is_gone_is_left_alone(self) -> None:
         # A data centre is lost. A gateway that kept its channels open would go on
         # connecting to each lost agent, five times a second, with nobody asking.
@@ -45,7 +45,7 @@
 
         server = await asyncio.start_server(count, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        async with Agents() as agents:
+        async with AgentConnections() as agents:
             self.assertIsNone(await agents.reach(address))
             await asyncio.sleep(0.1)
             after_asking = tries
@@ -67,7 +67,7 @@
 
         server = await asyncio.start_server(stand_still, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        async with Agents() as agents, asyncio.timeout(HANG_SECONDS):
+        async with AgentConnections() as agents, asyncio.timeout(HANG_SECONDS):
             self.assertIsNone(await agents.reach(address))
         self.assertTrue(accepted.is_set())
         server.close()
@@ -80,7 +80,7 @@
         async with (
             asyncio.timeout(HANG_SECONDS),
             start_relayed(agent) as (relay, address),
-            Agents() as agents,
+            AgentConnections() as agents,
         ):
             self.assertIsNotNone(await agents.reach(address))
             relay.hold()
@@ -99,7 +99,7 @@
         server, port = await start_agent("127.0.0.1:0")
         await server.stop(None)
         address = f"127.0.0.1:{port}"
-        async with Agents() as agents:
+        async with AgentConnections() as agents:
             for _ in range(5):
                 self.assertIsNone(await agents.reach(address))
             server, _ = await start_agent(address)
--- a/libraries/gateway/tests/test_fleet.py
+++ b/libraries/gateway/tests/test_fleet.py
@@ -8,7 +8,7 @@
 from bamboopier_configuration.directory import Directory
 from bamboopier_configuration.model import Configuration, Model, Service
 from bamboopier_configuration.settings import Address, GatewaySettings
-from bamboopier_gateway.agent_connections import Agents
+from bamboopier_gateway.agent_connections import AgentConnections
 from bamboopier_gateway.fleet import Fleet
 from bamboopier_objects.vm_board import VmBoard
 from bamboopier_objects.vms import Vm
@@ -36,7 +36,7 @@
 
 class VersionTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.agents = await self.enterAsyncContext(Agents())
+        self.agents = await self.enterAsyncContext(AgentConnections())
         self.start()
         self.publish(1, "v1")
 
--- a/libraries/gateway/tests/test_forwarder.py
+++ b/libraries/gateway/tests/test_forwarder.py
@@ -25,7 +25,7 @@
     TargetView,
 )
 from bamboopier_decisions.routing.router import Router
-from bamboopier_gateway.agent_connections import Agents
+from bamboopier_gateway.agent_connections import AgentConnections
 from bamboopier_gateway.errors import CallerError, ErrorCode
 from bamboopier_gateway.forwarder import Forwarder
 from bamboopier_gateway.metrics import GatewayMetrics
@@ -67,7 +67,7 @@
             self.addresses[name] = relayed[1]
         self.certificates = Certificates(None)
         self.connections = await self.stack.enter_async_context(
-            Agents(self.certificates)
+            AgentConnections(self.certificates)
         )
         for address in self.addresses.values():
             self.assertIsNotNone(await self.connections.reach(address))
--- a/libraries/gateway/tests/test_recall.py
+++ b/libraries/gateway/tests/test_recall.py
@@ -15,7 +15,7 @@
 import grpc
 
 from bamboopier_decisions.routing.messages import ExecutionStatus
-from bamboopier_gateway.agent_connections import Agents
+from bamboopier_gateway.agent_connections import AgentConnections
 from bamboopier_gateway.attempt import AttemptResult
 from bamboopier_gateway.errors import CallerError, ErrorCode
 from bamboopier_gateway.forwarder import Forwarder
@@ -56,7 +56,7 @@
     async def ask(self, seconds: float) -> CallerError:
         """Return what a caller with this much time left is told."""
         other: Any = None
-        async with asyncio.timeout(HANG_SECONDS), Agents() as agents:
+        async with asyncio.timeout(HANG_SECONDS), AgentConnections() as agents:
             forwarder = Forwarder(other, other, agents, other, other, other)
             claimed = AttemptResult(
                 ExecutionStatus.NOT_EXECUTED,
--- a/tools/capacity/connections.py
+++ b/tools/capacity/connections.py
@@ -15,7 +15,7 @@
 import grpc
 
 from bamboopier_daemon.daemon import GRPC_OPTIONS
-from bamboopier_gateway.agent_connections import Agents
+from bamboopier_gateway.agent_connections import AgentConnections
 from bamboopier_protocol import agent_pb2 as pb, agent_pb2_grpc
 
 HOST = "127.0.0.1"
@@ -61,7 +61,7 @@
 
 
 async def _open_as_gateway(ports: tuple[int, ...]) -> None:
-    async with Agents() as agents:
+    async with AgentConnections() as agents:
         for port in ports:
             stub = agents.find(f"{HOST}:{port}")
             await stub.Report(pb.ReportRequest())
--- a/tools/safeguards/at_most_once.py
+++ b/tools/safeguards/at_most_once.py
@@ -165,7 +165,7 @@
         "                if await _is_ready(channel):\n",
         "                if channel.get_state(try_to_connect=True):\n",
         "libraries/gateway",
-        "tests.test_agent_connections.AgentsTests.test_an_agent_that_stands_still_is_sent_nothing",
+        "tests.test_agent_connections.AgentConnectionsTests.test_an_agent_that_stands_still_is_sent_nothing",
     ),
     Mutation(
         "an order is written only where its agent has just answered",
