--- a/libraries/gateway/src/bamboopier_gateway/agent_connections.py
+++ b/libraries/gateway/src/bamboopier_gateway/agent_connections.py
@@ -67,7 +67,7 @@
         """Return a stub for the agent at ``address``."""
         return agent_pb2_grpc.AgentStub(self._find_channel(address))
 
-    async def reach(
+    async def connect(
         self, address: str, timeout: float = CONNECT_SECONDS
     ) -> agent_pb2_grpc.AgentStub | None:
         """Return a stub once its connection stands; None when nothing can be sent.
@@ -84,10 +84,10 @@
         await self._drop(address, channel)
         return None
 
-    async def reach_patiently(
+    async def connect_with_retries(
         self, address: str, timeout: float = CONNECT_SECONDS
     ) -> agent_pb2_grpc.AgentStub | None:
-        """Return a stub as ``reach`` does, for what no other agent can answer.
+        """Return a stub as ``connect`` does, for what no other agent can answer.
 
         gRPC gives a try up after a tenth of a second, which an agent on a busy VM may
         stand still. Taken for gone by then, the holder of a claim is never asked, and
@@ -96,13 +96,13 @@
         """
         limit = time.monotonic() + min(timeout, CONNECT_SECONDS)
         while (left := limit - time.monotonic()) > 0:
-            stub = await self.reach(address, left)
+            stub = await self.connect(address, left)
             if stub is not None:
                 return stub
             await asyncio.sleep(TRY_PAUSE_SECONDS)
         return None
 
-    async def reach_answering(
+    async def connect_and_probe(
         self, address: str, timeout: float
     ) -> agent_pb2_grpc.AgentStub | None:
         """Return a stub once its agent has answered; None when nothing can be sent.
@@ -114,7 +114,7 @@
         itself has not been written, so "not run" holds whatever thaws later.
         """
         end = time.monotonic() + min(timeout, CONNECT_SECONDS)
-        while stub := await self.reach(address, end - time.monotonic()):
+        while stub := await self.connect(address, end - time.monotonic()):
             channel = self._channels.get(address)
             if not await _is_answered(stub, end - time.monotonic()):
                 return None
--- a/libraries/gateway/src/bamboopier_gateway/forwarder.py
+++ b/libraries/gateway/src/bamboopier_gateway/forwarder.py
@@ -111,8 +111,8 @@
         address = self._fleet.find_address(send.target)
         # What may be repeated needs no proof of the connection, nor pays for one.
         agents = self._agents
-        reach = agents.reach if call.idempotent else agents.reach_answering
-        stub = await reach(address, left)
+        connect = agents.connect if call.idempotent else agents.connect_and_probe
+        stub = await connect(address, left)
         if stub is None:
             return AttemptResult(
                 ExecutionStatus.NOT_EXECUTED,
@@ -186,7 +186,7 @@
             message = "this idempotency key was used for another request"
             raise CallerError(ErrorCode.KEY_REUSED, message)
         left = call.deadline - time.monotonic()
-        stub = await self._agents.reach_patiently(result.claimed_by, left)
+        stub = await self._agents.connect_with_retries(result.claimed_by, left)
         if stub is None:
             raise _make_unknown()
         request = pb.RecallRequest(
--- a/libraries/gateway/src/bamboopier_gateway/target_poll.py
+++ b/libraries/gateway/src/bamboopier_gateway/target_poll.py
@@ -56,7 +56,7 @@
                 await self._ask(target)
 
     async def _ask(self, target: str) -> None:
-        stub = await self._agents.reach(self._fleet.find_address(target))
+        stub = await self._agents.connect(self._fleet.find_address(target))
         if stub is None:
             self._fleet.reports.note(target, None)
             await asyncio.sleep(UNREACHABLE_SECONDS)
--- a/libraries/gateway/tests/test_agent_connections.py
+++ b/libraries/gateway/tests/test_agent_connections.py
@@ -46,7 +46,7 @@
         server = await asyncio.start_server(count, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         async with AgentConnections() as agents:
-            self.assertIsNone(await agents.reach(address))
+            self.assertIsNone(await agents.connect(address))
             await asyncio.sleep(0.1)
             after_asking = tries
             await asyncio.sleep(1.5)
@@ -68,7 +68,7 @@
         server = await asyncio.start_server(stand_still, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         async with AgentConnections() as agents, asyncio.timeout(HANG_SECONDS):
-            self.assertIsNone(await agents.reach(address))
+            self.assertIsNone(await agents.connect(address))
         self.assertTrue(accepted.is_set())
         server.close()
 
@@ -82,9 +82,9 @@
             start_relayed(agent) as (relay, address),
             AgentConnections() as agents,
         ):
-            self.assertIsNotNone(await agents.reach(address))
+            self.assertIsNotNone(await agents.connect(address))
             relay.hold()
-            asking = asyncio.create_task(agents.reach_answering(address, HANG_SECONDS))
+            asking = asyncio.create_task(agents.connect_and_probe(address, HANG_SECONDS))
             await relay.holds_call.wait()
             await agents.__aexit__(None, None, None)
             self.assertIsNone(await asking)
@@ -101,9 +101,9 @@
         address = f"127.0.0.1:{port}"
         async with AgentConnections() as agents:
             for _ in range(5):
-                self.assertIsNone(await agents.reach(address))
+                self.assertIsNone(await agents.connect(address))
             server, _ = await start_agent(address)
             try:
-                self.assertIsNotNone(await agents.reach(address))
+                self.assertIsNotNone(await agents.connect(address))
             finally:
                 await server.stop(None)
--- a/tools/safeguards/at_most_once.py
+++ b/tools/safeguards/at_most_once.py
@@ -66,8 +66,8 @@
     Mutation(
         "a holder that stands still for a moment is asked all the same",
         "libraries/gateway/src/bamboopier_gateway/forwarder.py",
-        "self._agents.reach_patiently(result.claimed_by, left)",
-        "self._agents.reach(result.claimed_by, left)",
+        "self._agents.connect_with_retries(result.claimed_by, left)",
+        "self._agents.connect(result.claimed_by, left)",
         "libraries/gateway",
         "tests.test_recall.RecallTests.test_the_holder_stands_still_for_a_moment",
     ),
@@ -170,8 +170,8 @@
     Mutation(
         "an order is written only where its agent has just answered",
         "libraries/gateway/src/bamboopier_gateway/forwarder.py",
-        "agents.reach if call.idempotent else agents.reach_answering",
-        "agents.reach",
+        "agents.connect if call.idempotent else agents.connect_and_probe",
+        "agents.connect",
         "libraries/gateway",
         "tests.test_forwarder",
     ),
