--- a/libraries/gateway/src/bamboopier_gateway/agent_connections.py
+++ b/libraries/gateway/src/bamboopier_gateway/agent_connections.py
@@ -63,7 +63,7 @@
         for channel in self._channels.values():
             await channel.close(None)
 
-    def find(self, address: str) -> agent_pb2_grpc.AgentStub:
+    def get_stub(self, address: str) -> agent_pb2_grpc.AgentStub:
         """Return a stub for the agent at ``address``."""
         return agent_pb2_grpc.AgentStub(self._find_channel(address))
 
--- a/libraries/gateway/tests/test_forwarder.py
+++ b/libraries/gateway/tests/test_forwarder.py
@@ -140,7 +140,7 @@
         await self.forward(make_call(body=ORDER, deadline=deadline))
         self.assertTrue(self.delivery.whole)
         self.relays[0].release()
-        await self.connections.find(self.addresses["near"]).Report(pb.ReportRequest())
+        await self.connections.get_stub(self.addresses["near"]).Report(pb.ReportRequest())
         self.assertEqual([len(each.received) for each in self.agents], [0, 1])
         self.assertNotIn(ORDER, self.relays[0].taken)
 
--- a/tools/capacity/connections.py
+++ b/tools/capacity/connections.py
@@ -63,7 +63,7 @@
 async def _open_as_gateway(ports: tuple[int, ...]) -> None:
     async with AgentConnections() as agents:
         for port in ports:
-            stub = agents.find(f"{HOST}:{port}")
+            stub = agents.get_stub(f"{HOST}:{port}")
             await stub.Report(pb.ReportRequest())
         print("ready", flush=True)
         await _wait_for_end()
