--- a/libraries/gateway/src/bamboopier_gateway/agent_connections.py
+++ b/libraries/gateway/src/bamboopier_gateway/agent_connections.py
@@ -16,15 +16,15 @@
 if TYPE_CHECKING:
     from types import TracebackType
 
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 # gRPC waits this long at the most, give or take a fifth, before it tries again.
 MAX_BACKOFF_MS = 200
 # Long enough for a fresh try after a failure that was there before: a refused
 # connection then costs a caller this once, and the router passes the target over.
-FRESH_TRY_SECONDS = 0.3
+RECONNECT_TIMEOUT_SECONDS = 0.3
 # Between tries for an agent that no other can stand in for.
-TRY_PAUSE_SECONDS = 0.1
-OPTIONS = [
+RETRY_INTERVAL_SECONDS = 0.1
+CHANNEL_OPTIONS = [
     *GRPC_OPTIONS,
     # gRPC would send a call again by itself when a connection breaks early; whether a
     # request may be repeated is the router's decision.
@@ -45,7 +45,7 @@
 
     def __init__(self, certificates: Certificates | None = None) -> None:
         self._certificates = certificates or Certificates(None)
-        self._certificates.tell(self._renew)
+        self._certificates.tell(self._replace_channels)
         self._channels: dict[str, grpc.aio.Channel] = {}
         self._closing: set[asyncio.Task[None]] = set()
 
@@ -68,7 +68,7 @@
         return agent_pb2_grpc.AgentStub(self._find_channel(address))
 
     async def connect(
-        self, address: str, timeout: float = CONNECT_SECONDS
+        self, address: str, timeout: float = CONNECT_TIMEOUT_SECONDS
     ) -> agent_pb2_grpc.AgentStub | None:
         """Return a stub once its connection stands; None when nothing can be sent.
 
@@ -78,14 +78,14 @@
         """
         channel = self._find_channel(address)
         with suppress(TimeoutError, grpc.aio.UsageError):
-            async with asyncio.timeout(min(timeout, CONNECT_SECONDS)):
-                if await _is_ready(channel):
+            async with asyncio.timeout(min(timeout, CONNECT_TIMEOUT_SECONDS)):
+                if await _wait_for_connection(channel):
                     return agent_pb2_grpc.AgentStub(channel)
-        await self._drop(address, channel)
+        await self._discard(address, channel)
         return None
 
     async def connect_with_retries(
-        self, address: str, timeout: float = CONNECT_SECONDS
+        self, address: str, timeout: float = CONNECT_TIMEOUT_SECONDS
     ) -> agent_pb2_grpc.AgentStub | None:
         """Return a stub as ``connect`` does, for what no other agent can answer.
 
@@ -94,12 +94,12 @@
         its caller is told "outcome unknown" with most of its time left. Tries go on
         until the time is over, a second at the most.
         """
-        limit = time.monotonic() + min(timeout, CONNECT_SECONDS)
-        while (left := limit - time.monotonic()) > 0:
-            stub = await self.connect(address, left)
+        limit = time.monotonic() + min(timeout, CONNECT_TIMEOUT_SECONDS)
+        while (remaining := limit - time.monotonic()) > 0:
+            stub = await self.connect(address, remaining)
             if stub is not None:
                 return stub
-            await asyncio.sleep(TRY_PAUSE_SECONDS)
+            await asyncio.sleep(RETRY_INTERVAL_SECONDS)
         return None
 
     async def connect_and_probe(
@@ -113,17 +113,17 @@
         that runs nothing goes first and meets such a cut. When it fails, the request
         itself has not been written, so "not run" holds whatever thaws later.
         """
-        end = time.monotonic() + min(timeout, CONNECT_SECONDS)
+        end = time.monotonic() + min(timeout, CONNECT_TIMEOUT_SECONDS)
         while stub := await self.connect(address, end - time.monotonic()):
             channel = self._channels.get(address)
-            if not await _is_answered(stub, end - time.monotonic()):
+            if not await _probe(stub, end - time.monotonic()):
                 return None
             # One that was replaced meanwhile takes no new calls.
             if channel is not None and self._channels.get(address) is channel:
                 return stub
         return None
 
-    async def _drop(self, address: str, channel: grpc.aio.Channel) -> None:
+    async def _discard(self, address: str, channel: grpc.aio.Channel) -> None:
         """Close a channel that has no connection; the next call opens another.
 
         Left open, gRPC goes on connecting by itself five times a second. A gateway
@@ -137,7 +137,7 @@
     def _find_channel(self, address: str) -> grpc.aio.Channel:
         channel = self._channels.get(address)
         if channel is None:
-            channel = self._certificates.open_channel(address, OPTIONS)
+            channel = self._certificates.open_channel(address, CHANNEL_OPTIONS)
             self._channels[address] = channel
         return channel
 
@@ -149,34 +149,34 @@
         each of the 84 VMs replaced a day.
         """
         for address in set(self._channels) - addresses:
-            self._retire(self._channels.pop(address))
+            self._close_gracefully(self._channels.pop(address))
 
-    def _renew(self) -> None:
+    def _replace_channels(self) -> None:
         """Connect anew with the replaced certificate at the next call of each agent."""
         for channel in self._channels.values():
-            self._retire(channel)
+            self._close_gracefully(channel)
         self._channels.clear()
 
-    def _retire(self, channel: grpc.aio.Channel) -> None:
+    def _close_gracefully(self, channel: grpc.aio.Channel) -> None:
         """Close a channel once its streams have ended."""
         task = asyncio.create_task(channel.close(CLOSE_GRACE_SECONDS))
         self._closing.add(task)
         task.add_done_callback(self._closing.discard)
 
 
-async def _is_answered(stub: agent_pb2_grpc.AgentStub, timeout: float) -> bool:
+async def _probe(stub: agent_pb2_grpc.AgentStub, timeout: float) -> bool:
     """Ask the agent for its load; False when no answer comes in time.
 
     The code is waited for, not the answer: a channel that another call closes cancels
     this one, and its error would be taken for a caller who left.
     """
     with suppress(grpc.aio.UsageError):
-        asked = stub.Report(pb.ReportRequest(), timeout=timeout)
-        return await asked.code() is grpc.StatusCode.OK
+        probe = stub.Report(pb.ReportRequest(), timeout=timeout)
+        return await probe.code() is grpc.StatusCode.OK
     return False
 
 
-async def _is_ready(channel: grpc.aio.Channel) -> bool:
+async def _wait_for_connection(channel: grpc.aio.Channel) -> bool:
     """Wait while the channel connects; False at the first failure from now on.
 
     A failure that lies in the past says nothing: the agent may have come up since, and
@@ -185,13 +185,13 @@
     """
     if channel.get_state() is grpc.ChannelConnectivity.TRANSIENT_FAILURE:
         with suppress(TimeoutError):
-            async with asyncio.timeout(FRESH_TRY_SECONDS):
-                return await _become_ready(channel, until_failure=False)
+            async with asyncio.timeout(RECONNECT_TIMEOUT_SECONDS):
+                return await _wait_until_ready(channel, until_failure=False)
         return False
-    return await _become_ready(channel, until_failure=True)
+    return await _wait_until_ready(channel, until_failure=True)
 
 
-async def _become_ready(channel: grpc.aio.Channel, *, until_failure: bool) -> bool:
+async def _wait_until_ready(channel: grpc.aio.Channel, *, until_failure: bool) -> bool:
     """Follow the channel's states to a connection, or to a failure if that counts."""
     state = channel.get_state(try_to_connect=True)
     while state is not grpc.ChannelConnectivity.READY:
--- a/libraries/gateway/tests/relayed_agents.py
+++ b/libraries/gateway/tests/relayed_agents.py
@@ -8,7 +8,7 @@
 
 import grpc
 
-from bamboopier_gateway.agent_connections import OPTIONS
+from bamboopier_gateway.agent_connections import CHANNEL_OPTIONS
 from bamboopier_protocol import agent_pb2 as pb
 from bamboopier_protocol.agent_pb2_grpc import (
     AgentServicer,
@@ -170,7 +170,7 @@
     """Start an agent behind a relay; give a channel whose connection stands."""
     async with (
         start_relayed(agent) as (relay, address),
-        grpc.aio.insecure_channel(address, options=OPTIONS) as channel,
+        grpc.aio.insecure_channel(address, options=CHANNEL_OPTIONS) as channel,
     ):
         await channel.channel_ready()
         yield relay, channel
--- a/tools/safeguards/at_most_once.py
+++ b/tools/safeguards/at_most_once.py
@@ -162,7 +162,7 @@
     Mutation(
         "the gateway sends only on a connection that stands",
         "libraries/gateway/src/bamboopier_gateway/agent_connections.py",
-        "                if await _is_ready(channel):\n",
+        "                if await _wait_for_connection(channel):\n",
         "                if channel.get_state(try_to_connect=True):\n",
         "libraries/gateway",
         "tests.test_agent_connections.AgentConnectionsTests.test_an_agent_that_stands_still_is_sent_nothing",
@@ -178,9 +178,9 @@
     Mutation(
         "an order is kept back when the agent does not answer",
         "libraries/gateway/src/bamboopier_gateway/agent_connections.py",
-        "            if not await _is_answered(stub, end - time.monotonic()):\n"
+        "            if not await _probe(stub, end - time.monotonic()):\n"
         "                return None\n",
-        "            await _is_answered(stub, end - time.monotonic())\n",
+        "            await _probe(stub, end - time.monotonic())\n",
         "libraries/gateway",
         "tests.test_forwarder",
     ),
@@ -196,8 +196,8 @@
     Mutation(
         "a question cancelled with its channel is not taken for a caller who left",
         "libraries/gateway/src/bamboopier_gateway/agent_connections.py",
-        "        return await asked.code() is grpc.StatusCode.OK\n",
-        "        return bool(await asked)\n",
+        "        return await probe.code() is grpc.StatusCode.OK\n",
+        "        return bool(await probe)\n",
         "libraries/gateway",
         "tests.test_agent_connections",
     ),
