--- a/libraries/gateway/src/bamboopier_gateway/application.py
+++ b/libraries/gateway/src/bamboopier_gateway/application.py
@@ -38,10 +38,10 @@
 # The largest body any service may allow; the service's own limit is checked later.
 MAX_BODY_BYTES = 64 * 1024 * 1024
 # For the last answers of requests that are cut when the process ends.
-CUT_SECONDS = 2.0
+ABORT_TIMEOUT_SECONDS = 2.0
 # Seconds after which a caller should come back to a gateway that knows nothing yet:
 # the platform's first answer takes less, and the balancer sends callers elsewhere.
-STARTING_SECONDS = 1.0
+STARTUP_RETRY_AFTER_SECONDS = 1.0
 REQUEST_ID_HEADER = "X-Request-Id"
 
 log = structlog.get_logger()
@@ -65,11 +65,11 @@
         self._metrics = metrics
         self._bodies = BodyBudget(settings.max_held_body_bytes, metrics.held_body_bytes)
         self._stopping = False
-        self._open = 0
+        self._open_count = 0
         self._idle = asyncio.Event()
         self._idle.set()
         self._tasks: set[asyncio.Task[object]] = set()
-        self._cutting = False
+        self._aborting = False
 
     def make_application(self) -> web.Application:
         """Return the aiohttp application."""
@@ -99,7 +99,7 @@
     @property
     def open_requests(self) -> int:
         """Return the number of requests without a final answer."""
-        return self._open
+        return self._open_count
 
     def stop(self) -> None:
         """Refuse new requests from now on."""
@@ -109,22 +109,22 @@
         """Return once every request has its final answer."""
         await self._idle.wait()
 
-    async def cut_short(self) -> None:
+    async def abort_requests(self) -> None:
         """End every open request now with an answer that says what is known."""
-        self._cutting = True
+        self._aborting = True
         for task in self._tasks:
             task.cancel()
         if self._tasks:
-            await asyncio.wait(self._tasks, timeout=CUT_SECONDS)
+            await asyncio.wait(self._tasks, timeout=ABORT_TIMEOUT_SECONDS)
 
     async def _report_status(self, _: web.Request) -> web.Response:
         generation = self._follower.directory.generation
-        found = GatewayStatus(generation, self.ready, self._open)
+        status = GatewayStatus(generation, self.ready, self._open_count)
         return web.Response(
-            body=msgspec.json.encode(found), content_type="application/json"
+            body=msgspec.json.encode(status), content_type="application/json"
         )
 
-    def _check_known(self) -> None:
+    def _check_configured(self) -> None:
         """Refuse while no configuration is known.
 
         A gateway that starts while the platform hangs knows no key: it would answer
@@ -133,7 +133,7 @@
         if self._follower.directory.generation == 0:
             message = "no configuration is known yet"
             raise CallerError(
-                ErrorCode.STALE_CONFIGURATION, message, retry_after=STARTING_SECONDS
+                ErrorCode.STALE_CONFIGURATION, message, retry_after=STARTUP_RETRY_AFTER_SECONDS
             )
 
     async def _serve_model(self, request: web.Request) -> web.StreamResponse:
@@ -144,7 +144,7 @@
 
     async def _list_models(self, request: web.Request) -> web.StreamResponse:
         """Answer with the models that the caller's workspace may use."""
-        self._check_known()
+        self._check_configured()
         directory = self._follower.directory
         workspace = authenticate(request, directory)
         body = msgspec.json.encode(list_models(directory, workspace))
@@ -156,28 +156,28 @@
     ) -> web.StreamResponse:
         if self._stopping:
             raise CallerError(ErrorCode.STOPPING, "shutting down", retry_after=1.0)
-        self._check_known()
-        self._open += 1
-        self._metrics.open_requests.set(self._open)
+        self._check_configured()
+        self._open_count += 1
+        self._metrics.open_requests.set(self._open_count)
         self._idle.clear()
         task = asyncio.current_task()
         if task is not None:
             self._tasks.add(task)
         try:
             with self._bodies.open(request):
-                return await self._answer(request, read_call)
+                return await self._respond(request, read_call)
         finally:
             if task is not None:
                 self._tasks.discard(task)
-            self._open -= 1
-            self._metrics.open_requests.set(self._open)
-            if self._open == 0:
+            self._open_count -= 1
+            self._metrics.open_requests.set(self._open_count)
+            if self._open_count == 0:
                 self._idle.set()
 
-    async def _answer(
+    async def _respond(
         self, request: web.Request, read_call: ReadCall
     ) -> web.StreamResponse:
-        arrived = time.monotonic()
+        arrived_at = time.monotonic()
         try:
             call = await read_call(
                 request, request[REQUEST_ID], self._follower.directory
@@ -193,13 +193,13 @@
         except CallerError as error:
             return await self._fail(call, delivery, error)
         except asyncio.CancelledError:
-            if not self._cutting:
+            if not self._aborting:
                 raise
             message = "cut by the end of this process"
-            cut = CallerError(
+            abort_error = CallerError(
                 ErrorCode.OUTCOME_UNKNOWN, message, ExecutionStatus.UNKNOWN
             )
-            return await self._fail(call, delivery, cut)
+            return await self._fail(call, delivery, abort_error)
         except SlowCallerError:
             log.info("caller too slow", request_id=call.request_id)
             self._metrics.answers.labels(call.service, "slow-caller").inc()
@@ -211,14 +211,14 @@
         except Exception:
             log.exception("request failed", request_id=call.request_id)
             # An attempt may have been made, and nothing more is known about it.
-            unknown = CallerError(
+            internal_error = CallerError(
                 ErrorCode.INTERNAL, "internal error", ExecutionStatus.UNKNOWN
             )
-            return await self._fail(call, delivery, unknown)
+            return await self._fail(call, delivery, internal_error)
         self._metrics.answers.labels(call.service, str(response.status)).inc()
         if call.model is not None and delivery.first_written:
             first_token = self._metrics.first_token.labels(call.service)
-            first_token.observe(delivery.first_written - arrived)
+            first_token.observe(delivery.first_written - arrived_at)
         return response
 
     async def _fail(
--- a/libraries/gateway/src/bamboopier_gateway/daemon.py
+++ b/libraries/gateway/src/bamboopier_gateway/daemon.py
@@ -117,7 +117,7 @@
                     reason=end.value,
                     open_requests=application.open_requests,
                 )
-                await application.cut_short()
+                await application.abort_requests()
             log.info("gateway stopped")
 
 
--- a/libraries/gateway/src/bamboopier_gateway/listener.py
+++ b/libraries/gateway/src/bamboopier_gateway/listener.py
@@ -40,7 +40,7 @@
         self._settings = settings
         self._metrics = metrics
         self._certificates = certificates
-        self._open = 0
+        self._open_count = 0
         self._server: asyncio.Server | None = None
         self._runner = web.AppRunner(
             application,
@@ -76,17 +76,17 @@
 
     def add(self) -> bool:
         """Note a connection that opened; False when there are too many."""
-        if self._open >= self._settings.max_connections:
+        if self._open_count >= self._settings.max_connections:
             self._metrics.refused_connections.inc()
             return False
-        self._open += 1
-        self._metrics.connections.set(self._open)
+        self._open_count += 1
+        self._metrics.connections.set(self._open_count)
         return True
 
     def remove(self) -> None:
         """Note a connection that is gone."""
-        self._open -= 1
-        self._metrics.connections.set(self._open)
+        self._open_count -= 1
+        self._metrics.connections.set(self._open_count)
 
     def _choose_handshake_timeout(self) -> float | None:
         if self._certificates is None:
--- a/tools/safeguards/places.py
+++ b/tools/safeguards/places.py
@@ -94,7 +94,7 @@
     Mutation(
         "a gateway that must end tells open callers",
         "libraries/gateway/src/bamboopier_gateway/daemon.py",
-        "                await application.cut_short()\n",
+        "                await application.abort_requests()\n",
         "                pass\n",
         ".",
         "tests.test_shutdown.ForcedTests.test_a_second_signal_ends_a_gateway_at_once",
