--- a/libraries/gateway/src/bamboopier_gateway/application.py
+++ b/libraries/gateway/src/bamboopier_gateway/application.py
@@ -14,7 +14,7 @@
 
 from .body import BodyBudget
 from .delivery import Delivery, SlowCallerError
-from .error_answers import REQUEST_ID, abort, answer_errors
+from .error_responses import REQUEST_ID, abort, answer_errors
 from .errors import CallerError, ErrorCode
 from .model_list import list_models
 from .prompt import CHAT_PATH
--- a/libraries/gateway/src/bamboopier_gateway/error_answers.py
+++ b/libraries/gateway/src/bamboopier_gateway/error_responses.py
@@ -15,11 +15,11 @@
 
 MAX_HEADER_BYTES = 32 * 1024
 # Bytes of answers that may wait for a caller before its next request is read.
-MAX_UNREAD_BYTES = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 # Key of the id that the gateway gave a request; a caller's own is never taken for it.
 REQUEST_ID = web.RequestKey("request_id", str)
 # The rest of the request is not read, so nothing can follow it.
-_CLOSING = frozenset(
+_CLOSING_CODES = frozenset(
     {ErrorCode.TOO_LARGE, ErrorCode.BODY_TIMEOUT, ErrorCode.HEADERS_TOO_LARGE}
     | {ErrorCode.OVERLOADED}
 )
@@ -35,23 +35,23 @@
     handler of their own, so "ran: no" is true.
     """
     request[REQUEST_ID] = uuid.uuid4().hex
-    if _holds_too_much(request):
+    if _exceeds_write_buffer(request):
         abort(request)
         raise ConnectionResetError("answers are not taken")
     try:
         _check_headers(request)
         return await handler(request)
     except CallerError as error:
-        caught = error
+        caller_error = error
     except web.HTTPException as error:
-        caught = _explain_status(request, error)
+        caller_error = _explain_status(request, error)
     except ConnectionError:
         raise
     except Exception:
         log.exception("request failed", request_id=request[REQUEST_ID])
-        caught = CallerError(ErrorCode.INTERNAL, "internal error")
-    response = caught.make_response(request[REQUEST_ID])
-    if caught.code in _CLOSING:
+        caller_error = CallerError(ErrorCode.INTERNAL, "internal error")
+    response = caller_error.make_response(request[REQUEST_ID])
+    if caller_error.code in _CLOSING_CODES:
         response.force_close()
     return response
 
@@ -75,7 +75,7 @@
     return CallerError(ErrorCode.BAD_REQUEST, error.reason or "bad request")
 
 
-def _holds_too_much(request: web.Request) -> bool:
+def _exceeds_write_buffer(request: web.Request) -> bool:
     """Say whether a caller pipelines requests and takes none of their answers.
 
     Short answers are buffered without waiting; without this check their number, and so
@@ -84,7 +84,7 @@
     transport = request.transport
     if transport is None:
         return False
-    return transport.get_write_buffer_size() > MAX_UNREAD_BYTES
+    return transport.get_write_buffer_size() > MAX_BUFFERED_BYTES
 
 
 def abort(request: web.Request) -> None:
--- a/libraries/gateway/tests/test_application.py
+++ b/libraries/gateway/tests/test_application.py
@@ -60,7 +60,7 @@
         server = TestServer(application.make_application())
         with (
             mock.patch("bamboopier_gateway.application.log"),
-            mock.patch("bamboopier_gateway.error_answers.log"),
+            mock.patch("bamboopier_gateway.error_responses.log"),
         ):
             async with TestClient(server) as client:
                 answer = await client.post("/v1/completions", data=b"{}")
