--- a/libraries/gateway/src/bamboopier_gateway/connection.py
+++ b/libraries/gateway/src/bamboopier_gateway/connection.py
@@ -178,7 +178,7 @@
             "this gateway has its largest number of connections",
             retry_after=REFUSAL_SECONDS,
         )
-        open_transport.write(error.make_raw(uuid.uuid4().hex))
+        open_transport.write(error.make_raw_response(uuid.uuid4().hex))
         if open_transport.can_write_eof():
             open_transport.write_eof()
         loop = asyncio.get_running_loop()
--- a/libraries/gateway/src/bamboopier_gateway/errors.py
+++ b/libraries/gateway/src/bamboopier_gateway/errors.py
@@ -17,7 +17,7 @@
     from bamboopier_decisions.routing.messages import Refuse
 
 # Longest piece of a request that a message repeats.
-MAX_QUOTED = 60
+MAX_QUOTED_CHARS = 60
 
 
 class ErrorCode(StrEnum):
@@ -49,17 +49,17 @@
     @property
     def status(self) -> int:
         """Return the HTTP status."""
-        return _STATUS[self]
+        return _STATUS_BY_CODE[self]
 
     @property
-    def kind(self) -> str:
+    def error_type(self) -> str:
         """Return the error type that OpenAI's client libraries know."""
-        return _KINDS.get(self.status) or (
+        return _ERROR_TYPES.get(self.status) or (
             "server_error" if self.status >= 500 else "invalid_request_error"
         )
 
 
-_STATUS = {
+_STATUS_BY_CODE = {
     ErrorCode.UNAUTHENTICATED: 401,
     ErrorCode.FORBIDDEN: 403,
     ErrorCode.NOT_FOUND: 404,
@@ -84,14 +84,14 @@
     ErrorCode.INTERNAL: 500,
 }
 
-_KINDS = {
+_ERROR_TYPES = {
     401: "authentication_error",
     403: "permission_error",
     404: "not_found_error",
     409: "conflict_error",
 }
 
-_CODES = {
+_CODES_BY_REASON = {
     RefuseReason.NO_TARGET: ErrorCode.NO_TARGET,
     RefuseReason.OVERLOADED: ErrorCode.OVERLOADED,
     RefuseReason.DEADLINE: ErrorCode.DEADLINE,
@@ -140,7 +140,7 @@
     def make_body(self, request_id: str) -> bytes:
         """Return the JSON body."""
         detail = _ErrorDetail(
-            self.message, self.code.kind, self.code, self.ran, request_id
+            self.message, self.code.error_type, self.code, self.ran, request_id
         )
         return msgspec.json.encode(_ErrorBody(detail))
 
@@ -150,7 +150,7 @@
         headers = self._make_headers(request_id)
         return web.Response(status=self.status, body=body, headers=headers)
 
-    def make_raw(self, request_id: str) -> bytes:
+    def make_raw_response(self, request_id: str) -> bytes:
         """Return the answer as bytes, for a connection that has no HTTP server yet."""
         body = self.make_body(request_id)
         headers = {
@@ -171,7 +171,7 @@
 
 def make_refusal(refuse: Refuse) -> CallerError:
     """Return the caller's error for a router's refusal."""
-    code = _CODES[refuse.reason]
+    code = _CODES_BY_REASON[refuse.reason]
     if refuse.ran is ExecutionStatus.UNKNOWN:
         code = ErrorCode.OUTCOME_UNKNOWN
     message = f"request given up: {refuse.reason.value}"
@@ -180,4 +180,4 @@
 
 def quote(text: str) -> str:
     """Return a piece of a request as it may stand in a message: short and ASCII."""
-    return ascii(text if len(text) <= MAX_QUOTED else text[:MAX_QUOTED] + "...")
+    return ascii(text if len(text) <= MAX_QUOTED_CHARS else text[:MAX_QUOTED_CHARS] + "...")
--- a/libraries/gateway/tests/test_application.py
+++ b/libraries/gateway/tests/test_application.py
@@ -99,5 +99,5 @@
         for code in ErrorCode:
             error = CallerError(code, "m", retry_after=0.2)
             self.assertGreaterEqual(error.status, 400)
-            self.assertTrue(code.kind.endswith("_error"))
-            self.assertIn(b"Retry-After: 1\r\n", error.make_raw("r"))
+            self.assertTrue(code.error_type.endswith("_error"))
+            self.assertIn(b"Retry-After: 1\r\n", error.make_raw_response("r"))
