--- a/libraries/gateway/src/bamboopier_gateway/application.py
+++ b/libraries/gateway/src/bamboopier_gateway/application.py
@@ -216,15 +216,15 @@
             )
             return await self._fail(call, delivery, internal_error)
         self._metrics.answers.labels(call.service, str(response.status)).inc()
-        if call.model is not None and delivery.first_written:
+        if call.model is not None and delivery.first_written_at:
             first_token = self._metrics.first_token.labels(call.service)
-            first_token.observe(delivery.first_written - arrived_at)
+            first_token.observe(delivery.first_written_at - arrived_at)
         return response
 
     async def _fail(
         self, call: Call, delivery: Delivery, error: CallerError
     ) -> web.StreamResponse:
         self._metrics.answers.labels(call.service, error.code.value).inc()
-        if delivery.begun:
+        if delivery.started:
             return await delivery.fail(error)
         return error.make_response(call.request_id)
--- a/libraries/gateway/src/bamboopier_gateway/attempt.py
+++ b/libraries/gateway/src/bamboopier_gateway/attempt.py
@@ -14,7 +14,7 @@
 from bamboopier_decisions.routing.messages import ExecutionStatus
 from bamboopier_protocol import agent_pb2 as pb
 
-from .delivery import find_length
+from .delivery import find_content_length
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterable, Callable
@@ -168,8 +168,8 @@
         kind = event.WhichOneof("event")
         if kind == "head":
             self._begun = True
-            self._length = find_length(event.head)
-            await delivery.begin(event.head)
+            self._length = find_content_length(event.head)
+            await delivery.start(event.head)
         elif kind == "chunk":
             self._body_bytes += len(event.chunk)
             if self._length is not None and self._body_bytes >= self._length:
--- a/libraries/gateway/src/bamboopier_gateway/delivery.py
+++ b/libraries/gateway/src/bamboopier_gateway/delivery.py
@@ -31,10 +31,10 @@
         self._write_timeout = write_timeout
         self._response: web.StreamResponse | None = None
         # Monotonic time of the first piece of the body; 0 before it.
-        self.first_written = 0.0
+        self.first_written_at = 0.0
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Say whether the caller has received anything."""
         return self._response is not None
 
@@ -45,12 +45,12 @@
             raise RuntimeError("no answer was begun")
         return self._response
 
-    async def begin(self, head: ResponseHead) -> None:
+    async def start(self, head: ResponseHead) -> None:
         """Send status and headers."""
         response = web.StreamResponse(status=head.status)
         for name, value in drop_hop_headers((h.name, h.value) for h in head.headers):
             response.headers.add(name, value)
-        response.content_length = find_length(head)
+        response.content_length = find_content_length(head)
         response.headers["X-Request-Id"] = self._request_id
         if head.weight_version:
             response.headers["X-Weight-Version"] = head.weight_version
@@ -64,7 +64,7 @@
         try:
             async with asyncio.timeout(self._write_timeout):
                 await self.response.write(chunk)
-                self.first_written = self.first_written or time.monotonic()
+                self.first_written_at = self.first_written_at or time.monotonic()
         except TimeoutError as error:
             raise SlowCallerError(self._request_id) from error
 
@@ -89,7 +89,7 @@
         return response
 
 
-def find_length(head: ResponseHead) -> int | None:
+def find_content_length(head: ResponseHead) -> int | None:
     """Return the body's length where the target gave one.
 
     A caller that knows the length sees by itself that a cut answer is not whole.
--- a/libraries/gateway/src/bamboopier_gateway/forwarder.py
+++ b/libraries/gateway/src/bamboopier_gateway/forwarder.py
@@ -154,7 +154,7 @@
             ran=result.ran,
             retry_after=result.retry_after,
             broken=result.broken,
-            delivered=delivery.begun,
+            delivered=delivery.started,
             first_byte=result.first_byte,
         )
         self._count(call, result)
@@ -214,7 +214,7 @@
             )
         if reply.state != pb.RecallReply.KEPT:
             raise _make_unknown()
-        await delivery.begin(reply.head)
+        await delivery.start(reply.head)
         await delivery.write(reply.body)
         await delivery.finish()
         return delivery.response
--- a/libraries/gateway/tests/builders.py
+++ b/libraries/gateway/tests/builders.py
@@ -95,14 +95,14 @@
     whole: bool = False
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         return self.heads > 0
 
     @property
     def response(self) -> Any:
-        return SimpleNamespace(prepared=self.begun)
+        return SimpleNamespace(prepared=self.started)
 
-    async def begin(self, head: pb.ResponseHead) -> None:
+    async def start(self, head: pb.ResponseHead) -> None:
         self.heads += 1
 
     async def write(self, chunk: bytes) -> None:
--- a/libraries/gateway/tests/test_application.py
+++ b/libraries/gateway/tests/test_application.py
@@ -22,13 +22,13 @@
 class BrokenForwarder:
     """Fails as a programming error would, before or after the answer began."""
 
-    def __init__(self, *, begins: bool) -> None:
-        self.begins = begins
+    def __init__(self, *, fails_after_start: bool) -> None:
+        self.fails_after_start = fails_after_start
 
     async def forward(self, call: Any, delivery: Any) -> web.StreamResponse:
-        if self.begins:
+        if self.fails_after_start:
             header = pb.Header(name="Content-Type", value="text/event-stream")
-            await delivery.begin(pb.ResponseHead(status=200, headers=[header]))
+            await delivery.start(pb.ResponseHead(status=200, headers=[header]))
             await delivery.write(b"data: part\n\n")
         raise ZeroDivisionError("secret detail")
 
@@ -43,7 +43,7 @@
 
 class ApplicationTests(unittest.IsolatedAsyncioTestCase):
     async def ask(
-        self, read: Any, *, begins: bool = False, generation: int = 1
+        self, read: Any, *, fails_after_start: bool = False, generation: int = 1
     ) -> tuple[int, str]:
         settings = SimpleNamespace(
             write_timeout_seconds=5.0, data_centre="dc", max_held_body_bytes=1000
@@ -54,7 +54,7 @@
             settings,  # type: ignore[arg-type]
             follower,  # type: ignore[arg-type]
             reader,  # type: ignore[arg-type]
-            BrokenForwarder(begins=begins),  # type: ignore[arg-type]
+            BrokenForwarder(fails_after_start=fails_after_start),  # type: ignore[arg-type]
             GatewayMetrics(),
         )
         server = TestServer(application.make_application())
@@ -90,7 +90,7 @@
         self.assertNotIn("secret detail", text)
 
     async def test_a_fault_within_a_stream_ends_it_with_an_error_event(self) -> None:
-        status, text = await self.ask(read_call, begins=True)
+        status, text = await self.ask(read_call, fails_after_start=True)
         self.assertEqual(status, 200)
         self.assertIn("event: error", text)
         self.assertNotIn("secret detail", text)
--- a/libraries/gateway/tests/test_delivery.py
+++ b/libraries/gateway/tests/test_delivery.py
@@ -38,7 +38,7 @@
 
     async def serve(request: web.Request) -> web.StreamResponse:
         delivery = Delivery(request, "request-1", write_timeout=10)
-        await delivery.begin(head)
+        await delivery.start(head)
         for piece in pieces:
             await delivery.write(piece)
         if not whole:
