--- a/libraries/gateway/src/bamboopier_gateway/attempt.py
+++ b/libraries/gateway/src/bamboopier_gateway/attempt.py
@@ -27,12 +27,12 @@
 _MILLISECONDS = 1000
 # The agent answers a passed deadline itself and knows whether the request ran; this is
 # how long its word is waited for. A frozen agent says nothing.
-GRACE_SECONDS = 0.25
+DEADLINE_GRACE_SECONDS = 0.25
 # gRPC's word for a call that waited for a connection and got none. With its retries off
 # (``agents.OPTIONS``) a call is given to one connection at most, so none had it.
 _NO_CONNECTION = "failed to connect to all addresses"
 # An answer that has begun may go on past the deadline for as long as it makes progress.
-STALL_SECONDS = 30.0
+STALL_TIMEOUT_SECONDS = 30.0
 
 
 @dataclass(slots=True)
@@ -61,7 +61,7 @@
     generation: int
     # Told of the load and the seconds that came with the answer's head: a long answer
     # would otherwise bring them only at its end.
-    note_head: Callable[[pb.LoadReport, float], None] = lambda _load, _seconds: None
+    report_head: Callable[[pb.LoadReport, float], None] = lambda _load, _seconds: None
     # Seconds the target may let the call wait before it turns it away.
     max_wait: float = math.inf
     attempt_id: str = field(default_factory=lambda: uuid.uuid4().hex)
@@ -71,22 +71,22 @@
     _expected_sequence: int = 0
     _body_bytes: int = 0
     # The body's length where the target gave one, and what completes it.
-    _length: int | None = None
+    _content_length: int | None = None
     _last_chunk: bytes = b""
-    _begun: bool = False
+    _started: bool = False
 
     async def run(self, delivery: Delivery) -> AttemptResult:
         """Run to the end; leaving early cancels the call at the agent."""
-        left = self.call.deadline - time.monotonic() + GRACE_SECONDS
-        clock = asyncio.get_running_loop()
+        remaining = self.call.deadline - time.monotonic() + DEADLINE_GRACE_SECONDS
+        loop = asyncio.get_running_loop()
         stream = self.stub.Serve(self._make_request())
         try:
-            async with asyncio.timeout_at(clock.time() + left) as limit:
-                return await self._read(stream, delivery, limit)
+            async with asyncio.timeout_at(loop.time() + remaining) as timeout:
+                return await self._read_events(stream, delivery, timeout)
         except TimeoutError:
-            self._break("no answer by the deadline")
+            self._mark_broken("no answer by the deadline")
             # A long answer is no sign of a broken target.
-            self._result.broken = not self._begun
+            self._result.broken = not self._started
             self._result.cause = pb.DEADLINE
             return self._result
         except grpc.aio.AioRpcError as error:
@@ -94,37 +94,37 @@
         finally:
             stream.cancel()
 
-    async def _read(
+    async def _read_events(
         self,
         stream: AsyncIterable[pb.ServeEvent],
         delivery: Delivery,
-        limit: asyncio.Timeout,
+        timeout: asyncio.Timeout,
     ) -> AttemptResult:
         started = time.monotonic()
-        clock = asyncio.get_running_loop()
+        loop = asyncio.get_running_loop()
         async for event in stream:
-            if not self._is_next(event):
-                return self._break("an event of another answer or out of order")
+            if not self._is_expected(event):
+                return self._mark_broken("an event of another answer or out of order")
             if event.HasField("load"):
                 self._result.load = event.load
             if event.HasField("head"):
                 self._result.first_byte = time.monotonic() - started
-                self.note_head(event.load, self._result.first_byte)
-            if await self._take(event, delivery):
+                self.report_head(event.load, self._result.first_byte)
+            if await self._handle_event(event, delivery):
                 return self._result
-            limit.reschedule(max(limit.when() or 0.0, clock.time() + STALL_SECONDS))
-        return self._break("the answer ended early")
+            timeout.reschedule(max(timeout.when() or 0.0, loop.time() + STALL_TIMEOUT_SECONDS))
+        return self._mark_broken("the answer ended early")
 
     def _make_request(self) -> pb.ServeRequest:
         call = self.call
-        left = max(0.0, call.deadline - time.monotonic())
+        remaining = max(0.0, call.deadline - time.monotonic())
         request = pb.ServeRequest(
             request_id=call.request_id,
             attempt_id=self.attempt_id,
             workspace=call.workspace,
             service=call.service,
             generation=self.generation,
-            timeout_ms=int(left * _MILLISECONDS),
+            timeout_ms=int(remaining * _MILLISECONDS),
             priority=call.priority,
             idempotent=call.idempotent,
             idempotency_key=call.idempotency_key,
@@ -147,7 +147,7 @@
             request.model.stream = model.stream
         return request
 
-    def _is_next(self, event: pb.ServeEvent) -> bool:
+    def _is_expected(self, event: pb.ServeEvent) -> bool:
         """Guard against late, crossed, repeated and lost events.
 
         An event of another attempt or out of sequence would put foreign bytes into
@@ -160,19 +160,19 @@
             return False
         kind = event.WhichOneof("event")
         if kind in ("head", "not_run"):
-            return not self._begun
-        return kind == "unknown" or (kind is not None and self._begun)
+            return not self._started
+        return kind == "unknown" or (kind is not None and self._started)
 
-    async def _take(self, event: pb.ServeEvent, delivery: Delivery) -> bool:
+    async def _handle_event(self, event: pb.ServeEvent, delivery: Delivery) -> bool:
         """Handle one event; True when the answer is over."""
         kind = event.WhichOneof("event")
         if kind == "head":
-            self._begun = True
-            self._length = find_content_length(event.head)
+            self._started = True
+            self._content_length = find_content_length(event.head)
             await delivery.start(event.head)
         elif kind == "chunk":
             self._body_bytes += len(event.chunk)
-            if self._length is not None and self._body_bytes >= self._length:
+            if self._content_length is not None and self._body_bytes >= self._content_length:
                 # A caller that counts bytes takes these for the end, and leaves before
                 # the answer is proved whole and counted.
                 self._last_chunk += event.chunk
@@ -181,7 +181,7 @@
         elif kind == "finished":
             return await self._finish(event.finished, delivery)
         elif kind == "not_run":
-            self._note_not_run(event.not_run)
+            self._record_not_run(event.not_run)
             return True
         else:
             self._result.cause = event.unknown.cause
@@ -192,7 +192,7 @@
 
     async def _finish(self, finished: pb.Finished, delivery: Delivery) -> bool:
         if finished.body_bytes != self._body_bytes:
-            self._break("the answer is not whole")
+            self._mark_broken("the answer is not whole")
             return True
         self._result.ran = ExecutionStatus.EXECUTED
         self._result.finished = finished
@@ -208,7 +208,7 @@
                 task.uncancel()
         return True
 
-    def _note_not_run(self, not_run: pb.NotRun) -> None:
+    def _record_not_run(self, not_run: pb.NotRun) -> None:
         result = self._result
         result.ran = ExecutionStatus.NOT_EXECUTED
         result.cause = not_run.cause
@@ -218,7 +218,7 @@
         result.claim_id = not_run.claim_id
         result.broken = not_run.cause == pb.TARGET_DOWN
 
-    def _break(self, detail: str) -> AttemptResult:
+    def _mark_broken(self, detail: str) -> AttemptResult:
         self._result.ran = ExecutionStatus.UNKNOWN
         self._result.cause = pb.CONNECTION_LOST
         self._result.detail = detail
@@ -231,13 +231,13 @@
         A connection stood when the request was handed to gRPC. Once gRPC has given it
         to one, any failure leaves open how far it came.
         """
-        broken = self._break(f"{error.code().name}: {error.details()}")
+        result = self._mark_broken(f"{error.code().name}: {error.details()}")
         # Only the agent's check of this gateway's certificate refuses permission, and
         # it comes before anything else.
         refused = error.code() is grpc.StatusCode.PERMISSION_DENIED
         if refused or self._was_never_sent(error):
-            broken.ran = ExecutionStatus.NOT_EXECUTED
-        return broken
+            result.ran = ExecutionStatus.NOT_EXECUTED
+        return result
 
     def _was_never_sent(self, error: grpc.aio.AioRpcError) -> bool:
         """Say whether gRPC found no connection to send the request on.
--- a/libraries/gateway/src/bamboopier_gateway/forwarder.py
+++ b/libraries/gateway/src/bamboopier_gateway/forwarder.py
@@ -121,7 +121,7 @@
                 broken=True,
             )
 
-        def note_head(load: pb.LoadReport, seconds: float) -> None:
+        def report_head(load: pb.LoadReport, seconds: float) -> None:
             now = time.monotonic()
             self._router.handle(TargetReported(now, send.target, read_load(load)))
             came = FirstByteReceived(now, call.request_id, send.target, seconds)
@@ -131,7 +131,7 @@
             call,
             stub,
             self._follower.directory.generation,
-            note_head,
+            report_head,
             send.max_wait,
         )
         result = await attempt.run(delivery)
--- a/tools/safeguards/at_most_once.py
+++ b/tools/safeguards/at_most_once.py
@@ -66,8 +66,8 @@
     Mutation(
         "a holder that stands still for a moment is asked all the same",
         "libraries/gateway/src/bamboopier_gateway/forwarder.py",
-        "self._agents.connect_with_retries(result.claimed_by, left)",
-        "self._agents.connect(result.claimed_by, left)",
+        "self._agents.connect_with_retries(result.claimed_by, remaining)",
+        "self._agents.connect(result.claimed_by, remaining)",
         "libraries/gateway",
         "tests.test_recall.RecallTests.test_the_holder_stands_still_for_a_moment",
     ),
@@ -127,8 +127,8 @@
         "not-run after the head is not believed",
         "libraries/gateway/src/bamboopier_gateway/attempt.py",
         '        if kind in ("head", "not_run"):\n'
-        "            return not self._begun\n"
-        '        return kind == "unknown" or (kind is not None and self._begun)\n',
+        "            return not self._started\n"
+        '        return kind == "unknown" or (kind is not None and self._started)\n',
         "        return True\n",
         "libraries/gateway",
         "tests.test_attempt.AttemptTests.test_every_stream",
@@ -137,7 +137,7 @@
         "the end of an answer proves its length",
         "libraries/gateway/src/bamboopier_gateway/attempt.py",
         "        if finished.body_bytes != self._body_bytes:\n"
-        '            self._break("the answer is not whole")\n'
+        '            self._mark_broken("the answer is not whole")\n'
         "            return True\n",
         "",
         "libraries/gateway",
@@ -146,8 +146,8 @@
     Mutation(
         "a silent agent holds nobody past the deadline",
         "libraries/gateway/src/bamboopier_gateway/attempt.py",
-        "asyncio.timeout_at(clock.time() + left) as limit",
-        "asyncio.timeout(None) as limit",
+        "asyncio.timeout_at(loop.time() + remaining) as timeout",
+        "asyncio.timeout(None) as timeout",
         "libraries/gateway",
         "tests.test_attempt.AttemptTests.test_a_silent_agent_holds_nobody_past_the_deadline",
     ),
@@ -254,7 +254,7 @@
     Mutation(
         "other gateways are told of a quarantine",
         "libraries/gateway/src/bamboopier_gateway/shared_quarantine.py",
-        "            if found and await self._add(found):\n",
+        "            if found and await self._publish_entries(found):\n",
         "            if False:\n",
         ".",
         "tests.test_quarantine",
