--- a/libraries/gateway/src/bamboopier_gateway/body.py
+++ b/libraries/gateway/src/bamboopier_gateway/body.py
@@ -16,7 +16,7 @@
 
     from prometheus_client import Gauge
 
-RETRY_SECONDS = 1.0
+RETRY_AFTER_SECONDS = 1.0
 
 
 class BodyBudget:
@@ -42,11 +42,11 @@
         finally:
             self._held -= share.held
 
-    def take(self, size: int) -> None:
+    def acquire(self, size: int) -> None:
         """Hold ``size`` bytes more; raises ``CallerError`` when that is too much."""
         if self._held + size > self._limit:
             message = "the bodies of all open requests fill this gateway's memory"
-            raise CallerError(ErrorCode.OVERLOADED, message, retry_after=RETRY_SECONDS)
+            raise CallerError(ErrorCode.OVERLOADED, message, retry_after=RETRY_AFTER_SECONDS)
         self._held += size
 
 
@@ -59,9 +59,9 @@
         self._budget = budget
         self.held = 0
 
-    def take(self, size: int) -> None:
+    def acquire(self, size: int) -> None:
         """Hold ``size`` bytes more; raises ``CallerError``."""
-        self._budget.take(size)
+        self._budget.acquire(size)
         self.held += size
 
 
@@ -76,7 +76,7 @@
     """
     declared = request.content_length
     if declared is not None and declared > limit:
-        raise _too_large(f"{declared}", limit)
+        raise _make_too_large_error(f"{declared}", limit)
     try:
         async with asyncio.timeout(timeout):
             return await _read_chunks(request, limit)
@@ -92,13 +92,13 @@
     share = request[BODY_SHARE]
     body = bytearray()
     async for chunk in request.content.iter_any():
-        share.take(len(chunk))
+        share.acquire(len(chunk))
         body += chunk
         if len(body) > limit:
-            raise _too_large("more", limit)
+            raise _make_too_large_error("more", limit)
     return bytes(body)
 
 
-def _too_large(found: str, limit: int) -> CallerError:
+def _make_too_large_error(found: str, limit: int) -> CallerError:
     message = f"body of {found} bytes; allowed: {limit}"
     return CallerError(ErrorCode.TOO_LARGE, message)
