--- a/libraries/gateway/src/bamboopier_gateway/connection.py
+++ b/libraries/gateway/src/bamboopier_gateway/connection.py
@@ -40,7 +40,7 @@
         ...
 
 
-class ConnectionCount(Protocol):
+class ConnectionCounter(Protocol):
     """Keeps count of open connections."""
 
     def add(self) -> bool:
@@ -66,7 +66,7 @@
         self,
         manager: web.Server,
         settings: ConnectionLimits,
-        count: ConnectionCount,
+        count: ConnectionCounter,
         **options: Any,
     ) -> None:
         super().__init__(
@@ -82,13 +82,13 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begin to watch the connection, or refuse it."""
-        limit_silence(transport, self._write_timeout)
+        set_dead_peer_timeout(transport, self._write_timeout)
         if self._count.add():
             super().connection_made(transport)
             return
-        refused = RefusedConnection()
-        cast("asyncio.Transport", transport).set_protocol(refused)
-        refused.connection_made(transport)
+        refusal = RefusedConnection()
+        cast("asyncio.Transport", transport).set_protocol(refusal)
+        refusal.connection_made(transport)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Forget the connection."""
@@ -98,14 +98,14 @@
 
     def data_received(self, data: bytes) -> None:
         """Take bytes; between two requests the first one starts the header timer."""
-        waiting = self._waits_for_request()
+        was_waiting = self._is_waiting_for_request()
         super().data_received(data)
-        if not self._waits_for_request():
+        if not self._is_waiting_for_request():
             self._stop_header_timer()
-        elif waiting and data and self._header_timer is None:
+        elif was_waiting and data and self._header_timer is None:
             loop = asyncio.get_running_loop()
             self._header_timer = loop.call_later(
-                self._header_timeout, self._give_up_headers
+                self._header_timeout, self._close_on_header_timeout
             )
 
     def close_when_idle(self) -> None:
@@ -114,7 +114,7 @@
         aiohttp's own ``close`` ends the task that reads requests and leaves the
         transport open: what the caller sends then is never answered.
         """
-        if self._waits_for_request():
+        if self._is_waiting_for_request():
             self.force_close()
 
     def handle_error(
@@ -143,7 +143,7 @@
         response.force_close()
         return response
 
-    def _waits_for_request(self) -> bool:
+    def _is_waiting_for_request(self) -> bool:
         # aiohttp offers no public word for this. Its version is pinned, and a test of
         # headers that trickle in shows when the attribute means something else.
         return self._waiter is not None and not self._waiter.done()
@@ -153,9 +153,9 @@
             self._header_timer.cancel()
             self._header_timer = None
 
-    def _give_up_headers(self) -> None:
+    def _close_on_header_timeout(self) -> None:
         self._header_timer = None
-        if self._waits_for_request():
+        if self._is_waiting_for_request():
             log.info("connection closed", reason="headers-timeout")
             self.force_close()
 
@@ -190,7 +190,7 @@
             self._timer.cancel()
 
 
-def limit_silence(transport: asyncio.BaseTransport, seconds: float) -> None:
+def set_dead_peer_timeout(transport: asyncio.BaseTransport, seconds: float) -> None:
     """Let the kernel end a connection whose peer is gone or takes nothing.
 
     Without it a caller that vanished without a word, or that never reads the last
