--- a/libraries/gateway/src/bamboopier_gateway/listener.py
+++ b/libraries/gateway/src/bamboopier_gateway/listener.py
@@ -35,11 +35,11 @@
         settings: GatewaySettings,
         application: web.Application,
         metrics: GatewayMetrics,
-        certificates: ssl.SSLContext | None,
+        tls_context: ssl.SSLContext | None,
     ) -> None:
         self._settings = settings
         self._metrics = metrics
-        self._certificates = certificates
+        self._tls_context = tls_context
         self._open_count = 0
         self._server: asyncio.Server | None = None
         self._runner = web.AppRunner(
@@ -58,8 +58,8 @@
                 self._make_connection,
                 listen.host,
                 listen.port,
-                ssl=self._certificates,
-                ssl_handshake_timeout=self._choose_handshake_timeout(),
+                ssl=self._tls_context,
+                ssl_handshake_timeout=self._get_handshake_timeout(),
                 backlog=BACKLOG,
             )
         return self
@@ -88,8 +88,8 @@
         self._open_count -= 1
         self._metrics.connections.set(self._open_count)
 
-    def _choose_handshake_timeout(self) -> float | None:
-        if self._certificates is None:
+    def _get_handshake_timeout(self) -> float | None:
+        if self._tls_context is None:
             return None
         return self._settings.header_timeout_seconds
 
