--- a/libraries/gateway/src/bamboopier_gateway/fleet.py
+++ b/libraries/gateway/src/bamboopier_gateway/fleet.py
@@ -36,13 +36,13 @@
         settings: GatewaySettings,
         vms: VmBoard,
         agents: AgentConnections,
-        apply: Callable[[FleetChanged], None],
+        handle_change: Callable[[FleetChanged], None],
         random: random.Random,
     ) -> None:
         self._settings = settings
         self._vms = vms
         self._agents = agents
-        self._apply = apply
+        self._handle_change = handle_change
         self._directory: Directory | None = None
         self._view = FleetView()
         self._views: tuple[TargetView, ...] = ()
@@ -65,7 +65,7 @@
                 model.name, ModelVersions(now, model.version)
             )
             services = _list_services(directory, model)
-            reported = self._list_reported(services)
+            reported = self._list_reported_versions(services)
             versions.configure(now, model.version, reported)
         self._update()
 
@@ -75,13 +75,13 @@
         if versions is None or self._directory is None:
             return model.version
         services = _list_services(self._directory, model)
-        reported = self._list_reported(services)
+        reported = self._list_reported_versions(services)
         unreported = sum(self.reports.count_unheard(s.name) for s in services)
-        at_once = max((service.loads_at_once for service in services), default=1)
+        loads_at_once_limit = max((service.loads_at_once for service in services), default=1)
         now = time.monotonic()
-        return versions.choose(now, reported, unreported, at_once, self._random)
+        return versions.choose(now, reported, unreported, loads_at_once_limit, self._random)
 
-    def _list_reported(self, services: Iterable[Service]) -> list[str]:
+    def _list_reported_versions(self, services: Iterable[Service]) -> list[str]:
         """Return the weight version of each target that takes work."""
         return [v for s in services for v in self.reports.list_versions(s.name)]
 
@@ -103,10 +103,10 @@
             for vm in targets
             if vm.name in usable
         )
-        self.reports.change(views, _list_versions(self._directory))
+        self.reports.change(views, _list_configured_versions(self._directory))
         if views != self._views:
             self._views = views
-            self._apply(FleetChanged(now, views))
+            self._handle_change(FleetChanged(now, views))
 
     def _measure_distance(self, vm: Vm) -> Distance:
         if vm.data_centre == self._settings.data_centre:
@@ -121,7 +121,7 @@
     return [s for s in directory.services.values() if model.name in s.models]
 
 
-def _list_versions(directory: Directory) -> dict[str, frozenset[str]]:
+def _list_configured_versions(directory: Directory) -> dict[str, frozenset[str]]:
     """Return the configured weight versions by service."""
     models = directory.models
     return {
