--- a/libraries/gateway/src/bamboopier_gateway/forwarder.py
+++ b/libraries/gateway/src/bamboopier_gateway/forwarder.py
@@ -41,7 +41,7 @@
 # For an agent that still runs; one that is gone or frozen must not hold the caller.
 RECALL_TIMEOUT_SECONDS = 2.0
 # Causes that another target cannot help: all claim in the same platform.
-_CLAIM_CAUSES: dict[int, str] = {
+_CLAIM_MESSAGES: dict[int, str] = {
     pb.PLATFORM_DOWN: "the platform does not answer, so the key cannot be claimed",
     pb.KEY_TABLE_FULL: "no more idempotency keys can be kept at present",
 }
@@ -75,22 +75,22 @@
         """Answer the caller; raises ``CallerError`` when no answer was begun."""
         wait = self._quarantine.find_wait(call)
         if wait > 0:
-            raise _make_quarantine_refusal(call, wait)
-        decision: RoutingDecision | None = self._router.handle(_describe(call))
+            raise _make_quarantine_error(call, wait)
+        decision: RoutingDecision | None = self._router.handle(_make_arrival(call))
         try:
             while isinstance(decision, Send):
                 self._log_choice(call, decision)
-                result = await self._attempt(call, decision, delivery)
+                result = await self._run_attempt(call, decision, delivery)
                 if result.cause in (pb.KEY_CLAIMED, pb.KEY_REUSED):
                     return await self._recall(call, result, delivery)
-                if result.cause in _CLAIM_CAUSES:
-                    raise _make_claim_refusal(result)
+                if result.cause in _CLAIM_MESSAGES:
+                    raise _make_claim_error(result)
                 if (
                     result.cause in _CRASH_CAUSES
                     and result.ran is ExecutionStatus.UNKNOWN
                 ):
                     self._quarantine.record_crash(call, decision.target)
-                decision = self._tell_end(call, decision, result, delivery)
+                decision = self._report_end(call, decision, result, delivery)
         finally:
             self._router.abandon(call.request_id)
         if isinstance(decision, Refuse):
@@ -104,15 +104,15 @@
             return await delivery.fail(error)
         return delivery.response
 
-    async def _attempt(
+    async def _run_attempt(
         self, call: Call, send: Send, delivery: Delivery
     ) -> AttemptResult:
-        left = call.deadline - time.monotonic()
+        remaining = call.deadline - time.monotonic()
         address = self._fleet.find_address(send.target)
         # What may be repeated needs no proof of the connection, nor pays for one.
         agents = self._agents
         connect = agents.connect if call.idempotent else agents.connect_and_probe
-        stub = await connect(address, left)
+        stub = await connect(address, remaining)
         if stub is None:
             return AttemptResult(
                 ExecutionStatus.NOT_EXECUTED,
@@ -123,9 +123,9 @@
 
         def report_head(load: pb.LoadReport, seconds: float) -> None:
             now = time.monotonic()
-            self._router.handle(TargetReported(now, send.target, read_load(load)))
-            came = FirstByteReceived(now, call.request_id, send.target, seconds)
-            self._router.handle(came)
+            self._router.handle(TargetReported(now, send.target, make_target_load(load)))
+            first_byte_event = FirstByteReceived(now, call.request_id, send.target, seconds)
+            self._router.handle(first_byte_event)
 
         attempt = Attempt(
             call,
@@ -138,13 +138,13 @@
         if result.load is not None:
             self._follower.hear(result.load.generation)
             self._fleet.reports.note(send.target, result.load)
-            load = read_load(result.load)
+            load = make_target_load(result.load)
             self._router.handle(TargetReported(time.monotonic(), send.target, load))
         elif result.broken:
             self._fleet.reports.note(send.target, None)
         return result
 
-    def _tell_end(
+    def _report_end(
         self, call: Call, send: Send, result: AttemptResult, delivery: Delivery
     ) -> RoutingDecision | None:
         ended = AttemptEnded(
@@ -157,7 +157,7 @@
             delivered=delivery.started,
             first_byte=result.first_byte,
         )
-        self._count(call, result)
+        self._record_metrics(call, result)
         if result.ran is not ExecutionStatus.EXECUTED:
             _log_failure(call, send, result)
         return self._router.handle(ended)
@@ -170,7 +170,7 @@
             request_id=call.request_id,
             workspace=call.workspace,
             service=call.service,
-            weight_version=_name_version(call),
+            weight_version=_get_weight_version(call),
             reason=refuse.reason.value,
             ran=refuse.ran.value,
             retry_after=round(refuse.retry_after, 3),
@@ -185,10 +185,10 @@
         if result.cause == pb.KEY_REUSED:
             message = "this idempotency key was used for another request"
             raise CallerError(ErrorCode.KEY_REUSED, message)
-        left = call.deadline - time.monotonic()
-        stub = await self._agents.connect_with_retries(result.claimed_by, left)
+        remaining = call.deadline - time.monotonic()
+        stub = await self._agents.connect_with_retries(result.claimed_by, remaining)
         if stub is None:
-            raise _make_unknown()
+            raise _make_unknown_outcome_error()
         request = pb.RecallRequest(
             workspace=call.workspace,
             service=call.service,
@@ -197,11 +197,11 @@
             claim_id=result.claim_id,
         )
         try:
-            left = call.deadline - time.monotonic()
-            limit = max(0.0, min(RECALL_TIMEOUT_SECONDS, left))
+            remaining = call.deadline - time.monotonic()
+            limit = max(0.0, min(RECALL_TIMEOUT_SECONDS, remaining))
             reply = await stub.Recall(request, timeout=limit)
         except grpc.aio.AioRpcError as error:
-            raise _make_unknown() from error
+            raise _make_unknown_outcome_error() from error
         if reply.state == pb.RecallReply.NEVER_RAN:
             message = "an earlier claim of this key never ran and is being released"
             raise CallerError(
@@ -213,7 +213,7 @@
                 ErrorCode.KEY_IN_PROGRESS, message, ExecutionStatus.UNKNOWN, 1.0
             )
         if reply.state != pb.RecallReply.KEPT:
-            raise _make_unknown()
+            raise _make_unknown_outcome_error()
         await delivery.start(reply.head)
         await delivery.write(reply.body)
         await delivery.finish()
@@ -227,14 +227,14 @@
             workspace=call.workspace,
             service=call.service,
             target=send.target,
-            weight_version=_name_version(call),
+            weight_version=_get_weight_version(call),
             reason=send.reason.value,
             candidates={
                 c.target: round(c.expected_seconds, 4) for c in send.candidates
             },
         )
 
-    def _count(self, call: Call, result: AttemptResult) -> None:
+    def _record_metrics(self, call: Call, result: AttemptResult) -> None:
         if result.first_byte:
             first_byte = self._metrics.first_byte.labels(call.service)
             first_byte.observe(result.first_byte)
@@ -263,20 +263,20 @@
     )
 
 
-def _name_version(call: Call) -> str:
+def _get_weight_version(call: Call) -> str:
     """Return the weight version a call was made for; empty for plain services."""
     return call.model.weight_version if call.model is not None else ""
 
 
-def _make_claim_refusal(result: AttemptResult) -> CallerError:
-    message = _CLAIM_CAUSES[result.cause]
+def _make_claim_error(result: AttemptResult) -> CallerError:
+    message = _CLAIM_MESSAGES[result.cause]
     wait = result.retry_after
     return CallerError(
         ErrorCode.CLAIM_UNAVAILABLE, message, ExecutionStatus.NOT_EXECUTED, wait
     )
 
 
-def _make_quarantine_refusal(call: Call, wait: float) -> CallerError:
+def _make_quarantine_error(call: Call, wait: float) -> CallerError:
     log.info(
         "request refused",
         request_id=call.request_id,
@@ -292,12 +292,12 @@
     )
 
 
-def _make_unknown() -> CallerError:
+def _make_unknown_outcome_error() -> CallerError:
     message = "this idempotency key has been claimed before; its outcome is not known"
     return CallerError(ErrorCode.OUTCOME_UNKNOWN, message, ExecutionStatus.UNKNOWN)
 
 
-def _describe(call: Call) -> RequestArrived:
+def _make_arrival(call: Call) -> RequestArrived:
     model = call.model
     return RequestArrived(
         now=time.monotonic(),
@@ -315,7 +315,7 @@
     )
 
 
-def read_load(report: pb.LoadReport) -> TargetLoad:
+def make_target_load(report: pb.LoadReport) -> TargetLoad:
     """Return a report as the router takes it."""
     return TargetLoad(
         running=report.running,
--- a/libraries/gateway/src/bamboopier_gateway/target_poll.py
+++ b/libraries/gateway/src/bamboopier_gateway/target_poll.py
@@ -11,7 +11,7 @@
 from bamboopier_decisions.routing.messages import TargetReported
 from bamboopier_protocol import agent_pb2 as pb
 
-from .forwarder import read_load
+from .forwarder import make_target_load
 
 if TYPE_CHECKING:
     from bamboopier_decisions.routing.router import Router
@@ -69,5 +69,5 @@
             return
         self._follower.hear(report.generation)
         self._fleet.reports.note(target, report)
-        load = read_load(report)
+        load = make_target_load(report)
         self._router.handle(TargetReported(time.monotonic(), target, load))
--- a/tools/safeguards/at_most_once.py
+++ b/tools/safeguards/at_most_once.py
@@ -246,7 +246,7 @@
         "a quarantined request is refused",
         "libraries/gateway/src/bamboopier_gateway/forwarder.py",
         "        if wait > 0:\n"
-        "            raise _make_quarantine_refusal(call, wait)\n",
+        "            raise _make_quarantine_error(call, wait)\n",
         "",
         ".",
         "tests.test_quarantine",
