--- a/libraries/gateway/src/bamboopier_gateway/application.py
+++ b/libraries/gateway/src/bamboopier_gateway/application.py
@@ -183,7 +183,7 @@
                 request, request[REQUEST_ID], self._follower.directory
             )
         except CallerError as error:
-            self._metrics.answers.labels("", error.code.value).inc()
+            self._metrics.responses.labels("", error.code.value).inc()
             raise
         delivery = Delivery(
             request, call.request_id, self._settings.write_timeout_seconds
@@ -202,7 +202,7 @@
             return await self._fail(call, delivery, abort_error)
         except SlowCallerError:
             log.info("caller too slow", request_id=call.request_id)
-            self._metrics.answers.labels(call.service, "slow-caller").inc()
+            self._metrics.responses.labels(call.service, "slow-caller").inc()
             # A plain close would wait for the caller to take what is buffered.
             abort(request)
             raise ConnectionResetError("caller too slow") from None
@@ -215,7 +215,7 @@
                 ErrorCode.INTERNAL, "internal error", ExecutionStatus.UNKNOWN
             )
             return await self._fail(call, delivery, internal_error)
-        self._metrics.answers.labels(call.service, str(response.status)).inc()
+        self._metrics.responses.labels(call.service, str(response.status)).inc()
         if call.model is not None and delivery.first_written_at:
             first_token = self._metrics.first_token.labels(call.service)
             first_token.observe(delivery.first_written_at - arrived_at)
@@ -224,7 +224,7 @@
     async def _fail(
         self, call: Call, delivery: Delivery, error: CallerError
     ) -> web.StreamResponse:
-        self._metrics.answers.labels(call.service, error.code.value).inc()
+        self._metrics.responses.labels(call.service, error.code.value).inc()
         if delivery.started:
             return await delivery.fail(error)
         return error.make_response(call.request_id)
--- a/libraries/gateway/src/bamboopier_gateway/metrics.py
+++ b/libraries/gateway/src/bamboopier_gateway/metrics.py
@@ -12,7 +12,7 @@
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
-        self.answers = Counter(
+        self.responses = Counter(
             "bamboopier_answers",
             "Final answers to callers by service and code",
             ["service", "code"],
