--- a/libraries/gateway/src/bamboopier_gateway/headers.py
+++ b/libraries/gateway/src/bamboopier_gateway/headers.py
@@ -24,12 +24,12 @@
     headers: Iterable[tuple[str, str]],
 ) -> tuple[tuple[str, str], ...]:
     """Return what a target gets of a caller's headers; raises ``CallerError``."""
-    passed = drop_hop_headers(headers)
-    for name, value in passed:
+    forwarded = drop_hop_headers(headers)
+    for name, value in forwarded:
         if name.lower() in OVERRIDE_HEADERS:
             message = f"the header {name} is not allowed: it would change the route"
             raise CallerError(ErrorCode.BAD_REQUEST, message)
         if not value.isprintable() and not value.replace("\t", " ").isprintable():
             message = f"the header {name} is not text in UTF-8"
             raise CallerError(ErrorCode.BAD_REQUEST, message)
-    return tuple((n, v) for n, v in passed if n.lower() not in PRIVATE_HEADERS)
+    return tuple((n, v) for n, v in forwarded if n.lower() not in PRIVATE_HEADERS)
--- a/libraries/gateway/src/bamboopier_gateway/paths.py
+++ b/libraries/gateway/src/bamboopier_gateway/paths.py
@@ -11,9 +11,9 @@
 if TYPE_CHECKING:
     from bamboopier_configuration.model import Route, Service
 
-_BROKEN_ESCAPE = re.compile(r"%(?![0-9A-Fa-f]{2})")
+_INCOMPLETE_ESCAPE = re.compile(r"%(?![0-9A-Fa-f]{2})")
 # Once decoded these divide or end a path, or decode once more at a careless target.
-_FORBIDDEN = re.compile(r"[\x00-\x1f\x7f/\\?#]|%[0-9A-Fa-f]{2}")
+_FORBIDDEN_CHARACTERS = re.compile(r"[\x00-\x1f\x7f/\\?#]|%[0-9A-Fa-f]{2}")
 
 
 def check_path(raw_path: str) -> str:
@@ -24,23 +24,23 @@
     be repeated, so every path with more than one reading is refused.
     """
     if not raw_path.startswith("/") or not raw_path.isascii():
-        raise _bad_path("must begin with '/' and be ASCII with percent escapes")
-    if _BROKEN_ESCAPE.search(raw_path):
-        raise _bad_path("has an incomplete percent escape")
+        raise _make_bad_path_error("must begin with '/' and be ASCII with percent escapes")
+    if _INCOMPLETE_ESCAPE.search(raw_path):
+        raise _make_bad_path_error("has an incomplete percent escape")
     segments = raw_path[1:].split("/")
     decoded = [_decode(segment) for segment in segments]
     if "" in decoded[:-1]:
-        raise _bad_path("has an empty segment")
+        raise _make_bad_path_error("has an empty segment")
     # Some servers cut a segment at ';' before they resolve dots.
     if {".", ".."} & {segment.partition(";")[0] for segment in decoded}:
-        raise _bad_path("has a '.' or '..' segment")
+        raise _make_bad_path_error("has a '.' or '..' segment")
     return "/" + "/".join(decoded)
 
 
 def check_query(raw_query: str) -> str:
     """Return a raw query as it is; raises ``CallerError`` when it is not ASCII."""
     if not raw_query.isascii():
-        raise _bad_path("has a query that is not ASCII with percent escapes")
+        raise _make_bad_path_error("has a query that is not ASCII with percent escapes")
     return raw_query
 
 
@@ -77,11 +77,11 @@
     try:
         decoded = unquote_to_bytes(segment).decode()
     except UnicodeDecodeError:
-        raise _bad_path("is not UTF-8") from None
-    if _FORBIDDEN.search(decoded):
-        raise _bad_path("has an escape of a divider, of '%' or of a control character")
+        raise _make_bad_path_error("is not UTF-8") from None
+    if _FORBIDDEN_CHARACTERS.search(decoded):
+        raise _make_bad_path_error("has an escape of a divider, of '%' or of a control character")
     return decoded
 
 
-def _bad_path(fault: str) -> CallerError:
-    return CallerError(ErrorCode.BAD_PATH, f"the path {fault}")
+def _make_bad_path_error(problem: str) -> CallerError:
+    return CallerError(ErrorCode.BAD_PATH, f"the path {problem}")
