--- a/libraries/gateway/src/bamboopier_gateway/prompt.py
+++ b/libraries/gateway/src/bamboopier_gateway/prompt.py
@@ -24,7 +24,7 @@
 DEFAULT_MAX_TOKENS = 256
 MAX_TOKENS = 131_072
 # Of objects and lists in each other; tools have the deepest schemas, some 20 levels.
-MAX_DEPTH = 64
+MAX_JSON_DEPTH = 64
 CHAT_PATH = "/v1/chat/completions"
 
 TokenCount = Annotated[int, msgspec.Meta(ge=1, le=MAX_TOKENS)]
@@ -93,7 +93,7 @@
     ) -> ModelCall:
         """Return the model call; raises ``CallerError`` for a body that is none."""
         parsed = _parse(body)
-        text = _render(path, parsed)
+        text = _extract_text(path, parsed)
         model = directory.models.get(parsed.model)
         if model is None:
             raise CallerError(ErrorCode.NOT_FOUND, f"no model {quote(parsed.model)}")
@@ -109,7 +109,7 @@
             block_keys=keys,
             block_tokens=model.block_tokens,
             prompt_tokens=len(tokens),
-            max_tokens=_read_limit(parsed),
+            max_tokens=_get_max_tokens(parsed),
             cache_salt=hmac.digest(secret, b"cache salt", "sha256").hex(),
             stream=bool(parsed.stream),
         )
@@ -128,38 +128,38 @@
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         message = f"the body is no request for a model: {error}"
         raise CallerError(ErrorCode.BAD_REQUEST, message) from error
-    if not _is_shallow(decoded):
-        message = f"the body is nested deeper than {MAX_DEPTH} levels"
+    if not _is_depth_allowed(decoded):
+        message = f"the body is nested deeper than {MAX_JSON_DEPTH} levels"
         raise CallerError(ErrorCode.BAD_REQUEST, message)
     return parsed
 
 
-def _is_shallow(value: Any) -> bool:
+def _is_depth_allowed(value: Any) -> bool:
     """Say whether a decoded body stays far from any reader's recursion limit."""
     level = [value]
-    for _ in range(MAX_DEPTH):
-        deeper: list[Any] = []
+    for _ in range(MAX_JSON_DEPTH):
+        next_level: list[Any] = []
         for item in level:
             if isinstance(item, dict):
-                deeper.extend(item.values())
+                next_level.extend(item.values())
             elif isinstance(item, list):
-                deeper.extend(item)
-        if not deeper:
+                next_level.extend(item)
+        if not next_level:
             return True
-        level = deeper
+        level = next_level
     return False
 
 
-def _read_limit(body: _ModelBody) -> int:
+def _get_max_tokens(body: _ModelBody) -> int:
     return body.max_completion_tokens or body.max_tokens or DEFAULT_MAX_TOKENS
 
 
-def _render(path: str, body: _ModelBody) -> str:
+def _extract_text(path: str, body: _ModelBody) -> str:
     """Return the text whose leading blocks are looked for; never empty."""
     if path == CHAT_PATH:
         if not body.messages:
             raise CallerError(ErrorCode.BAD_REQUEST, "'messages' is missing or empty")
-        return "\n".join(f"<{m.role}> {_join(m.content)}" for m in body.messages)
+        return "\n".join(f"<{m.role}> {_join_text(m.content)}" for m in body.messages)
     prompt = body.prompt
     if isinstance(prompt, list) and len(prompt) == 1:
         prompt = prompt[0]
@@ -171,7 +171,7 @@
     return prompt
 
 
-def _join(content: str | list[_TextPart] | None) -> str:
+def _join_text(content: str | list[_TextPart] | None) -> str:
     if isinstance(content, list):
         return "\n".join(part.text for part in content)
     return content or ""
