--- a/libraries/gateway/src/bamboopier_gateway/reader.py
+++ b/libraries/gateway/src/bamboopier_gateway/reader.py
@@ -21,10 +21,10 @@
 
     from .prompt import PromptReader
 
-KEY_HEADER = "Idempotency-Key"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 TIMEOUT_HEADER = "X-Timeout-Seconds"
 PRIORITY_HEADER = "X-Priority"
-MAX_KEY_LENGTH = 255
+MAX_IDEMPOTENCY_KEY_LENGTH = 255
 MAX_TIMEOUT_SECONDS = 3600.0
 # Others, such as CONNECT and TRACE, mean something to the connection itself.
 PLAIN_METHODS = frozenset({"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"})
@@ -43,10 +43,10 @@
     ) -> Call:
         """Read a completion or chat request."""
         workspace = authenticate(request, directory)
-        _refuse_encoding(request)
+        _check_encoding(request)
         # The service is known only by the model in the body, so the largest limit of
         # the workspace's services holds until then.
-        limit = _find_largest_limit(directory, workspace)
+        limit = _find_max_body_bytes(directory, workspace)
         body = await read_body(request, limit, self._body_timeout)
         model = self._prompts.read(request.path, body, workspace.name, directory)
         service = _find_model_service(directory, workspace, model.model)
@@ -59,12 +59,12 @@
             path=request.path,
             headers=(("Content-Type", "application/json"),),
             body=body,
-            deadline=_read_deadline(request, service),
-            priority=_read_priority(request),
+            deadline=_parse_deadline(request, service),
+            priority=_parse_priority(request),
             # Generating text again changes nothing outside, unless the operator
             # declared the route otherwise.
             idempotent=is_idempotent(service, "POST", request.path, default=True),
-            idempotency_key=_read_key(request),
+            idempotency_key=_parse_idempotency_key(request),
             model=model,
         )
 
@@ -97,10 +97,10 @@
             path=f"{raw_path}?{query}" if query else raw_path,
             headers=headers,
             body=await read_body(request, limit, self._body_timeout),
-            deadline=_read_deadline(request, service),
-            priority=_read_priority(request),
+            deadline=_parse_deadline(request, service),
+            priority=_parse_priority(request),
             idempotent=is_idempotent(service, request.method, path, default=False),
-            idempotency_key=_read_key(request),
+            idempotency_key=_parse_idempotency_key(request),
         )
 
 
@@ -120,14 +120,14 @@
     return name, "/" + "/".join(rest)
 
 
-def _refuse_encoding(request: web.Request) -> None:
+def _check_encoding(request: web.Request) -> None:
     encoding = request.headers.get("Content-Encoding", "identity").lower()
     if encoding != "identity":
         message = f"Content-Encoding: found {quote(encoding)}; allowed: identity"
         raise CallerError(ErrorCode.UNSUPPORTED_ENCODING, message)
 
 
-def _find_largest_limit(directory: Directory, workspace: Workspace) -> int:
+def _find_max_body_bytes(directory: Directory, workspace: Workspace) -> int:
     services = (directory.services.get(name) for name in workspace.services)
     limits = (s.max_body_bytes for s in services if s is not None and s.kind == "model")
     return max(limits, default=DEFAULT_MAX_BODY_BYTES)
@@ -149,7 +149,7 @@
         raise CallerError(ErrorCode.TOO_LARGE, message)
 
 
-def _read_deadline(request: web.Request, service: Service) -> float:
+def _parse_deadline(request: web.Request, service: Service) -> float:
     text = request.headers.get(TIMEOUT_HEADER)
     if text is None:
         return time.monotonic() + service.default_timeout_seconds
@@ -163,7 +163,7 @@
     return time.monotonic() + seconds
 
 
-def _read_priority(request: web.Request) -> int:
+def _parse_priority(request: web.Request) -> int:
     text = request.headers.get(PRIORITY_HEADER, "0")
     try:
         priority = int(text)
@@ -175,12 +175,12 @@
     return priority
 
 
-def _read_key(request: web.Request) -> str:
-    keys = request.headers.getall(KEY_HEADER, [""])
+def _parse_idempotency_key(request: web.Request) -> str:
+    keys = request.headers.getall(IDEMPOTENCY_KEY_HEADER, [""])
     key = keys[0]
-    if len(keys) > 1 or len(key) > MAX_KEY_LENGTH or not (key + " ").isprintable():
+    if len(keys) > 1 or len(key) > MAX_IDEMPOTENCY_KEY_LENGTH or not (key + " ").isprintable():
         found = f"{len(keys)} of {len(key)} characters"
-        allowed = f"one of up to {MAX_KEY_LENGTH} printable characters"
-        message = f"{KEY_HEADER}: found {found}; allowed: {allowed}"
+        allowed = f"one of up to {MAX_IDEMPOTENCY_KEY_LENGTH} printable characters"
+        message = f"{IDEMPOTENCY_KEY_HEADER}: found {found}; allowed: {allowed}"
         raise CallerError(ErrorCode.BAD_REQUEST, message)
     return key
