--- a/libraries/gateway/src/bamboopier_gateway/shared_quarantine.py
+++ b/libraries/gateway/src/bamboopier_gateway/shared_quarantine.py
@@ -25,8 +25,8 @@
 OBJECT_KEY = "quarantine/requests"
 # One waiting call for each gateway in this time: 340 gateways make 11 calls a second.
 WATCH_SECONDS = 30.0
-RETRY_SECONDS = (0.5, 3.0)
-PUBLISH_SECONDS = 1.0
+RETRY_DELAY_SECONDS = (0.5, 3.0)
+PUBLISH_INTERVAL_SECONDS = 1.0
 # Other gateways write at the same time after one crash; the next round tries again.
 MAX_TRIES = 4
 # 32 bytes each, so the object stays far below a megabyte; the oldest go first.
@@ -35,7 +35,7 @@
 log = structlog.get_logger()
 
 
-class _Stored(msgspec.Struct, array_like=True):
+class _StoredEntry(msgspec.Struct, array_like=True):
     """A refused request; ``until`` is in wall-clock seconds, the same everywhere."""
 
     fingerprint: bytes
@@ -49,7 +49,7 @@
         self._objects = objects
         self._random = random
         self._quarantine = Quarantine()
-        self._known: list[QuarantineEntry] = []
+        self._shared_entries: list[QuarantineEntry] = []
 
     def find_wait(self, call: Call) -> float:
         """Return for how many seconds the call is refused; 0 when it is not."""
@@ -62,61 +62,61 @@
     async def publish(self) -> None:
         """Tell the others of what was found here, until cancelled."""
         while True:
-            await asyncio.sleep(PUBLISH_SECONDS)
-            found = self._quarantine.list_unpublished(time.time())
-            if found and await self._add(found):
-                self._quarantine.mark_published(found)
-                log.warning("requests quarantined", count=len(found))
+            await asyncio.sleep(PUBLISH_INTERVAL_SECONDS)
+            unpublished = self._quarantine.list_unpublished(time.time())
+            if unpublished and await self._publish_entries(unpublished):
+                self._quarantine.mark_published(unpublished)
+                log.warning("requests quarantined", count=len(unpublished))
 
     async def follow(self) -> None:
         """Learn what the others have found, until cancelled."""
         revision = 0
         while True:
-            await self._read()
+            await self._refresh()
             match await self._objects.watch(OBJECT_KEY, revision, WATCH_SECONDS):
                 case Ok(batch):
                     revision = batch.revision
                 case Err(_):
                     revision = 0
-                    await asyncio.sleep(self._random.uniform(*RETRY_SECONDS))
+                    await asyncio.sleep(self._random.uniform(*RETRY_DELAY_SECONDS))
 
-    async def _add(self, found: list[QuarantineEntry]) -> bool:
+    async def _publish_entries(self, unpublished: list[QuarantineEntry]) -> bool:
         for _ in range(MAX_TRIES):
-            version = await self._read()
+            version = await self._refresh()
             if version is None:
                 return False
-            merged = {s.fingerprint: s.until for s in self._known} | {
-                s.fingerprint: s.until for s in found
+            merged = {s.fingerprint: s.until for s in self._shared_entries} | {
+                s.fingerprint: s.until for s in unpublished
             }
             now = time.time()
-            kept = sorted(
-                (_Stored(key, until) for key, until in merged.items() if until > now),
+            entries = sorted(
+                (_StoredEntry(key, until) for key, until in merged.items() if until > now),
                 key=lambda stored: stored.until,
             )[-MAX_ENTRIES:]
-            value = msgspec.msgpack.encode(kept)
-            answer = await self._objects.write(OBJECT_KEY, value, version)
-            if isinstance(answer, Ok):
+            value = msgspec.msgpack.encode(entries)
+            result = await self._objects.write(OBJECT_KEY, value, version)
+            if isinstance(result, Ok):
                 return True
-            if not isinstance(answer.err_value, VersionConflictError):
+            if not isinstance(result.err_value, VersionConflictError):
                 return False
         return False
 
-    async def _read(self) -> int | None:
+    async def _refresh(self) -> int | None:
         """Learn the object's content; None when it could not be read."""
-        answer = await self._objects.read(OBJECT_KEY)
-        if isinstance(answer, Err):
+        result = await self._objects.read(OBJECT_KEY)
+        if isinstance(result, Err):
             return None
-        stored = answer.ok_value
+        stored = result.ok_value
         if stored is None:
-            self._known = []
+            self._shared_entries = []
             return ABSENT
         try:
-            entries = msgspec.msgpack.decode(stored.value, type=list[_Stored])
+            entries = msgspec.msgpack.decode(stored.value, type=list[_StoredEntry])
         except msgspec.MsgspecError:
             log.error("quarantine object is malformed", version=stored.version)
             return None
-        self._known = [QuarantineEntry(e.fingerprint, e.until) for e in entries]
-        self._quarantine.set_shared_entries(self._known)
+        self._shared_entries = [QuarantineEntry(e.fingerprint, e.until) for e in entries]
+        self._quarantine.set_shared_entries(self._shared_entries)
         log.info("quarantine learned", count=len(entries), version=stored.version)
         return stored.version
 
