--- a/tools/safeguards/at_most_once.py
+++ b/tools/safeguards/at_most_once.py
@@ -254,7 +254,7 @@
     Mutation(
         "other gateways are told of a quarantine",
         "libraries/gateway/src/bamboopier_gateway/shared_quarantine.py",
-        "            if found and await self._publish_entries(found):\n",
+        "            if unpublished and await self._publish_entries(unpublished):\n",
         "            if False:\n",
         ".",
         "tests.test_quarantine",
