--- a/libraries/gateway/src/bamboopier_gateway/target_poll.py
+++ b/libraries/gateway/src/bamboopier_gateway/target_poll.py
@@ -29,7 +29,7 @@
 # Added after a target that could not be reached. A failed connection costs some 6 ms:
 # four a second, as when a data centre is lost, would be 2.8% of a core, measured by
 # `make capacity`, and a node may spend 2.2% on all control.
-UNREACHABLE_SECONDS = 0.5
+UNREACHABLE_DELAY_SECONDS = 0.5
 
 
 class TargetPoll:
@@ -53,13 +53,13 @@
             await asyncio.sleep(1 / POLLS_PER_SECOND)
             target = self._fleet.reports.find_next()
             if target is not None:
-                await self._ask(target)
+                await self._poll(target)
 
-    async def _ask(self, target: str) -> None:
+    async def _poll(self, target: str) -> None:
         stub = await self._agents.connect(self._fleet.find_address(target))
         if stub is None:
             self._fleet.reports.note(target, None)
-            await asyncio.sleep(UNREACHABLE_SECONDS)
+            await asyncio.sleep(UNREACHABLE_DELAY_SECONDS)
             return
         request = pb.ReportRequest(generation=self._follower.directory.generation)
         try:
