--- a/libraries/gateway/src/bamboopier_gateway/fleet.py
+++ b/libraries/gateway/src/bamboopier_gateway/fleet.py
@@ -76,7 +76,7 @@
             return model.version
         services = _list_services(self._directory, model)
         reported = self._list_reported_versions(services)
-        unreported = sum(self.reports.count_unheard(s.name) for s in services)
+        unreported = sum(self.reports.count_unreported(s.name) for s in services)
         loads_at_once_limit = max((service.loads_at_once for service in services), default=1)
         now = time.monotonic()
         return versions.choose(now, reported, unreported, loads_at_once_limit, self._random)
@@ -103,7 +103,7 @@
             for vm in targets
             if vm.name in usable
         )
-        self.reports.change(views, _list_configured_versions(self._directory))
+        self.reports.set_targets(views, _list_configured_versions(self._directory))
         if views != self._views:
             self._views = views
             self._handle_change(FleetChanged(now, views))
--- a/libraries/gateway/src/bamboopier_gateway/forwarder.py
+++ b/libraries/gateway/src/bamboopier_gateway/forwarder.py
@@ -137,11 +137,11 @@
         result = await attempt.run(delivery)
         if result.load is not None:
             self._follower.hear(result.load.generation)
-            self._fleet.reports.note(send.target, result.load)
+            self._fleet.reports.record(send.target, result.load)
             load = make_target_load(result.load)
             self._router.handle(TargetReported(time.monotonic(), send.target, load))
         elif result.broken:
-            self._fleet.reports.note(send.target, None)
+            self._fleet.reports.record(send.target, None)
         return result
 
     def _report_end(
--- a/libraries/gateway/src/bamboopier_gateway/target_poll.py
+++ b/libraries/gateway/src/bamboopier_gateway/target_poll.py
@@ -51,23 +51,23 @@
         """Poll until cancelled."""
         while True:
             await asyncio.sleep(1 / POLLS_PER_SECOND)
-            target = self._fleet.reports.find_next()
+            target = self._fleet.reports.find_poll_target()
             if target is not None:
                 await self._poll(target)
 
     async def _poll(self, target: str) -> None:
         stub = await self._agents.connect(self._fleet.find_address(target))
         if stub is None:
-            self._fleet.reports.note(target, None)
+            self._fleet.reports.record(target, None)
             await asyncio.sleep(UNREACHABLE_DELAY_SECONDS)
             return
         request = pb.ReportRequest(generation=self._follower.directory.generation)
         try:
             report = await stub.Report(request, timeout=REPORT_TIMEOUT_SECONDS)
         except grpc.aio.AioRpcError:
-            self._fleet.reports.note(target, None)
+            self._fleet.reports.record(target, None)
             return
         self._follower.hear(report.generation)
-        self._fleet.reports.note(target, report)
+        self._fleet.reports.record(target, report)
         load = make_target_load(report)
         self._router.handle(TargetReported(time.monotonic(), target, load))
--- a/libraries/gateway/tests/test_fleet.py
+++ b/libraries/gateway/tests/test_fleet.py
@@ -62,7 +62,7 @@
 
     def hear(self, target: str, version: str, accepting: bool = True) -> None:
         report = pb.LoadReport(weight_version=version, accepting=accepting)
-        self.fleet.reports.note(target, report)
+        self.fleet.reports.record(target, report)
 
     def choose(self) -> str:
         return self.fleet.choose_version(self.directory.models["pillar-8b"])
@@ -87,7 +87,7 @@
         for desk in DESKS:
             self.hear(desk, "v1", accepting=False)
         self.assertEqual(self.choose(), "v2")
-        self.fleet.reports.note("desk-1", None)
+        self.fleet.reports.record("desk-1", None)
         self.assertEqual(self.choose(), "v2")
 
     def test_a_version_that_is_overtaken_leaves_the_one_in_use(self) -> None:
--- a/libraries/gateway/tests/test_forwarder.py
+++ b/libraries/gateway/tests/test_forwarder.py
@@ -83,7 +83,7 @@
         router.handle(FleetChanged(time.monotonic(), views))
         fleet = SimpleNamespace(
             find_address=self.addresses.__getitem__,
-            reports=SimpleNamespace(note=lambda *_: None),
+            reports=SimpleNamespace(record=lambda *_: None),
         )
         follower = SimpleNamespace(directory=SimpleNamespace(generation=1))
         follower.hear = lambda _: None
--- a/libraries/gateway/tests/test_target_reports.py
+++ b/libraries/gateway/tests/test_target_reports.py
@@ -19,11 +19,11 @@
 class TargetReportsTests(unittest.TestCase):
     def setUp(self) -> None:
         self.reports = TargetReports()
-        self.change()
+        self.set_targets()
 
-    def change(self) -> None:
+    def set_targets(self) -> None:
         views = [TargetView(d, "desk", Distance.SAME_REGION) for d in DESKS]
-        self.reports.change(views, {"desk": frozenset({"v2"})})
+        self.reports.set_targets(views, {"desk": frozenset({"v2"})})
 
     def test_closed_and_lost_targets_do_not_count_for_a_version(self) -> None:
         """Two targets with the old version load or died; one is left.
@@ -31,27 +31,27 @@
         Counted, they would draw requests for a version that hardly anyone serves, and
         those would be refused.
         """
-        self.reports.note("desk-1", build_report("v1"))
-        self.reports.note("desk-2", build_report("v1", accepting=False))
-        self.reports.note("desk-3", build_report("v1"))
-        self.reports.note("desk-3", None)
+        self.reports.record("desk-1", build_report("v1"))
+        self.reports.record("desk-2", build_report("v1", accepting=False))
+        self.reports.record("desk-3", build_report("v1"))
+        self.reports.record("desk-3", None)
         self.assertEqual(self.reports.list_versions("desk"), ["v1"])
 
     def test_targets_without_requests_are_asked_in_turn(self) -> None:
         """Without being asked, a target that opens again would stay unused for ever."""
-        self.reports.note("desk-1", build_report("v2"))
-        self.reports.note("desk-2", build_report("v1", accepting=False))
-        self.reports.note("desk-3", build_report("v1"))
-        self.change()
-        asked = [self.reports.find_next() for _ in range(4)]
+        self.reports.record("desk-1", build_report("v2"))
+        self.reports.record("desk-2", build_report("v1", accepting=False))
+        self.reports.record("desk-3", build_report("v1"))
+        self.set_targets()
+        asked = [self.reports.find_poll_target() for _ in range(4)]
         self.assertEqual(asked, ["desk-2", "desk-3", "desk-2", "desk-3"])
         for desk in DESKS:
-            self.reports.note(desk, None)
+            self.reports.record(desk, None)
         asked = []
         for _ in DESKS:
-            asked.append(self.reports.find_next())
-            self.change()
+            asked.append(self.reports.find_poll_target())
+            self.set_targets()
         self.assertEqual(sorted(asked), sorted(DESKS))
         for desk in DESKS:
-            self.reports.note(desk, build_report("v2"))
-        self.assertIsNone(self.reports.find_next())
+            self.reports.record(desk, build_report("v2"))
+        self.assertIsNone(self.reports.find_poll_target())
--- a/tools/safeguards/orders.py
+++ b/tools/safeguards/orders.py
@@ -252,8 +252,8 @@
     Mutation(
         "closed targets are asked again",
         "libraries/gateway/src/bamboopier_gateway/target_reports.py",
-        "        order = (closed, others) if self._ask_closed else (others, closed)\n",
-        "        order = (others,)\n",
+        "        groups = (closed, others) if self._poll_closed else (others, closed)\n",
+        "        groups = (others,)\n",
         "libraries/gateway",
         "tests.test_target_reports.TargetReportsTests."
         "test_targets_without_requests_are_asked_in_turn",
