--- a/libraries/gateway/src/bamboopier_gateway/daemon.py
+++ b/libraries/gateway/src/bamboopier_gateway/daemon.py
@@ -56,7 +56,7 @@
             settings,
             vms,
             agents,
-            lambda event: _ignore(router.handle(event)),
+            lambda event: _discard_decision(router.handle(event)),
             generator,
         )
         peers = PeerClient(settings.peers, vms, certificates.open_channel, generator)
@@ -121,5 +121,5 @@
             log.info("gateway stopped")
 
 
-def _ignore(_: object) -> None:
+def _discard_decision(_: object) -> None:
     """Drop a decision: a changed fleet calls for none."""
