--- a/libraries/gateway/src/bamboopier_gateway/fleet.py
+++ b/libraries/gateway/src/bamboopier_gateway/fleet.py
@@ -77,9 +77,9 @@
         services = _list_services(self._directory, model)
         reported = self._list_reported_versions(services)
         unreported = sum(self.reports.count_unreported(s.name) for s in services)
-        loads_at_once_limit = max((service.loads_at_once for service in services), default=1)
+        max_loads = max((service.loads_at_once for service in services), default=1)
         now = time.monotonic()
-        return versions.choose(now, reported, unreported, loads_at_once_limit, self._random)
+        return versions.choose(now, reported, unreported, max_loads, self._random)
 
     def _list_reported_versions(self, services: Iterable[Service]) -> list[str]:
         """Return the weight version of each target that takes work."""
--- a/libraries/gateway/tests/builders.py
+++ b/libraries/gateway/tests/builders.py
@@ -41,7 +41,7 @@
     return pb.ServeEvent(attempt_id=attempt, sequence=sequence, **kind)
 
 
-def make_answer(body: bytes = BODY, attempt: str = ATTEMPT) -> list[pb.ServeEvent]:
+def make_response(body: bytes = BODY, attempt: str = ATTEMPT) -> list[pb.ServeEvent]:
     """Return a whole answer in four events."""
     half = len(body) // 2
     finished = pb.Finished(body_bytes=len(body))
@@ -92,7 +92,7 @@
 
     heads: int = 0
     body: bytes = b""
-    whole: bool = False
+    complete: bool = False
 
     @property
     def started(self) -> bool:
@@ -109,4 +109,4 @@
         self.body += chunk
 
     async def finish(self) -> None:
-        self.whole = True
+        self.complete = True
--- a/libraries/gateway/tests/test_attempt.py
+++ b/libraries/gateway/tests/test_attempt.py
@@ -24,13 +24,13 @@
     FakeDelivery,
     FakeStream,
     FakeStub,
-    make_answer,
+    make_response,
     make_call,
     make_event,
 )
 
-A = make_answer()
-OTHER = make_answer(b"stock of aged Gouda", "attempt-2")
+A = make_response()
+OTHER = make_response(b"stock of aged Gouda", "attempt-2")
 NOT_RUN = pb.NotRun(cause=pb.QUEUE_FULL)
 # Only reached by a test that would hang.
 HANG_SECONDS = 10.0
@@ -146,7 +146,7 @@
 
 class AttemptTests(unittest.IsolatedAsyncioTestCase):
     async def test_every_stream(self) -> None:
-        for name, events, end, ran, whole in STREAMS:
+        for name, events, end, ran, complete in STREAMS:
             with self.subTest(name):
                 stream = FakeStream(events, end)
                 delivery = FakeDelivery()
@@ -154,11 +154,11 @@
                     make_call(), answer_with(stream), 1, attempt_id=ATTEMPT
                 )
                 result = await attempt.run(delivery)
-                self.assertEqual((result.ran, delivery.whole), (ran, bool(whole)))
+                self.assertEqual((result.ran, delivery.complete), (ran, bool(complete)))
                 self.assertTrue(BODY.startswith(delivery.body))
                 self.assertLessEqual(delivery.heads, 1)
                 self.assertTrue(stream.cancelled)
-                if whole:
+                if complete:
                     self.assertEqual(delivery.body, BODY)
 
     async def test_the_last_bytes_wait_for_the_end(self) -> None:
@@ -166,13 +166,13 @@
         # it says that the answer is whole. A caller that counts must not have them all.
         length = pb.Header(name="Content-Length", value=str(len(BODY)))
         head = make_event(0, head=pb.ResponseHead(status=200, headers=[length]))
-        for end, whole in ((LOST, False), (None, True)):
-            events = [head, *A[1:3], *(A[3:] if whole else [])]
+        for end, complete in ((LOST, False), (None, True)):
+            events = [head, *A[1:3], *(A[3:] if complete else [])]
             delivery = FakeDelivery()
             stub = answer_with(FakeStream(events, end))
             attempt = Attempt(make_call(), stub, 1, attempt_id=ATTEMPT)
             await attempt.run(delivery)
-            self.assertEqual(delivery.body == BODY, whole)
+            self.assertEqual(delivery.body == BODY, complete)
 
     async def test_a_caller_that_leaves_with_its_last_byte_is_served(self) -> None:
         # The caller has the whole answer and closes; the server cancels the task that
--- a/libraries/gateway/tests/test_delivery.py
+++ b/libraries/gateway/tests/test_delivery.py
@@ -32,7 +32,7 @@
 
 @asynccontextmanager
 async def answer_with(
-    head: pb.ResponseHead, pieces: list[bytes], whole: bool
+    head: pb.ResponseHead, pieces: list[bytes], complete: bool
 ) -> AsyncIterator[TestClient[web.Request, web.Application]]:
     """Serve one answer through a ``Delivery``."""
 
@@ -41,7 +41,7 @@
         await delivery.start(head)
         for piece in pieces:
             await delivery.write(piece)
-        if not whole:
+        if not complete:
             return await delivery.fail(ERROR)
         await delivery.finish()
         return delivery.response
@@ -64,7 +64,7 @@
         ):
             with self.subTest(method=method, status=status, headers=len(headers)):
                 head = pb.ResponseHead(status=status, headers=headers)
-                async with answer_with(head, pieces, whole=True) as client:
+                async with answer_with(head, pieces, complete=True) as client:
                     response = await client.request(method, "/")
                     self.assertEqual(await response.read(), b"".join(pieces))
                     self.assertEqual(response.headers.get("Content-Length"), length)
@@ -75,14 +75,14 @@
         for headers in ([JSON], [JSON, LENGTH], [EVENTS, LENGTH]):
             with self.subTest(headers=len(headers)):
                 head = pb.ResponseHead(status=201, headers=headers)
-                async with answer_with(head, [b"01234"], whole=False) as client:
+                async with answer_with(head, [b"01234"], complete=False) as client:
                     with self.assertRaises(aiohttp.ClientError):
                         response = await client.post("/")
                         await response.read()
 
     async def test_a_broken_event_stream_ends_with_an_error_event(self) -> None:
         head = pb.ResponseHead(status=200, headers=[EVENTS])
-        async with answer_with(head, [b"data: 1\n\n"], whole=False) as client:
+        async with answer_with(head, [b"data: 1\n\n"], complete=False) as client:
             response = await client.post("/")
             body = await response.read()
         self.assertIn(b"event: error\ndata: ", body)
--- a/libraries/gateway/tests/test_forwarder.py
+++ b/libraries/gateway/tests/test_forwarder.py
@@ -31,7 +31,7 @@
 from bamboopier_gateway.metrics import GatewayMetrics
 from bamboopier_protocol import agent_pb2 as pb
 
-from .builders import BODY, FakeDelivery, make_answer, make_call
+from .builders import BODY, FakeDelivery, make_response, make_call
 from .relayed_agents import Agent, Relay, start_relayed
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
         await self.stack.enter_async_context(asyncio.timeout(HANG_SECONDS))
         self.act: Callable[[], Awaitable[None]] = do_nothing
         # The first is the nearer one, which is chosen before the other.
-        self.agents = [Agent(lambda: self.act(), make_answers), make_agent()]
+        self.agents = [Agent(lambda: self.act(), make_responses), make_agent()]
         self.relays: list[Relay] = []
         self.addresses: dict[str, str] = {}
         for name, agent in zip(("near", "far"), self.agents, strict=True):
@@ -113,7 +113,7 @@
         # had; it is not sent there, and the other agent serves it.
         self.relays[0].cut_unread()
         await self.forward(make_call(body=ORDER))
-        self.assertEqual((self.delivery.body, self.delivery.whole), (BODY, True))
+        self.assertEqual((self.delivery.body, self.delivery.complete), (BODY, True))
         self.assertEqual([len(each.received) for each in self.agents], [0, 1])
         self.assertNotIn(ORDER, self.relays[0].taken)
 
@@ -138,7 +138,7 @@
         self.relays[0].hold()
         deadline = time.monotonic() + PATIENCE_SECONDS
         await self.forward(make_call(body=ORDER, deadline=deadline))
-        self.assertTrue(self.delivery.whole)
+        self.assertTrue(self.delivery.complete)
         self.relays[0].release()
         await self.connections.get_stub(self.addresses["near"]).Report(pb.ReportRequest())
         self.assertEqual([len(each.received) for each in self.agents], [0, 1])
@@ -164,7 +164,7 @@
         # closed to new calls. The order goes out on a new one and is served there.
         self.agents[0].when_asked = self.certificates.reload
         await self.forward(make_call(body=ORDER))
-        self.assertTrue(self.delivery.whole)
+        self.assertTrue(self.delivery.complete)
         self.assertEqual([each.asked for each in self.agents], [2, 0])
         self.assertEqual([len(each.received) for each in self.agents], [1, 0])
 
@@ -186,15 +186,15 @@
         # A prompt may run twice, and a lost connection costs it one more attempt. It
         # does not pay for the question that an order needs.
         await self.forward(make_call(body=ORDER, idempotent=True))
-        self.assertTrue(self.delivery.whole)
+        self.assertTrue(self.delivery.complete)
         self.assertEqual([each.asked for each in self.agents], [0, 0])
 
 
 def make_agent() -> Agent:
     """Return an agent that serves at once."""
-    return Agent(do_nothing, make_answers)
+    return Agent(do_nothing, make_responses)
 
 
-def make_answers(attempt: str) -> list[pb.ServeEvent]:
+def make_responses(attempt: str) -> list[pb.ServeEvent]:
     """Return a whole answer to an attempt."""
-    return make_answer(attempt=attempt)
+    return make_response(attempt=attempt)
