--- a/libraries/gateway/tests/test_agent_connections.py
+++ b/libraries/gateway/tests/test_agent_connections.py
@@ -13,7 +13,7 @@
     add_AgentServicer_to_server,
 )
 
-from .relayed_agents import Agent, start_relayed
+from .relayed_agents import FakeAgent, start_relayed_agent
 
 # Only reached by a test that would hang.
 HANG_SECONDS = 10.0
@@ -76,19 +76,19 @@
         # An agent that says nothing is asked for one order when the gateway closes its
         # channel. That cancels the question. The order is "not run"; taken for a caller
         # who left, it would get no answer at all.
-        agent = Agent(stay_silent)
+        agent = FakeAgent(stay_silent)
         async with (
             asyncio.timeout(HANG_SECONDS),
-            start_relayed(agent) as (relay, address),
+            start_relayed_agent(agent) as (relay, address),
             AgentConnections() as agents,
         ):
             self.assertIsNotNone(await agents.connect(address))
-            relay.hold()
+            relay.pause()
             asking = asyncio.create_task(agents.connect_and_probe(address, HANG_SECONDS))
-            await relay.holds_call.wait()
+            await relay.is_holding_call.wait()
             await agents.__aexit__(None, None, None)
             self.assertIsNone(await asking)
-            relay.release()
+            relay.resume()
 
     async def test_an_agent_that_came_up_since_the_last_failure_is_reached(
         self,
--- a/libraries/gateway/tests/test_forwarder.py
+++ b/libraries/gateway/tests/test_forwarder.py
@@ -32,7 +32,7 @@
 from bamboopier_protocol import agent_pb2 as pb
 
 from .builders import BODY, FakeDelivery, make_response, make_call
-from .relayed_agents import Agent, Relay, start_relayed
+from .relayed_agents import FakeAgent, Relay, start_relayed_agent
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -58,11 +58,11 @@
         await self.stack.enter_async_context(asyncio.timeout(HANG_SECONDS))
         self.act: Callable[[], Awaitable[None]] = do_nothing
         # The first is the nearer one, which is chosen before the other.
-        self.agents = [Agent(lambda: self.act(), make_responses), make_agent()]
+        self.agents = [FakeAgent(lambda: self.act(), make_responses), make_agent()]
         self.relays: list[Relay] = []
         self.addresses: dict[str, str] = {}
         for name, agent in zip(("near", "far"), self.agents, strict=True):
-            relayed = await self.stack.enter_async_context(start_relayed(agent))
+            relayed = await self.stack.enter_async_context(start_relayed_agent(agent))
             self.relays.append(relayed[0])
             self.addresses[name] = relayed[1]
         self.certificates = Certificates(None)
@@ -111,17 +111,17 @@
         # The nearer agent's connection is cut, and gRPC reads that only after it has
         # written to it. The caller was told "unknown" of an order that no agent ever
         # had; it is not sent there, and the other agent serves it.
-        self.relays[0].cut_unread()
+        self.relays[0].disconnect_at_next_call()
         await self.forward(make_call(body=ORDER))
         self.assertEqual((self.delivery.body, self.delivery.complete), (BODY, True))
         self.assertEqual([len(each.received) for each in self.agents], [0, 1])
-        self.assertNotIn(ORDER, self.relays[0].taken)
+        self.assertNotIn(ORDER, self.relays[0].received)
 
     async def test_cuts_of_every_agent_are_told_as_not_run(self) -> None:
         # The same at both agents: nobody can serve the order, and since it was sent
         # to none of them the caller may send it again.
         for relay in self.relays:
-            relay.cut_unread()
+            relay.disconnect_at_next_call()
         error = await self.fail_to_forward(make_call(body=ORDER))
         self.assertEqual(
             (error.ran, error.code),
@@ -129,29 +129,29 @@
         )
         self.assertEqual([each.received for each in self.agents], [[], []])
         for relay in self.relays:
-            self.assertNotIn(ORDER, relay.taken)
+            self.assertNotIn(ORDER, relay.received)
 
     async def test_a_connection_that_stands_still_is_given_no_order(self) -> None:
         # The way to the nearer agent is frozen with its connection standing. The
         # caller was held to its deadline and told "unknown". What is held there has no
         # order in it: when it thaws, after the other agent has served, nothing runs.
-        self.relays[0].hold()
+        self.relays[0].pause()
         deadline = time.monotonic() + PATIENCE_SECONDS
         await self.forward(make_call(body=ORDER, deadline=deadline))
         self.assertTrue(self.delivery.complete)
-        self.relays[0].release()
+        self.relays[0].resume()
         await self.connections.get_stub(self.addresses["near"]).Report(pb.ReportRequest())
         self.assertEqual([len(each.received) for each in self.agents], [0, 1])
-        self.assertNotIn(ORDER, self.relays[0].taken)
+        self.assertNotIn(ORDER, self.relays[0].received)
 
     async def test_an_order_that_an_agent_has_stays_unknown(self) -> None:
         # The nearer agent has the order when the connection is cut. It may run there,
         # so the other agent must not get it and "not run" would be false.
-        async def cut() -> None:
-            self.relays[0].cut()
+        async def disconnect() -> None:
+            self.relays[0].disconnect()
             await asyncio.Event().wait()
 
-        self.act = cut
+        self.act = disconnect
         error = await self.fail_to_forward(make_call(body=ORDER))
         self.assertEqual(
             (error.ran, error.code),
@@ -162,10 +162,10 @@
     async def test_certificates_replaced_before_the_order_is_sent(self) -> None:
         # The certificates are replaced while the agent is asked, and its channel is
         # closed to new calls. The order goes out on a new one and is served there.
-        self.agents[0].when_asked = self.certificates.reload
+        self.agents[0].on_first_probe = self.certificates.reload
         await self.forward(make_call(body=ORDER))
         self.assertTrue(self.delivery.complete)
-        self.assertEqual([each.asked for each in self.agents], [2, 0])
+        self.assertEqual([each.probe_count for each in self.agents], [2, 0])
         self.assertEqual([len(each.received) for each in self.agents], [1, 0])
 
     async def test_a_cut_between_the_question_and_the_order_stays_unknown(
@@ -174,7 +174,7 @@
         # The nearer agent answers, its connection is cut, and gRPC has not read that
         # when the order is written. No agent has it, but nothing that the gateway sees
         # tells this from an order under way.
-        self.agents[0].when_asked = self.relays[0].cut_unread
+        self.agents[0].on_first_probe = self.relays[0].disconnect_at_next_call
         error = await self.fail_to_forward(make_call(body=ORDER))
         self.assertEqual(
             (error.ran, error.code),
@@ -187,12 +187,12 @@
         # does not pay for the question that an order needs.
         await self.forward(make_call(body=ORDER, idempotent=True))
         self.assertTrue(self.delivery.complete)
-        self.assertEqual([each.asked for each in self.agents], [0, 0])
+        self.assertEqual([each.probe_count for each in self.agents], [0, 0])
 
 
-def make_agent() -> Agent:
+def make_agent() -> FakeAgent:
     """Return an agent that serves at once."""
-    return Agent(do_nothing, make_responses)
+    return FakeAgent(do_nothing, make_responses)
 
 
 def make_responses(attempt: str) -> list[pb.ServeEvent]:
--- a/libraries/gateway/tests/test_lost_connections.py
+++ b/libraries/gateway/tests/test_lost_connections.py
@@ -19,7 +19,7 @@
 from bamboopier_protocol.agent_pb2_grpc import AgentStub
 
 from .builders import FakeDelivery, make_call
-from .relayed_agents import Agent, start_agent
+from .relayed_agents import FakeAgent, start_agent
 
 # Only reached by a test that would hang.
 HANG_SECONDS = 10.0
@@ -35,13 +35,13 @@
         # The agent's connection is cut right after it was found standing, and gRPC
         # notices before the call is handed to it. The caller was told "unknown" of a
         # request that was never sent, and no other agent was tried.
-        agent = Agent(stay_silent)
+        agent = FakeAgent(stay_silent)
         async with (
             asyncio.timeout(HANG_SECONDS),
             start_agent(agent) as (relay, channel),
         ):
             attempt = Attempt(make_call(), AgentStub(channel), 1)
-            relay.cut()
+            relay.disconnect()
             await channel.wait_for_state_change(grpc.ChannelConnectivity.READY)
             result = await attempt.run(FakeDelivery())
         self.assertEqual(
@@ -53,11 +53,11 @@
         # The agent has the request when its connection is cut, and nobody listens any
         # more, as in the other case. It runs there: "not run" would be false, and a
         # second agent would run it again.
-        async def cut() -> None:
-            relay.cut()
+        async def disconnect() -> None:
+            relay.disconnect()
             await stay_silent()
 
-        agent = Agent(cut)
+        agent = FakeAgent(disconnect)
         async with (
             asyncio.timeout(HANG_SECONDS),
             start_agent(agent) as (relay, channel),
@@ -77,7 +77,7 @@
             status = grpc.StatusCode.UNAVAILABLE
             raise grpc.aio.AioRpcError(status, none, none, NO_CONNECTION)
 
-        agent = Agent(fail)
+        agent = FakeAgent(fail)
         async with asyncio.timeout(HANG_SECONDS), start_agent(agent) as (_, channel):
             attempt = Attempt(make_call(), AgentStub(channel), 1)
             result = await attempt.run(FakeDelivery())
--- a/libraries/gateway/tests/test_recall.py
+++ b/libraries/gateway/tests/test_recall.py
@@ -51,7 +51,7 @@
         await server.start()
         self.addAsyncCleanup(server.stop, None)
         self.address = await self.relay.start()
-        self.addCleanup(self.relay.cut)
+        self.addCleanup(self.relay.disconnect)
 
     async def ask(self, seconds: float) -> CallerError:
         """Return what a caller with this much time left is told."""
@@ -79,21 +79,21 @@
         # The gateway has no connection to the holder yet. gRPC gives its first try up
         # after 0.1 s, long before the holder goes on and answers; the caller was told
         # "outcome unknown" by then and would not ask again.
-        self.relay.may_pass.clear()
+        self.relay.may_accept.clear()
         clock = asyncio.get_running_loop()
-        clock.call_later(PAUSE_SECONDS, self.relay.may_pass.set)
+        clock.call_later(PAUSE_SECONDS, self.relay.may_accept.set)
         told = await self.ask(HANG_SECONDS)
         self.assertEqual(told.code, ErrorCode.KEY_IN_PROGRESS)
 
     async def test_the_holder_is_gone(self) -> None:
-        self.relay.cut()
+        self.relay.disconnect()
         told = await self.ask(PAUSE_SECONDS)
         self.assertEqual(
             (told.code, told.ran), (ErrorCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN)
         )
 
     async def test_the_holder_stands_still_for_good(self) -> None:
-        self.relay.may_pass.clear()
+        self.relay.may_accept.clear()
         told = await self.ask(PAUSE_SECONDS)
         self.assertEqual(
             (told.code, told.ran), (ErrorCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN)
