--- a/libraries/gateway/tests/test_agent_connections.py
+++ b/libraries/gateway/tests/test_agent_connections.py
@@ -28,19 +28,19 @@
     return server, port
 
 
-async def stay_silent() -> None:
+async def block_forever() -> None:
     await asyncio.Event().wait()
 
 
 class AgentConnectionsTests(unittest.IsolatedAsyncioTestCase):
-    async def test_an_agent_that_is_gone_is_left_alone(self) -> None:
+    async def test_a_lost_agent_is_not_reconnected_to_in_the_background(self) -> None:
         # A data centre is lost. A gateway that kept its channels open would go on
         # connecting to each lost agent, five times a second, with nobody asking.
-        tries = 0
+        attempts = 0
 
         async def count(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            nonlocal tries
-            tries += 1
+            nonlocal attempts
+            attempts += 1
             writer.transport.abort()
 
         server = await asyncio.start_server(count, "127.0.0.1", 0)
@@ -48,35 +48,35 @@
         async with AgentConnections() as agents:
             self.assertIsNone(await agents.connect(address))
             await asyncio.sleep(0.1)
-            after_asking = tries
+            attempts_after_connect = attempts
             await asyncio.sleep(1.5)
-            self.assertEqual(tries, after_asking)
+            self.assertEqual(attempts, attempts_after_connect)
         server.close()
 
-    async def test_an_agent_that_stands_still_is_sent_nothing(self) -> None:
+    async def test_an_unresponsive_agent_is_sent_nothing(self) -> None:
         # A frozen VM's kernel still takes connections, and nothing answers on them. A
         # call handed to gRPC would wait there until its deadline and end "unknown";
         # found without a connection in time, it is "not run" and goes elsewhere.
         accepted = asyncio.Event()
 
-        async def stand_still(
+        async def accept_silently(
             _: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             accepted.set()
             await asyncio.sleep(HANG_SECONDS)
 
-        server = await asyncio.start_server(stand_still, "127.0.0.1", 0)
+        server = await asyncio.start_server(accept_silently, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         async with AgentConnections() as agents, asyncio.timeout(HANG_SECONDS):
             self.assertIsNone(await agents.connect(address))
         self.assertTrue(accepted.is_set())
         server.close()
 
-    async def test_a_channel_closed_while_its_agent_is_asked(self) -> None:
+    async def test_a_channel_closed_during_a_probe(self) -> None:
         # An agent that says nothing is asked for one order when the gateway closes its
         # channel. That cancels the question. The order is "not run"; taken for a caller
         # who left, it would get no answer at all.
-        agent = FakeAgent(stay_silent)
+        agent = FakeAgent(block_forever)
         async with (
             asyncio.timeout(HANG_SECONDS),
             start_relayed_agent(agent) as (relay, address),
@@ -84,13 +84,13 @@
         ):
             self.assertIsNotNone(await agents.connect(address))
             relay.pause()
-            asking = asyncio.create_task(agents.connect_and_probe(address, HANG_SECONDS))
+            connecting = asyncio.create_task(agents.connect_and_probe(address, HANG_SECONDS))
             await relay.is_holding_call.wait()
             await agents.__aexit__(None, None, None)
-            self.assertIsNone(await asking)
+            self.assertIsNone(await connecting)
             relay.resume()
 
-    async def test_an_agent_that_came_up_since_the_last_failure_is_reached(
+    async def test_an_agent_started_after_the_last_failure_is_connected(
         self,
     ) -> None:
         # A gateway asks an agent that is not up yet; the agent starts; a request comes.
--- a/libraries/gateway/tests/test_application.py
+++ b/libraries/gateway/tests/test_application.py
@@ -19,7 +19,7 @@
     from aiohttp import web
 
 
-class BrokenForwarder:
+class FailingForwarder:
     """Fails as a programming error would, before or after the answer began."""
 
     def __init__(self, *, fails_after_start: bool) -> None:
@@ -42,7 +42,7 @@
 
 
 class ApplicationTests(unittest.IsolatedAsyncioTestCase):
-    async def ask(
+    async def send_request(
         self, read: Any, *, fails_after_start: bool = False, generation: int = 1
     ) -> tuple[int, str]:
         settings = SimpleNamespace(
@@ -54,7 +54,7 @@
             settings,  # type: ignore[arg-type]
             follower,  # type: ignore[arg-type]
             reader,  # type: ignore[arg-type]
-            BrokenForwarder(fails_after_start=fails_after_start),  # type: ignore[arg-type]
+            FailingForwarder(fails_after_start=fails_after_start),  # type: ignore[arg-type]
             GatewayMetrics(),
         )
         server = TestServer(application.make_application())
@@ -63,34 +63,34 @@
             mock.patch("bamboopier_gateway.error_responses.log"),
         ):
             async with TestClient(server) as client:
-                answer = await client.post("/v1/completions", data=b"{}")
-                return answer.status, await answer.text()
+                response = await client.post("/v1/completions", data=b"{}")
+                return response.status, await response.text()
 
-    async def test_a_gateway_that_knows_no_configuration_refuses_for_now(self) -> None:
+    async def test_a_gateway_without_a_configuration_refuses_with_retry_after(self) -> None:
         # The platform hangs while a gateway starts, and a caller with a good key comes.
         # It knows no key at all, so "unauthenticated" would be false and final; the
         # caller is told that nothing ran and to come back.
-        status, text = await self.ask(read_call, generation=0)
+        status, text = await self.send_request(read_call, generation=0)
         error = json.loads(text)["error"]
         self.assertEqual((status, error["ran"]), (503, "no"))
         self.assertEqual(error["code"], "stale_configuration")
 
-    async def test_a_fault_before_any_attempt_says_not_run(self) -> None:
-        status, text = await self.ask(fail_to_read)
+    async def test_an_error_before_any_attempt_is_not_run(self) -> None:
+        status, text = await self.send_request(fail_to_read)
         error = json.loads(text)["error"]
         self.assertEqual((status, error["code"]), (500, "internal"))
         self.assertEqual(error["ran"], "no")
         self.assertNotIn("secret detail", text)
 
-    async def test_a_fault_after_an_attempt_says_unknown(self) -> None:
-        status, text = await self.ask(read_call)
+    async def test_an_error_after_an_attempt_is_unknown(self) -> None:
+        status, text = await self.send_request(read_call)
         error = json.loads(text)["error"]
         self.assertEqual((status, error["code"]), (500, "internal"))
         self.assertEqual((error["ran"], error["request_id"]), ("unknown", "r1"))
         self.assertNotIn("secret detail", text)
 
-    async def test_a_fault_within_a_stream_ends_it_with_an_error_event(self) -> None:
-        status, text = await self.ask(read_call, fails_after_start=True)
+    async def test_an_error_within_a_stream_ends_it_with_an_error_event(self) -> None:
+        status, text = await self.send_request(read_call, fails_after_start=True)
         self.assertEqual(status, 200)
         self.assertIn("event: error", text)
         self.assertNotIn("secret detail", text)
--- a/libraries/gateway/tests/test_attempt.py
+++ b/libraries/gateway/tests/test_attempt.py
@@ -29,25 +29,25 @@
     make_event,
 )
 
-A = make_response()
-OTHER = make_response(b"stock of aged Gouda", "attempt-2")
+RESPONSE = make_response()
+OTHER_RESPONSE = make_response(b"stock of aged Gouda", "attempt-2")
 NOT_RUN = pb.NotRun(cause=pb.QUEUE_FULL)
 # Only reached by a test that would hang.
 HANG_SECONDS = 10.0
-LOST = grpc.aio.AioRpcError(
+CONNECTION_LOST_ERROR = grpc.aio.AioRpcError(
     grpc.StatusCode.UNAVAILABLE, grpc.aio.Metadata(), grpc.aio.Metadata(), "cut"
 )
 NO_CONNECTION = "failed to connect to all addresses; last error: refused"
-NEVER_SENT = grpc.aio.AioRpcError(
+NEVER_SENT_ERROR = grpc.aio.AioRpcError(
     grpc.StatusCode.UNAVAILABLE, grpc.aio.Metadata(), grpc.aio.Metadata(), NO_CONNECTION
 )
 # gRPC's status for an agent whose own code failed.
-AGENT_FAILED = grpc.aio.AioRpcError(
+AGENT_ERROR = grpc.aio.AioRpcError(
     grpc.StatusCode.UNKNOWN, grpc.aio.Metadata(), grpc.aio.Metadata(), NO_CONNECTION
 )
 # Name, events, how the stream ends, what is known, whether the caller has it whole.
 STREAMS = (
-    ("whole", A, None, ExecutionStatus.EXECUTED, True),
+    ("whole", RESPONSE, None, ExecutionStatus.EXECUTED, True),
     (
         "refused",
         [make_event(0, not_run=NOT_RUN)],
@@ -63,43 +63,43 @@
         False,
     ),
     ("nothing at all", [], None, ExecutionStatus.UNKNOWN, False),
-    ("connection lost at once", [], LOST, ExecutionStatus.UNKNOWN, False),
-    ("connection lost half way", A[:2], LOST, ExecutionStatus.UNKNOWN, False),
-    ("connection lost before the end", A[:3], LOST, ExecutionStatus.UNKNOWN, False),
-    ("never sent", [], NEVER_SENT, ExecutionStatus.NOT_EXECUTED, False),
+    ("connection lost at once", [], CONNECTION_LOST_ERROR, ExecutionStatus.UNKNOWN, False),
+    ("connection lost half way", RESPONSE[:2], CONNECTION_LOST_ERROR, ExecutionStatus.UNKNOWN, False),
+    ("connection lost before the end", RESPONSE[:3], CONNECTION_LOST_ERROR, ExecutionStatus.UNKNOWN, False),
+    ("never sent", [], NEVER_SENT_ERROR, ExecutionStatus.NOT_EXECUTED, False),
     (
         "never sent, yet an answer began",
-        A[:1],
-        NEVER_SENT,
+        RESPONSE[:1],
+        NEVER_SENT_ERROR,
         ExecutionStatus.UNKNOWN,
         False,
     ),
     (
         "the agent failed with these words",
         [],
-        AGENT_FAILED,
+        AGENT_ERROR,
         ExecutionStatus.UNKNOWN,
         False,
     ),
-    ("ended early", A[:3], None, ExecutionStatus.UNKNOWN, False),
-    ("a piece lost", [A[0], A[2], A[3]], None, ExecutionStatus.UNKNOWN, False),
+    ("ended early", RESPONSE[:3], None, ExecutionStatus.UNKNOWN, False),
+    ("a piece lost", [RESPONSE[0], RESPONSE[2], RESPONSE[3]], None, ExecutionStatus.UNKNOWN, False),
     (
         "a piece twice",
-        [A[0], A[1], A[1], A[2], A[3]],
+        [RESPONSE[0], RESPONSE[1], RESPONSE[1], RESPONSE[2], RESPONSE[3]],
         None,
         ExecutionStatus.UNKNOWN,
         False,
     ),
-    ("pieces swapped", [A[0], A[2], A[1], A[3]], None, ExecutionStatus.UNKNOWN, False),
+    ("pieces swapped", [RESPONSE[0], RESPONSE[2], RESPONSE[1], RESPONSE[3]], None, ExecutionStatus.UNKNOWN, False),
     (
         "another's piece",
-        [A[0], OTHER[1], A[2], A[3]],
+        [RESPONSE[0], OTHER_RESPONSE[1], RESPONSE[2], RESPONSE[3]],
         None,
         ExecutionStatus.UNKNOWN,
         False,
     ),
-    ("another's answer", OTHER, None, ExecutionStatus.UNKNOWN, False),
-    ("another's end", [*A[:3], OTHER[3]], None, ExecutionStatus.UNKNOWN, False),
+    ("another's answer", OTHER_RESPONSE, None, ExecutionStatus.UNKNOWN, False),
+    ("another's end", [*RESPONSE[:3], OTHER_RESPONSE[3]], None, ExecutionStatus.UNKNOWN, False),
     (
         "another's refusal",
         [make_event(0, "x", not_run=NOT_RUN)],
@@ -109,7 +109,7 @@
     ),
     (
         "late refusal",
-        [A[0], make_event(1, not_run=NOT_RUN)],
+        [RESPONSE[0], make_event(1, not_run=NOT_RUN)],
         None,
         ExecutionStatus.UNKNOWN,
         False,
@@ -124,7 +124,7 @@
     ),
     (
         "two heads",
-        [A[0], make_event(1, head=pb.ResponseHead())],
+        [RESPONSE[0], make_event(1, head=pb.ResponseHead())],
         None,
         ExecutionStatus.UNKNOWN,
         0,
@@ -132,7 +132,7 @@
     ("empty event", [make_event(0)], None, ExecutionStatus.UNKNOWN, False),
     (
         "pieces short",
-        [*A[:2], make_event(2, finished=pb.Finished(body_bytes=len(BODY)))],
+        [*RESPONSE[:2], make_event(2, finished=pb.Finished(body_bytes=len(BODY)))],
         None,
         ExecutionStatus.UNKNOWN,
         False,
@@ -140,7 +140,7 @@
 )
 
 
-def answer_with(stream: FakeStream) -> FakeStub:
+def make_stub(stream: FakeStream) -> FakeStub:
     return FakeStub(lambda _: stream)
 
 
@@ -151,7 +151,7 @@
                 stream = FakeStream(events, end)
                 delivery = FakeDelivery()
                 attempt = Attempt(
-                    make_call(), answer_with(stream), 1, attempt_id=ATTEMPT
+                    make_call(), make_stub(stream), 1, attempt_id=ATTEMPT
                 )
                 result = await attempt.run(delivery)
                 self.assertEqual((result.ran, delivery.complete), (ran, bool(complete)))
@@ -161,41 +161,41 @@
                 if complete:
                     self.assertEqual(delivery.body, BODY)
 
-    async def test_the_last_bytes_wait_for_the_end(self) -> None:
+    async def test_the_last_bytes_are_sent_after_the_end_event(self) -> None:
         # The target gave a length, all bytes of it arrive, and the agent is lost before
         # it says that the answer is whole. A caller that counts must not have them all.
         length = pb.Header(name="Content-Length", value=str(len(BODY)))
         head = make_event(0, head=pb.ResponseHead(status=200, headers=[length]))
-        for end, complete in ((LOST, False), (None, True)):
-            events = [head, *A[1:3], *(A[3:] if complete else [])]
+        for end, complete in ((CONNECTION_LOST_ERROR, False), (None, True)):
+            events = [head, *RESPONSE[1:3], *(RESPONSE[3:] if complete else [])]
             delivery = FakeDelivery()
-            stub = answer_with(FakeStream(events, end))
+            stub = make_stub(FakeStream(events, end))
             attempt = Attempt(make_call(), stub, 1, attempt_id=ATTEMPT)
             await attempt.run(delivery)
             self.assertEqual(delivery.body == BODY, complete)
 
-    async def test_a_caller_that_leaves_with_its_last_byte_is_served(self) -> None:
+    async def test_a_caller_that_disconnects_after_its_last_byte_is_served(self) -> None:
         # The caller has the whole answer and closes; the server cancels the task that
         # is in the final write. The result still says that the request ran.
-        class Left(FakeDelivery):
+        class DisconnectedDelivery(FakeDelivery):
             async def finish(self) -> None:
                 task = asyncio.current_task()
                 assert task is not None
                 task.cancel()
                 await asyncio.sleep(0)
 
-        stub = answer_with(FakeStream(A, None))
+        stub = make_stub(FakeStream(RESPONSE, None))
         attempt = Attempt(make_call(), stub, 1, attempt_id=ATTEMPT)
-        result = await attempt.run(Left())
+        result = await attempt.run(DisconnectedDelivery())
         self.assertEqual(result.ran, ExecutionStatus.EXECUTED)
         self.assertIsNotNone(result.finished)
 
-    async def test_a_silent_agent_holds_nobody_past_the_deadline(self) -> None:
+    async def test_a_silent_agent_delays_no_caller_past_the_deadline(self) -> None:
         # A frozen agent keeps its connection open and says nothing.
         stream = FakeStream([], None)
         stream.silent = True
         call = make_call(deadline=time.monotonic() - 1)
-        attempt = Attempt(call, answer_with(stream), 1, attempt_id=ATTEMPT)
+        attempt = Attempt(call, make_stub(stream), 1, attempt_id=ATTEMPT)
         async with asyncio.timeout(HANG_SECONDS):
             result = await attempt.run(FakeDelivery())
         self.assertEqual(
@@ -203,10 +203,10 @@
         )
         self.assertTrue(stream.cancelled)
 
-    async def test_answers_crossed_between_two_calls_reach_neither(self) -> None:
+    async def test_responses_mixed_between_two_calls_reach_neither(self) -> None:
         streams = {
-            "attempt-1": FakeStream([*A[:1], OTHER[1], *A[2:]], None),
-            "attempt-2": FakeStream([*OTHER[:1], A[1], *OTHER[2:]], None),
+            "attempt-1": FakeStream([*RESPONSE[:1], OTHER_RESPONSE[1], *RESPONSE[2:]], None),
+            "attempt-2": FakeStream([*OTHER_RESPONSE[:1], RESPONSE[1], *OTHER_RESPONSE[2:]], None),
         }
         stub = FakeStub(lambda request: streams[request.attempt_id])
         for attempt_id in streams:
--- a/libraries/gateway/tests/test_delivery.py
+++ b/libraries/gateway/tests/test_delivery.py
@@ -24,23 +24,23 @@
 
 ERROR = CallerError(ErrorCode.OUTCOME_UNKNOWN, "broken off", ExecutionStatus.UNKNOWN)
 # Only reached where an answer neither ends nor breaks.
-PATIENCE = aiohttp.ClientTimeout(total=5)
+CLIENT_TIMEOUT = aiohttp.ClientTimeout(total=5)
 LENGTH = pb.Header(name="Content-Length", value="10")
 JSON = pb.Header(name="Content-Type", value="application/json")
 EVENTS = pb.Header(name="Content-Type", value="text/event-stream")
 
 
 @asynccontextmanager
-async def answer_with(
-    head: pb.ResponseHead, pieces: list[bytes], complete: bool
+async def serve_response(
+    head: pb.ResponseHead, chunks: list[bytes], complete: bool
 ) -> AsyncIterator[TestClient[web.Request, web.Application]]:
     """Serve one answer through a ``Delivery``."""
 
     async def serve(request: web.Request) -> web.StreamResponse:
         delivery = Delivery(request, "request-1", write_timeout=10)
         await delivery.start(head)
-        for piece in pieces:
-            await delivery.write(piece)
+        for chunk in chunks:
+            await delivery.write(chunk)
         if not complete:
             return await delivery.fail(ERROR)
         await delivery.finish()
@@ -48,14 +48,14 @@
 
     application = web.Application()
     application.router.add_route("*", "/", serve)
-    async with TestClient(TestServer(application), timeout=PATIENCE) as client:
+    async with TestClient(TestServer(application), timeout=CLIENT_TIMEOUT) as client:
         yield client
 
 
 class DeliveryTests(unittest.IsolatedAsyncioTestCase):
-    async def test_whole_answers(self) -> None:
+    async def test_complete_responses(self) -> None:
         halves = [b"01234", b"56789"]
-        for method, status, headers, pieces, length in (
+        for method, status, headers, chunks, length in (
             ("POST", 201, [JSON], halves, None),
             ("POST", 201, [JSON, LENGTH], halves, "10"),
             ("HEAD", 200, [JSON, LENGTH], [], "10"),
@@ -64,25 +64,25 @@
         ):
             with self.subTest(method=method, status=status, headers=len(headers)):
                 head = pb.ResponseHead(status=status, headers=headers)
-                async with answer_with(head, pieces, complete=True) as client:
+                async with serve_response(head, chunks, complete=True) as client:
                     response = await client.request(method, "/")
-                    self.assertEqual(await response.read(), b"".join(pieces))
+                    self.assertEqual(await response.read(), b"".join(chunks))
                     self.assertEqual(response.headers.get("Content-Length"), length)
                     again = await client.request(method, "/")
                     self.assertEqual(again.status, status)
 
-    async def test_a_broken_answer_is_an_error_to_its_reader(self) -> None:
+    async def test_a_truncated_response_is_an_error_to_its_reader(self) -> None:
         for headers in ([JSON], [JSON, LENGTH], [EVENTS, LENGTH]):
             with self.subTest(headers=len(headers)):
                 head = pb.ResponseHead(status=201, headers=headers)
-                async with answer_with(head, [b"01234"], complete=False) as client:
+                async with serve_response(head, [b"01234"], complete=False) as client:
                     with self.assertRaises(aiohttp.ClientError):
                         response = await client.post("/")
                         await response.read()
 
-    async def test_a_broken_event_stream_ends_with_an_error_event(self) -> None:
+    async def test_a_truncated_event_stream_ends_with_an_error_event(self) -> None:
         head = pb.ResponseHead(status=200, headers=[EVENTS])
-        async with answer_with(head, [b"data: 1\n\n"], complete=False) as client:
+        async with serve_response(head, [b"data: 1\n\n"], complete=False) as client:
             response = await client.post("/")
             body = await response.read()
         self.assertIn(b"event: error\ndata: ", body)
--- a/libraries/gateway/tests/test_fleet.py
+++ b/libraries/gateway/tests/test_fleet.py
@@ -37,10 +37,10 @@
 class VersionTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.agents = await self.enterAsyncContext(AgentConnections())
-        self.start()
+        self.start_gateway()
         self.publish(1, "v1")
 
-    def start(self) -> None:
+    def start_gateway(self) -> None:
         """Start a gateway that knows the targets' names and no configuration."""
         address = Address("127.0.0.1", 1)
         settings = GatewaySettings(
@@ -60,14 +60,14 @@
         self.directory = build_directory(generation, version)
         self.fleet.apply_configuration(self.directory)
 
-    def hear(self, target: str, version: str, accepting: bool = True) -> None:
+    def record_report(self, target: str, version: str, accepting: bool = True) -> None:
         report = pb.LoadReport(weight_version=version, accepting=accepting)
         self.fleet.reports.record(target, report)
 
     def choose(self) -> str:
         return self.fleet.choose_version(self.directory.models["pillar-8b"])
 
-    def test_targets_not_heard_of_yet_keep_the_old_version_in_use(self) -> None:
+    def test_targets_without_a_report_keep_the_old_version_in_use(self) -> None:
         """A version is published before a gateway has asked its targets.
 
         It has heard of one only, which closed to load. A request made for the new
@@ -76,21 +76,21 @@
         """
         self.publish(2, "v2")
         self.assertEqual(self.choose(), "v1")
-        self.hear("desk-1", "v1", accepting=False)
+        self.record_report("desk-1", "v1", accepting=False)
         self.assertEqual(self.choose(), "v1")
-        self.hear("desk-1", "v2")
+        self.record_report("desk-1", "v2")
         self.assertEqual(self.choose(), "v2")
 
-    def test_the_new_version_is_used_once_all_were_heard_of(self) -> None:
+    def test_the_new_version_is_used_once_all_have_reported(self) -> None:
         """Every target closed and none is left to have the old version."""
         self.publish(2, "v2")
         for desk in DESKS:
-            self.hear(desk, "v1", accepting=False)
+            self.record_report(desk, "v1", accepting=False)
         self.assertEqual(self.choose(), "v2")
         self.fleet.reports.record("desk-1", None)
         self.assertEqual(self.choose(), "v2")
 
-    def test_a_version_that_is_overtaken_leaves_the_one_in_use(self) -> None:
+    def test_a_superseded_version_keeps_the_one_in_use(self) -> None:
         """Two versions are published in a row, before any target has loaded the first.
 
         All targets still have the one before both. A request made for the newest was
@@ -98,43 +98,43 @@
         loaded it.
         """
         for desk in DESKS:
-            self.hear(desk, "v1")
+            self.record_report(desk, "v1")
         self.publish(2, "v2")
         self.publish(3, "v3")
         self.assertEqual(self.choose(), "v1")
-        self.hear("desk-1", "v3")
+        self.record_report("desk-1", "v3")
         self.assertEqual({self.choose() for _ in range(100)}, {"v1", "v3"})
-        self.hear("desk-2", "v3")
+        self.record_report("desk-2", "v3")
         self.assertEqual(self.choose(), "v3")
 
-    def test_targets_at_a_version_in_between_serve(self) -> None:
+    def test_targets_at_an_intermediate_version_serve(self) -> None:
         """A version is overtaken while half of the targets load it.
 
         They open again with it just as the others close for the newest. A request made
         for the newest was refused by all, although half of them were idle.
         """
         for desk in DESKS[2:]:
-            self.hear(desk, "v1")
+            self.record_report(desk, "v1")
         self.publish(2, "v2")
         self.publish(3, "v3")
         for desk in DESKS[:2]:
-            self.hear(desk, "v2")
+            self.record_report(desk, "v2")
         for desk in DESKS[2:]:
-            self.hear(desk, "v1", accepting=False)
+            self.record_report(desk, "v1", accepting=False)
         self.assertEqual(self.choose(), "v2")
 
-    def test_a_gateway_that_starts_in_a_roll_out_uses_what_targets_have(self) -> None:
+    def test_a_gateway_started_during_a_rollout_uses_the_versions_of_its_targets(self) -> None:
         """The first configuration that a gateway reads names what no target has yet.
 
         It has never known the version before. A request made for the new one was
         refused by each target, and every caller of this gateway got 503 until a first
         target had loaded it.
         """
-        self.start()
+        self.start_gateway()
         self.publish(1, "v2")
         for desk in DESKS:
-            self.hear(desk, "v1")
+            self.record_report(desk, "v1")
         self.assertEqual(self.choose(), "v1")
         for desk in DESKS[:2]:
-            self.hear(desk, "v2")
+            self.record_report(desk, "v2")
         self.assertEqual(self.choose(), "v2")
--- a/libraries/gateway/tests/test_forwarder.py
+++ b/libraries/gateway/tests/test_forwarder.py
@@ -44,7 +44,7 @@
 # An order's body, which stands in the bytes of a request as it is.
 ORDER = b"van to A46, box 117"
 # The caller's patience where an agent says nothing; longer than an agent is asked.
-PATIENCE_SECONDS = 2.5
+CALLER_TIMEOUT_SECONDS = 2.5
 
 
 async def do_nothing() -> None:
@@ -103,11 +103,11 @@
         await self.forwarder.forward(call, self.delivery)  # type: ignore[arg-type]
 
     async def fail_to_forward(self, call: Call) -> CallerError:
-        with self.assertRaises(CallerError) as caught:
+        with self.assertRaises(CallerError) as raised:
             await self.forward(call)
-        return caught.exception
+        return raised.exception
 
-    async def test_a_cut_that_grpc_has_not_read_costs_no_order(self) -> None:
+    async def test_an_undetected_disconnect_loses_no_order(self) -> None:
         # The nearer agent's connection is cut, and gRPC reads that only after it has
         # written to it. The caller was told "unknown" of an order that no agent ever
         # had; it is not sent there, and the other agent serves it.
@@ -117,7 +117,7 @@
         self.assertEqual([len(each.received) for each in self.agents], [0, 1])
         self.assertNotIn(ORDER, self.relays[0].received)
 
-    async def test_cuts_of_every_agent_are_told_as_not_run(self) -> None:
+    async def test_disconnects_of_every_agent_are_reported_as_not_run(self) -> None:
         # The same at both agents: nobody can serve the order, and since it was sent
         # to none of them the caller may send it again.
         for relay in self.relays:
@@ -131,12 +131,12 @@
         for relay in self.relays:
             self.assertNotIn(ORDER, relay.received)
 
-    async def test_a_connection_that_stands_still_is_given_no_order(self) -> None:
+    async def test_a_stalled_connection_is_sent_no_order(self) -> None:
         # The way to the nearer agent is frozen with its connection standing. The
         # caller was held to its deadline and told "unknown". What is held there has no
         # order in it: when it thaws, after the other agent has served, nothing runs.
         self.relays[0].pause()
-        deadline = time.monotonic() + PATIENCE_SECONDS
+        deadline = time.monotonic() + CALLER_TIMEOUT_SECONDS
         await self.forward(make_call(body=ORDER, deadline=deadline))
         self.assertTrue(self.delivery.complete)
         self.relays[0].resume()
@@ -144,7 +144,7 @@
         self.assertEqual([len(each.received) for each in self.agents], [0, 1])
         self.assertNotIn(ORDER, self.relays[0].received)
 
-    async def test_an_order_that_an_agent_has_stays_unknown(self) -> None:
+    async def test_an_order_received_by_an_agent_is_unknown(self) -> None:
         # The nearer agent has the order when the connection is cut. It may run there,
         # so the other agent must not get it and "not run" would be false.
         async def disconnect() -> None:
@@ -168,7 +168,7 @@
         self.assertEqual([each.probe_count for each in self.agents], [2, 0])
         self.assertEqual([len(each.received) for each in self.agents], [1, 0])
 
-    async def test_a_cut_between_the_question_and_the_order_stays_unknown(
+    async def test_a_disconnect_between_probe_and_order_is_unknown(
         self,
     ) -> None:
         # The nearer agent answers, its connection is cut, and gRPC has not read that
@@ -182,7 +182,7 @@
         )
         self.assertEqual([each.received for each in self.agents], [[], []])
 
-    async def test_a_request_that_may_be_repeated_waits_for_no_question(self) -> None:
+    async def test_an_idempotent_request_waits_for_no_probe(self) -> None:
         # A prompt may run twice, and a lost connection costs it one more attempt. It
         # does not pay for the question that an order needs.
         await self.forward(make_call(body=ORDER, idempotent=True))
--- a/libraries/gateway/tests/test_lost_connections.py
+++ b/libraries/gateway/tests/test_lost_connections.py
@@ -26,16 +26,16 @@
 NO_CONNECTION = "failed to connect to all addresses; last error: refused"
 
 
-async def stay_silent() -> None:
+async def block_forever() -> None:
     await asyncio.Event().wait()
 
 
 class LostConnectionTests(unittest.IsolatedAsyncioTestCase):
-    async def test_cut_before_the_request_was_sent(self) -> None:
+    async def test_disconnect_before_the_request_was_sent(self) -> None:
         # The agent's connection is cut right after it was found standing, and gRPC
         # notices before the call is handed to it. The caller was told "unknown" of a
         # request that was never sent, and no other agent was tried.
-        agent = FakeAgent(stay_silent)
+        agent = FakeAgent(block_forever)
         async with (
             asyncio.timeout(HANG_SECONDS),
             start_agent(agent) as (relay, channel),
@@ -49,13 +49,13 @@
         )
         self.assertEqual((result.cause, result.broken), (pb.CONNECTION_LOST, True))
 
-    async def test_cut_after_the_agent_had_the_request(self) -> None:
+    async def test_disconnect_after_the_agent_received_the_request(self) -> None:
         # The agent has the request when its connection is cut, and nobody listens any
         # more, as in the other case. It runs there: "not run" would be false, and a
         # second agent would run it again.
         async def disconnect() -> None:
             relay.disconnect()
-            await stay_silent()
+            await block_forever()
 
         agent = FakeAgent(disconnect)
         async with (
@@ -69,7 +69,7 @@
             (result.ran, result.cause), (ExecutionStatus.UNKNOWN, pb.CONNECTION_LOST)
         )
 
-    async def test_an_agent_that_fails_at_a_connection_of_its_own(self) -> None:
+    async def test_an_agent_that_fails_to_connect_elsewhere(self) -> None:
         # The agent has the request and fails with an error of a call that it makes
         # itself. What gRPC says of that call says nothing about this one.
         async def fail() -> None:
--- a/libraries/gateway/tests/test_paths.py
+++ b/libraries/gateway/tests/test_paths.py
@@ -38,13 +38,13 @@
 
 
 class PathTests(unittest.TestCase):
-    def test_each_spelling_falls_under_its_route(self) -> None:
+    def test_each_spelling_matches_its_route(self) -> None:
         for raw_path, expected in MATCHES:
             with self.subTest(raw_path):
                 route = find_route(SERVICE, "POST", check_path(raw_path))
                 self.assertEqual(route.path if route else None, expected)
 
-    def test_a_path_with_more_than_one_reading_is_refused(self) -> None:
+    def test_an_ambiguous_path_is_refused(self) -> None:
         for raw_path in REFUSED:
             with self.subTest(raw_path), self.assertRaises(CallerError):
                 check_path(raw_path)
--- a/libraries/gateway/tests/test_recall.py
+++ b/libraries/gateway/tests/test_recall.py
@@ -31,10 +31,10 @@
 # Only reached by a test that would hang.
 HANG_SECONDS = 10.0
 # Longer than gRPC's patience with one try, shorter than a caller's time.
-PAUSE_SECONDS = 0.3
+STALL_SECONDS = 0.3
 
 
-class Holder(AgentServicer):
+class ClaimHolder(AgentServicer):
     """Runs whatever it is asked about."""
 
     async def Recall(  # noqa: N802 (the name is the protocol's)
@@ -46,14 +46,14 @@
 class RecallTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         server = grpc.aio.server()
-        add_AgentServicer_to_server(Holder(), server)
+        add_AgentServicer_to_server(ClaimHolder(), server)
         self.relay = Relay(server.add_insecure_port(f"{HOST}:0"))
         await server.start()
         self.addAsyncCleanup(server.stop, None)
         self.address = await self.relay.start()
         self.addCleanup(self.relay.disconnect)
 
-    async def ask(self, seconds: float) -> CallerError:
+    async def recall(self, seconds: float) -> CallerError:
         """Return what a caller with this much time left is told."""
         other: Any = None
         async with asyncio.timeout(HANG_SECONDS), AgentConnections() as agents:
@@ -66,35 +66,35 @@
             )
             call = make_call(deadline=time.monotonic() + seconds)
             delivery: Any = FakeDelivery()
-            with self.assertRaises(CallerError) as told:
+            with self.assertRaises(CallerError) as raised:
                 await forwarder._recall(call, claimed, delivery)
-        return told.exception
+        return raised.exception
 
-    async def test_the_holder_runs_it(self) -> None:
-        told = await self.ask(HANG_SECONDS)
-        self.assertEqual(told.code, ErrorCode.KEY_IN_PROGRESS)
-        self.assertGreater(told.retry_after, 0)
+    async def test_the_claim_holder_runs_it(self) -> None:
+        error = await self.recall(HANG_SECONDS)
+        self.assertEqual(error.code, ErrorCode.KEY_IN_PROGRESS)
+        self.assertGreater(error.retry_after, 0)
 
-    async def test_the_holder_stands_still_for_a_moment(self) -> None:
+    async def test_the_claim_holder_stalls_briefly(self) -> None:
         # The gateway has no connection to the holder yet. gRPC gives its first try up
         # after 0.1 s, long before the holder goes on and answers; the caller was told
         # "outcome unknown" by then and would not ask again.
         self.relay.may_accept.clear()
-        clock = asyncio.get_running_loop()
-        clock.call_later(PAUSE_SECONDS, self.relay.may_accept.set)
-        told = await self.ask(HANG_SECONDS)
-        self.assertEqual(told.code, ErrorCode.KEY_IN_PROGRESS)
+        loop = asyncio.get_running_loop()
+        loop.call_later(STALL_SECONDS, self.relay.may_accept.set)
+        error = await self.recall(HANG_SECONDS)
+        self.assertEqual(error.code, ErrorCode.KEY_IN_PROGRESS)
 
-    async def test_the_holder_is_gone(self) -> None:
+    async def test_the_claim_holder_is_gone(self) -> None:
         self.relay.disconnect()
-        told = await self.ask(PAUSE_SECONDS)
+        error = await self.recall(STALL_SECONDS)
         self.assertEqual(
-            (told.code, told.ran), (ErrorCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN)
+            (error.code, error.ran), (ErrorCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN)
         )
 
-    async def test_the_holder_stands_still_for_good(self) -> None:
+    async def test_the_claim_holder_stalls_for_good(self) -> None:
         self.relay.may_accept.clear()
-        told = await self.ask(PAUSE_SECONDS)
+        error = await self.recall(STALL_SECONDS)
         self.assertEqual(
-            (told.code, told.ran), (ErrorCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN)
+            (error.code, error.ran), (ErrorCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN)
         )
--- a/libraries/gateway/tests/test_target_reports.py
+++ b/libraries/gateway/tests/test_target_reports.py
@@ -11,7 +11,7 @@
 DESKS = ("desk-1", "desk-2", "desk-3")
 
 
-def build_report(version: str, accepting: bool = True) -> pb.LoadReport:
+def make_report(version: str, accepting: bool = True) -> pb.LoadReport:
     """Return what a target says of itself."""
     return pb.LoadReport(weight_version=version, accepting=accepting)
 
@@ -31,27 +31,27 @@
         Counted, they would draw requests for a version that hardly anyone serves, and
         those would be refused.
         """
-        self.reports.record("desk-1", build_report("v1"))
-        self.reports.record("desk-2", build_report("v1", accepting=False))
-        self.reports.record("desk-3", build_report("v1"))
+        self.reports.record("desk-1", make_report("v1"))
+        self.reports.record("desk-2", make_report("v1", accepting=False))
+        self.reports.record("desk-3", make_report("v1"))
         self.reports.record("desk-3", None)
         self.assertEqual(self.reports.list_versions("desk"), ["v1"])
 
-    def test_targets_without_requests_are_asked_in_turn(self) -> None:
+    def test_targets_without_requests_are_polled_in_turn(self) -> None:
         """Without being asked, a target that opens again would stay unused for ever."""
-        self.reports.record("desk-1", build_report("v2"))
-        self.reports.record("desk-2", build_report("v1", accepting=False))
-        self.reports.record("desk-3", build_report("v1"))
+        self.reports.record("desk-1", make_report("v2"))
+        self.reports.record("desk-2", make_report("v1", accepting=False))
+        self.reports.record("desk-3", make_report("v1"))
         self.set_targets()
-        asked = [self.reports.find_poll_target() for _ in range(4)]
-        self.assertEqual(asked, ["desk-2", "desk-3", "desk-2", "desk-3"])
+        polled = [self.reports.find_poll_target() for _ in range(4)]
+        self.assertEqual(polled, ["desk-2", "desk-3", "desk-2", "desk-3"])
         for desk in DESKS:
             self.reports.record(desk, None)
-        asked = []
+        polled = []
         for _ in DESKS:
-            asked.append(self.reports.find_poll_target())
+            polled.append(self.reports.find_poll_target())
             self.set_targets()
-        self.assertEqual(sorted(asked), sorted(DESKS))
+        self.assertEqual(sorted(polled), sorted(DESKS))
         for desk in DESKS:
-            self.reports.record(desk, build_report("v2"))
+            self.reports.record(desk, make_report("v2"))
         self.assertIsNone(self.reports.find_poll_target())
--- a/tools/safeguards/at_most_once.py
+++ b/tools/safeguards/at_most_once.py
@@ -69,7 +69,7 @@
         "self._agents.connect_with_retries(result.claimed_by, remaining)",
         "self._agents.connect(result.claimed_by, remaining)",
         "libraries/gateway",
-        "tests.test_recall.RecallTests.test_the_holder_stands_still_for_a_moment",
+        "tests.test_recall.RecallTests.test_the_claim_holder_stalls_briefly",
     ),
     Mutation(
         "a claim without an outcome is not told as lost",
@@ -149,7 +149,7 @@
         "asyncio.timeout_at(loop.time() + remaining) as timeout",
         "asyncio.timeout(None) as timeout",
         "libraries/gateway",
-        "tests.test_attempt.AttemptTests.test_a_silent_agent_holds_nobody_past_the_deadline",
+        "tests.test_attempt.AttemptTests.test_a_silent_agent_delays_no_caller_past_the_deadline",
     ),
     Mutation(
         "a broken answer is cut",
@@ -165,7 +165,7 @@
         "                if await _wait_for_connection(channel):\n",
         "                if channel.get_state(try_to_connect=True):\n",
         "libraries/gateway",
-        "tests.test_agent_connections.AgentConnectionsTests.test_an_agent_that_stands_still_is_sent_nothing",
+        "tests.test_agent_connections.AgentConnectionsTests.test_an_unresponsive_agent_is_sent_nothing",
     ),
     Mutation(
         "an order is written only where its agent has just answered",
--- a/tools/safeguards/orders.py
+++ b/tools/safeguards/orders.py
@@ -98,7 +98,7 @@
         "self.configured",
         "libraries/gateway",
         "tests.test_fleet.VersionTests."
-        "test_targets_not_heard_of_yet_keep_the_old_version_in_use",
+        "test_targets_without_a_report_keep_the_old_version_in_use",
     ),
     Mutation(
         "the version before is what targets have",
@@ -107,7 +107,7 @@
         "self.configured",
         "libraries/gateway",
         "tests.test_fleet.VersionTests."
-        "test_a_version_that_is_overtaken_leaves_the_one_in_use",
+        "test_a_superseded_version_keeps_the_one_in_use",
     ),
     Mutation(
         "a roll-out may be underway when a gateway starts",
@@ -116,7 +116,7 @@
         "ModelVersions(now - 600, model.version)",
         "libraries/gateway",
         "tests.test_fleet.VersionTests."
-        "test_a_gateway_that_starts_in_a_roll_out_uses_what_targets_have",
+        "test_a_gateway_started_during_a_rollout_uses_the_versions_of_its_targets",
     ),
     Mutation(
         "targets at a version in between serve",
@@ -125,7 +125,7 @@
         "            return Counter(versions).most_common(1)[0][0]\n",
         "",
         "libraries/gateway",
-        "tests.test_fleet.VersionTests.test_targets_at_a_version_in_between_serve",
+        "tests.test_fleet.VersionTests.test_targets_at_an_intermediate_version_serve",
     ),
     Mutation(
         "the old version ends in any case",
@@ -256,7 +256,7 @@
         "        groups = (others,)\n",
         "libraries/gateway",
         "tests.test_target_reports.TargetReportsTests."
-        "test_targets_without_requests_are_asked_in_turn",
+        "test_targets_without_requests_are_polled_in_turn",
     ),
     Mutation(
         "an agent refuses a request for another version",
