--- a/libraries/gateway/src/bamboopier_gateway/daemon.py
+++ b/libraries/gateway/src/bamboopier_gateway/daemon.py
@@ -20,7 +20,7 @@
 from bamboopier_objects.peers import PeerClient
 from bamboopier_objects.vm_board import VmBoard
 
-from .agents import Agents
+from .agent_connections import AgentConnections
 from .application import GatewayApplication
 from .fleet import Fleet
 from .forwarder import Forwarder
@@ -49,14 +49,14 @@
         platform = await stack.enter_async_context(
             HttpPlatform(settings.platform_url, certificates.make_client_context())
         )
-        agents = await stack.enter_async_context(Agents(certificates))
+        agents = await stack.enter_async_context(AgentConnections(certificates))
         router = Router(generator)
         vms = VmBoard(generator)
         fleet = Fleet(
             settings,
             vms,
             agents,
-            lambda event: _ignore(router.handle(event)),
+            lambda event: _discard_decision(router.handle(event)),
             generator,
         )
         peers = PeerClient(settings.peers, vms, certificates.open_channel, generator)
@@ -117,9 +117,9 @@
                     reason=end.value,
                     open_requests=application.open_requests,
                 )
-                await application.cut_short()
+                await application.abort_requests()
             log.info("gateway stopped")
 
 
-def _ignore(_: object) -> None:
+def _discard_decision(_: object) -> None:
     """Drop a decision: a changed fleet calls for none."""
--- a/libraries/gateway/src/bamboopier_gateway/listener.py
+++ b/libraries/gateway/src/bamboopier_gateway/listener.py
@@ -35,12 +35,12 @@
         settings: GatewaySettings,
         application: web.Application,
         metrics: GatewayMetrics,
-        certificates: ssl.SSLContext | None,
+        tls_context: ssl.SSLContext | None,
     ) -> None:
         self._settings = settings
         self._metrics = metrics
-        self._certificates = certificates
-        self._open = 0
+        self._tls_context = tls_context
+        self._open_count = 0
         self._server: asyncio.Server | None = None
         self._runner = web.AppRunner(
             application,
@@ -58,8 +58,8 @@
                 self._make_connection,
                 listen.host,
                 listen.port,
-                ssl=self._certificates,
-                ssl_handshake_timeout=self._choose_handshake_timeout(),
+                ssl=self._tls_context,
+                ssl_handshake_timeout=self._get_handshake_timeout(),
                 backlog=BACKLOG,
             )
         return self
@@ -76,20 +76,20 @@
 
     def add(self) -> bool:
         """Note a connection that opened; False when there are too many."""
-        if self._open >= self._settings.max_connections:
+        if self._open_count >= self._settings.max_connections:
             self._metrics.refused_connections.inc()
             return False
-        self._open += 1
-        self._metrics.connections.set(self._open)
+        self._open_count += 1
+        self._metrics.connections.set(self._open_count)
         return True
 
     def remove(self) -> None:
         """Note a connection that is gone."""
-        self._open -= 1
-        self._metrics.connections.set(self._open)
+        self._open_count -= 1
+        self._metrics.connections.set(self._open_count)
 
-    def _choose_handshake_timeout(self) -> float | None:
-        if self._certificates is None:
+    def _get_handshake_timeout(self) -> float | None:
+        if self._tls_context is None:
             return None
         return self._settings.header_timeout_seconds
 
--- a/libraries/gateway/src/bamboopier_gateway/target_poll.py
+++ b/libraries/gateway/src/bamboopier_gateway/target_poll.py
@@ -11,13 +11,13 @@
 from bamboopier_decisions.routing.messages import TargetReported
 from bamboopier_protocol import agent_pb2 as pb
 
-from .forwarder import read_load
+from .forwarder import make_target_load
 
 if TYPE_CHECKING:
     from bamboopier_decisions.routing.router import Router
     from bamboopier_objects.follower import ConfigurationFollower
 
-    from .agents import Agents
+    from .agent_connections import AgentConnections
     from .fleet import Fleet
 
 # Reports come with answers; a target that closed or serves another version gets no
@@ -29,7 +29,7 @@
 # Added after a target that could not be reached. A failed connection costs some 6 ms:
 # four a second, as when a data centre is lost, would be 2.8% of a core, measured by
 # `make capacity`, and a node may spend 2.2% on all control.
-UNREACHABLE_SECONDS = 0.5
+UNREACHABLE_DELAY_SECONDS = 0.5
 
 
 class TargetPoll:
@@ -38,7 +38,7 @@
     def __init__(
         self,
         fleet: Fleet,
-        agents: Agents,
+        agents: AgentConnections,
         follower: ConfigurationFollower,
         router: Router,
     ) -> None:
@@ -51,23 +51,23 @@
         """Poll until cancelled."""
         while True:
             await asyncio.sleep(1 / POLLS_PER_SECOND)
-            target = self._fleet.reports.find_next()
+            target = self._fleet.reports.find_poll_target()
             if target is not None:
-                await self._ask(target)
+                await self._poll(target)
 
-    async def _ask(self, target: str) -> None:
-        stub = await self._agents.reach(self._fleet.find_address(target))
+    async def _poll(self, target: str) -> None:
+        stub = await self._agents.connect(self._fleet.find_address(target))
         if stub is None:
-            self._fleet.reports.note(target, None)
-            await asyncio.sleep(UNREACHABLE_SECONDS)
+            self._fleet.reports.record(target, None)
+            await asyncio.sleep(UNREACHABLE_DELAY_SECONDS)
             return
         request = pb.ReportRequest(generation=self._follower.directory.generation)
         try:
             report = await stub.Report(request, timeout=REPORT_TIMEOUT_SECONDS)
         except grpc.aio.AioRpcError:
-            self._fleet.reports.note(target, None)
+            self._fleet.reports.record(target, None)
             return
         self._follower.hear(report.generation)
-        self._fleet.reports.note(target, report)
-        load = read_load(report)
+        self._fleet.reports.record(target, report)
+        load = make_target_load(report)
         self._router.handle(TargetReported(time.monotonic(), target, load))
--- a/libraries/gateway/tests/builders.py
+++ b/libraries/gateway/tests/builders.py
@@ -41,7 +41,7 @@
     return pb.ServeEvent(attempt_id=attempt, sequence=sequence, **kind)
 
 
-def make_answer(body: bytes = BODY, attempt: str = ATTEMPT) -> list[pb.ServeEvent]:
+def make_response(body: bytes = BODY, attempt: str = ATTEMPT) -> list[pb.ServeEvent]:
     """Return a whole answer in four events."""
     half = len(body) // 2
     finished = pb.Finished(body_bytes=len(body))
@@ -92,21 +92,21 @@
 
     heads: int = 0
     body: bytes = b""
-    whole: bool = False
+    complete: bool = False
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         return self.heads > 0
 
     @property
     def response(self) -> Any:
-        return SimpleNamespace(prepared=self.begun)
+        return SimpleNamespace(prepared=self.started)
 
-    async def begin(self, head: pb.ResponseHead) -> None:
+    async def start(self, head: pb.ResponseHead) -> None:
         self.heads += 1
 
     async def write(self, chunk: bytes) -> None:
         self.body += chunk
 
     async def finish(self) -> None:
-        self.whole = True
+        self.complete = True
--- a/tools/safeguards/at_most_once.py
+++ b/tools/safeguards/at_most_once.py
@@ -66,10 +66,10 @@
     Mutation(
         "a holder that stands still for a moment is asked all the same",
         "libraries/gateway/src/bamboopier_gateway/forwarder.py",
-        "self._agents.reach_patiently(result.claimed_by, left)",
-        "self._agents.reach(result.claimed_by, left)",
+        "self._agents.connect_with_retries(result.claimed_by, remaining)",
+        "self._agents.connect(result.claimed_by, remaining)",
         "libraries/gateway",
-        "tests.test_recall.RecallTests.test_the_holder_stands_still_for_a_moment",
+        "tests.test_recall.RecallTests.test_the_claim_holder_stalls_briefly",
     ),
     Mutation(
         "a claim without an outcome is not told as lost",
@@ -127,8 +127,8 @@
         "not-run after the head is not believed",
         "libraries/gateway/src/bamboopier_gateway/attempt.py",
         '        if kind in ("head", "not_run"):\n'
-        "            return not self._begun\n"
-        '        return kind == "unknown" or (kind is not None and self._begun)\n',
+        "            return not self._started\n"
+        '        return kind == "unknown" or (kind is not None and self._started)\n',
         "        return True\n",
         "libraries/gateway",
         "tests.test_attempt.AttemptTests.test_every_stream",
@@ -137,7 +137,7 @@
         "the end of an answer proves its length",
         "libraries/gateway/src/bamboopier_gateway/attempt.py",
         "        if finished.body_bytes != self._body_bytes:\n"
-        '            self._break("the answer is not whole")\n'
+        '            self._mark_broken("the answer is not whole")\n'
         "            return True\n",
         "",
         "libraries/gateway",
@@ -146,10 +146,10 @@
     Mutation(
         "a silent agent holds nobody past the deadline",
         "libraries/gateway/src/bamboopier_gateway/attempt.py",
-        "asyncio.timeout_at(clock.time() + left) as limit",
-        "asyncio.timeout(None) as limit",
+        "asyncio.timeout_at(loop.time() + remaining) as timeout",
+        "asyncio.timeout(None) as timeout",
         "libraries/gateway",
-        "tests.test_attempt.AttemptTests.test_a_silent_agent_holds_nobody_past_the_deadline",
+        "tests.test_attempt.AttemptTests.test_a_silent_agent_delays_no_caller_past_the_deadline",
     ),
     Mutation(
         "a broken answer is cut",
@@ -161,32 +161,32 @@
     ),
     Mutation(
         "the gateway sends only on a connection that stands",
-        "libraries/gateway/src/bamboopier_gateway/agents.py",
-        "                if await _is_ready(channel):\n",
+        "libraries/gateway/src/bamboopier_gateway/agent_connections.py",
+        "                if await _wait_for_connection(channel):\n",
         "                if channel.get_state(try_to_connect=True):\n",
         "libraries/gateway",
-        "tests.test_agents.AgentsTests.test_an_agent_that_stands_still_is_sent_nothing",
+        "tests.test_agent_connections.AgentConnectionsTests.test_an_unresponsive_agent_is_sent_nothing",
     ),
     Mutation(
         "an order is written only where its agent has just answered",
         "libraries/gateway/src/bamboopier_gateway/forwarder.py",
-        "agents.reach if call.idempotent else agents.reach_answering",
-        "agents.reach",
+        "agents.connect if call.idempotent else agents.connect_and_probe",
+        "agents.connect",
         "libraries/gateway",
         "tests.test_forwarder",
     ),
     Mutation(
         "an order is kept back when the agent does not answer",
-        "libraries/gateway/src/bamboopier_gateway/agents.py",
-        "            if not await _is_answered(stub, end - time.monotonic()):\n"
+        "libraries/gateway/src/bamboopier_gateway/agent_connections.py",
+        "            if not await _probe(stub, end - time.monotonic()):\n"
         "                return None\n",
-        "            await _is_answered(stub, end - time.monotonic())\n",
+        "            await _probe(stub, end - time.monotonic())\n",
         "libraries/gateway",
         "tests.test_forwarder",
     ),
     Mutation(
         "an order goes out on the channel that replaced the one that was asked",
-        "libraries/gateway/src/bamboopier_gateway/agents.py",
+        "libraries/gateway/src/bamboopier_gateway/agent_connections.py",
         "            if channel is not None and "
         "self._channels.get(address) is channel:\n",
         "            if True:\n",
@@ -195,11 +195,11 @@
     ),
     Mutation(
         "a question cancelled with its channel is not taken for a caller who left",
-        "libraries/gateway/src/bamboopier_gateway/agents.py",
-        "        return await asked.code() is grpc.StatusCode.OK\n",
-        "        return bool(await asked)\n",
+        "libraries/gateway/src/bamboopier_gateway/agent_connections.py",
+        "        return await probe.code() is grpc.StatusCode.OK\n",
+        "        return bool(await probe)\n",
         "libraries/gateway",
-        "tests.test_agents",
+        "tests.test_agent_connections",
     ),
     Mutation(
         "a request that no connection had is told as not run",
@@ -246,7 +246,7 @@
         "a quarantined request is refused",
         "libraries/gateway/src/bamboopier_gateway/forwarder.py",
         "        if wait > 0:\n"
-        "            raise _make_quarantine_refusal(call, wait)\n",
+        "            raise _make_quarantine_error(call, wait)\n",
         "",
         ".",
         "tests.test_quarantine",
@@ -254,7 +254,7 @@
     Mutation(
         "other gateways are told of a quarantine",
         "libraries/gateway/src/bamboopier_gateway/shared_quarantine.py",
-        "            if found and await self._add(found):\n",
+        "            if unpublished and await self._publish_entries(unpublished):\n",
         "            if False:\n",
         ".",
         "tests.test_quarantine",
