--- a/libraries/gateway/src/bamboopier_gateway/application.py
+++ b/libraries/gateway/src/bamboopier_gateway/application.py
@@ -133,7 +133,9 @@
         if self._follower.directory.generation == 0:
             message = "no configuration is known yet"
             raise CallerError(
-                ErrorCode.STALE_CONFIGURATION, message, retry_after=STARTUP_RETRY_AFTER_SECONDS
+                ErrorCode.STALE_CONFIGURATION,
+                message,
+                retry_after=STARTUP_RETRY_AFTER_SECONDS,
             )
 
     async def _serve_model(self, request: web.Request) -> web.StreamResponse:
--- a/libraries/gateway/src/bamboopier_gateway/attempt.py
+++ b/libraries/gateway/src/bamboopier_gateway/attempt.py
@@ -112,7 +112,9 @@
                 self.report_head(event.load, self._result.first_byte)
             if await self._handle_event(event, delivery):
                 return self._result
-            timeout.reschedule(max(timeout.when() or 0.0, loop.time() + STALL_TIMEOUT_SECONDS))
+            timeout.reschedule(
+                max(timeout.when() or 0.0, loop.time() + STALL_TIMEOUT_SECONDS)
+            )
         return self._mark_broken("the answer ended early")
 
     def _make_request(self) -> pb.ServeRequest:
@@ -172,7 +174,10 @@
             await delivery.start(event.head)
         elif kind == "chunk":
             self._body_bytes += len(event.chunk)
-            if self._content_length is not None and self._body_bytes >= self._content_length:
+            if (
+                self._content_length is not None
+                and self._body_bytes >= self._content_length
+            ):
                 # A caller that counts bytes takes these for the end, and leaves before
                 # the answer is proved whole and counted.
                 self._last_chunk += event.chunk
--- a/libraries/gateway/src/bamboopier_gateway/body.py
+++ b/libraries/gateway/src/bamboopier_gateway/body.py
@@ -46,7 +46,9 @@
         """Hold ``size`` bytes more; raises ``CallerError`` when that is too much."""
         if self._held + size > self._limit:
             message = "the bodies of all open requests fill this gateway's memory"
-            raise CallerError(ErrorCode.OVERLOADED, message, retry_after=RETRY_AFTER_SECONDS)
+            raise CallerError(
+                ErrorCode.OVERLOADED, message, retry_after=RETRY_AFTER_SECONDS
+            )
         self._held += size
 
 
--- a/libraries/gateway/src/bamboopier_gateway/errors.py
+++ b/libraries/gateway/src/bamboopier_gateway/errors.py
@@ -180,4 +180,6 @@
 
 def quote(text: str) -> str:
     """Return a piece of a request as it may stand in a message: short and ASCII."""
-    return ascii(text if len(text) <= MAX_QUOTED_CHARS else text[:MAX_QUOTED_CHARS] + "...")
+    return ascii(
+        text if len(text) <= MAX_QUOTED_CHARS else text[:MAX_QUOTED_CHARS] + "..."
+    )
--- a/libraries/gateway/src/bamboopier_gateway/forwarder.py
+++ b/libraries/gateway/src/bamboopier_gateway/forwarder.py
@@ -123,8 +123,12 @@
 
         def report_head(load: pb.LoadReport, seconds: float) -> None:
             now = time.monotonic()
-            self._router.handle(TargetReported(now, send.target, make_target_load(load)))
-            first_byte_event = FirstByteReceived(now, call.request_id, send.target, seconds)
+            self._router.handle(
+                TargetReported(now, send.target, make_target_load(load))
+            )
+            first_byte_event = FirstByteReceived(
+                now, call.request_id, send.target, seconds
+            )
             self._router.handle(first_byte_event)
 
         attempt = Attempt(
--- a/libraries/gateway/src/bamboopier_gateway/paths.py
+++ b/libraries/gateway/src/bamboopier_gateway/paths.py
@@ -24,7 +24,9 @@
     be repeated, so every path with more than one reading is refused.
     """
     if not raw_path.startswith("/") or not raw_path.isascii():
-        raise _make_bad_path_error("must begin with '/' and be ASCII with percent escapes")
+        raise _make_bad_path_error(
+            "must begin with '/' and be ASCII with percent escapes"
+        )
     if _INCOMPLETE_ESCAPE.search(raw_path):
         raise _make_bad_path_error("has an incomplete percent escape")
     segments = raw_path[1:].split("/")
@@ -79,7 +81,9 @@
     except UnicodeDecodeError:
         raise _make_bad_path_error("is not UTF-8") from None
     if _FORBIDDEN_CHARACTERS.search(decoded):
-        raise _make_bad_path_error("has an escape of a divider, of '%' or of a control character")
+        raise _make_bad_path_error(
+            "has an escape of a divider, of '%' or of a control character"
+        )
     return decoded
 
 
--- a/libraries/gateway/src/bamboopier_gateway/reader.py
+++ b/libraries/gateway/src/bamboopier_gateway/reader.py
@@ -178,7 +178,11 @@
 def _parse_idempotency_key(request: web.Request) -> str:
     keys = request.headers.getall(IDEMPOTENCY_KEY_HEADER, [""])
     key = keys[0]
-    if len(keys) > 1 or len(key) > MAX_IDEMPOTENCY_KEY_LENGTH or not (key + " ").isprintable():
+    if (
+        len(keys) > 1
+        or len(key) > MAX_IDEMPOTENCY_KEY_LENGTH
+        or not (key + " ").isprintable()
+    ):
         found = f"{len(keys)} of {len(key)} characters"
         allowed = f"one of up to {MAX_IDEMPOTENCY_KEY_LENGTH} printable characters"
         message = f"{IDEMPOTENCY_KEY_HEADER}: found {found}; allowed: {allowed}"
--- a/libraries/gateway/src/bamboopier_gateway/shared_quarantine.py
+++ b/libraries/gateway/src/bamboopier_gateway/shared_quarantine.py
@@ -90,7 +90,11 @@
             }
             now = time.time()
             entries = sorted(
-                (_StoredEntry(key, until) for key, until in merged.items() if until > now),
+                (
+                    _StoredEntry(key, until)
+                    for key, until in merged.items()
+                    if until > now
+                ),
                 key=lambda stored: stored.until,
             )[-MAX_ENTRIES:]
             value = msgspec.msgpack.encode(entries)
@@ -115,7 +119,9 @@
         except msgspec.MsgspecError:
             log.error("quarantine object is malformed", version=stored.version)
             return None
-        self._shared_entries = [QuarantineEntry(e.fingerprint, e.until) for e in entries]
+        self._shared_entries = [
+            QuarantineEntry(e.fingerprint, e.until) for e in entries
+        ]
         self._quarantine.set_shared_entries(self._shared_entries)
         log.info("quarantine learned", count=len(entries), version=stored.version)
         return stored.version
--- a/libraries/gateway/src/bamboopier_gateway/target_reports.py
+++ b/libraries/gateway/src/bamboopier_gateway/target_reports.py
@@ -24,17 +24,25 @@
         self._poll_closed = False
 
     def set_targets(
-        self, views: Iterable[TargetView], configured_versions: Mapping[str, frozenset[str]]
+        self,
+        views: Iterable[TargetView],
+        configured_versions: Mapping[str, frozenset[str]],
     ) -> None:
         """Take the usable targets and the configured versions by service."""
         self._by_service = {}
         self._configured_versions = {}
         for view in views:
             self._by_service.setdefault(view.service, []).append(view.target)
-            self._configured_versions[view.target] = configured_versions.get(view.service, frozenset())
+            self._configured_versions[view.target] = configured_versions.get(
+                view.service, frozenset()
+            )
         # The order stays, or those asked last would be asked first after each change.
-        retained = {t: r for t, r in self._reports.items() if t in self._configured_versions}
-        self._reports = retained | {t: None for t in self._configured_versions if t not in retained}
+        retained = {
+            t: r for t, r in self._reports.items() if t in self._configured_versions
+        }
+        self._reports = retained | {
+            t: None for t in self._configured_versions if t not in retained
+        }
         self._reported &= self._configured_versions.keys()
 
     def record(self, target: str, report: pb.LoadReport | None) -> None:
--- a/libraries/gateway/tests/relayed_agents.py
+++ b/libraries/gateway/tests/relayed_agents.py
@@ -166,7 +166,9 @@
 
 
 @asynccontextmanager
-async def start_agent(agent: FakeAgent) -> AsyncIterator[tuple[Relay, grpc.aio.Channel]]:
+async def start_agent(
+    agent: FakeAgent,
+) -> AsyncIterator[tuple[Relay, grpc.aio.Channel]]:
     """Start an agent behind a relay; give a channel whose connection stands."""
     async with (
         start_relayed_agent(agent) as (relay, address),
--- a/libraries/gateway/tests/test_agent_connections.py
+++ b/libraries/gateway/tests/test_agent_connections.py
@@ -84,7 +84,9 @@
         ):
             self.assertIsNotNone(await agents.connect(address))
             relay.pause()
-            connecting = asyncio.create_task(agents.connect_and_probe(address, HANG_SECONDS))
+            connecting = asyncio.create_task(
+                agents.connect_and_probe(address, HANG_SECONDS)
+            )
             await relay.is_holding_call.wait()
             await agents.__aexit__(None, None, None)
             self.assertIsNone(await connecting)
--- a/libraries/gateway/tests/test_application.py
+++ b/libraries/gateway/tests/test_application.py
@@ -66,7 +66,9 @@
                 response = await client.post("/v1/completions", data=b"{}")
                 return response.status, await response.text()
 
-    async def test_a_gateway_without_a_configuration_refuses_with_retry_after(self) -> None:
+    async def test_a_gateway_without_a_configuration_refuses_with_retry_after(
+        self,
+    ) -> None:
         # The platform hangs while a gateway starts, and a caller with a good key comes.
         # It knows no key at all, so "unauthenticated" would be false and final; the
         # caller is told that nothing ran and to come back.
--- a/libraries/gateway/tests/test_attempt.py
+++ b/libraries/gateway/tests/test_attempt.py
@@ -24,9 +24,9 @@
     FakeDelivery,
     FakeStream,
     FakeStub,
-    make_response,
     make_call,
     make_event,
+    make_response,
 )
 
 RESPONSE = make_response()
@@ -63,9 +63,27 @@
         False,
     ),
     ("nothing at all", [], None, ExecutionStatus.UNKNOWN, False),
-    ("connection lost at once", [], CONNECTION_LOST_ERROR, ExecutionStatus.UNKNOWN, False),
-    ("connection lost half way", RESPONSE[:2], CONNECTION_LOST_ERROR, ExecutionStatus.UNKNOWN, False),
-    ("connection lost before the end", RESPONSE[:3], CONNECTION_LOST_ERROR, ExecutionStatus.UNKNOWN, False),
+    (
+        "connection lost at once",
+        [],
+        CONNECTION_LOST_ERROR,
+        ExecutionStatus.UNKNOWN,
+        False,
+    ),
+    (
+        "connection lost half way",
+        RESPONSE[:2],
+        CONNECTION_LOST_ERROR,
+        ExecutionStatus.UNKNOWN,
+        False,
+    ),
+    (
+        "connection lost before the end",
+        RESPONSE[:3],
+        CONNECTION_LOST_ERROR,
+        ExecutionStatus.UNKNOWN,
+        False,
+    ),
     ("never sent", [], NEVER_SENT_ERROR, ExecutionStatus.NOT_EXECUTED, False),
     (
         "never sent, yet an answer began",
@@ -82,7 +100,13 @@
         False,
     ),
     ("ended early", RESPONSE[:3], None, ExecutionStatus.UNKNOWN, False),
-    ("a piece lost", [RESPONSE[0], RESPONSE[2], RESPONSE[3]], None, ExecutionStatus.UNKNOWN, False),
+    (
+        "a piece lost",
+        [RESPONSE[0], RESPONSE[2], RESPONSE[3]],
+        None,
+        ExecutionStatus.UNKNOWN,
+        False,
+    ),
     (
         "a piece twice",
         [RESPONSE[0], RESPONSE[1], RESPONSE[1], RESPONSE[2], RESPONSE[3]],
@@ -90,7 +114,13 @@
         ExecutionStatus.UNKNOWN,
         False,
     ),
-    ("pieces swapped", [RESPONSE[0], RESPONSE[2], RESPONSE[1], RESPONSE[3]], None, ExecutionStatus.UNKNOWN, False),
+    (
+        "pieces swapped",
+        [RESPONSE[0], RESPONSE[2], RESPONSE[1], RESPONSE[3]],
+        None,
+        ExecutionStatus.UNKNOWN,
+        False,
+    ),
     (
         "another's piece",
         [RESPONSE[0], OTHER_RESPONSE[1], RESPONSE[2], RESPONSE[3]],
@@ -99,7 +129,13 @@
         False,
     ),
     ("another's answer", OTHER_RESPONSE, None, ExecutionStatus.UNKNOWN, False),
-    ("another's end", [*RESPONSE[:3], OTHER_RESPONSE[3]], None, ExecutionStatus.UNKNOWN, False),
+    (
+        "another's end",
+        [*RESPONSE[:3], OTHER_RESPONSE[3]],
+        None,
+        ExecutionStatus.UNKNOWN,
+        False,
+    ),
     (
         "another's refusal",
         [make_event(0, "x", not_run=NOT_RUN)],
@@ -150,9 +186,7 @@
             with self.subTest(name):
                 stream = FakeStream(events, end)
                 delivery = FakeDelivery()
-                attempt = Attempt(
-                    make_call(), make_stub(stream), 1, attempt_id=ATTEMPT
-                )
+                attempt = Attempt(make_call(), make_stub(stream), 1, attempt_id=ATTEMPT)
                 result = await attempt.run(delivery)
                 self.assertEqual((result.ran, delivery.complete), (ran, bool(complete)))
                 self.assertTrue(BODY.startswith(delivery.body))
@@ -174,7 +208,9 @@
             await attempt.run(delivery)
             self.assertEqual(delivery.body == BODY, complete)
 
-    async def test_a_caller_that_disconnects_after_its_last_byte_is_served(self) -> None:
+    async def test_a_caller_that_disconnects_after_its_last_byte_is_served(
+        self,
+    ) -> None:
         # The caller has the whole answer and closes; the server cancels the task that
         # is in the final write. The result still says that the request ran.
         class DisconnectedDelivery(FakeDelivery):
@@ -205,8 +241,12 @@
 
     async def test_responses_mixed_between_two_calls_reach_neither(self) -> None:
         streams = {
-            "attempt-1": FakeStream([*RESPONSE[:1], OTHER_RESPONSE[1], *RESPONSE[2:]], None),
-            "attempt-2": FakeStream([*OTHER_RESPONSE[:1], RESPONSE[1], *OTHER_RESPONSE[2:]], None),
+            "attempt-1": FakeStream(
+                [*RESPONSE[:1], OTHER_RESPONSE[1], *RESPONSE[2:]], None
+            ),
+            "attempt-2": FakeStream(
+                [*OTHER_RESPONSE[:1], RESPONSE[1], *OTHER_RESPONSE[2:]], None
+            ),
         }
         stub = FakeStub(lambda request: streams[request.attempt_id])
         for attempt_id in streams:
--- a/libraries/gateway/tests/test_fleet.py
+++ b/libraries/gateway/tests/test_fleet.py
@@ -123,7 +123,9 @@
             self.record_report(desk, "v1", accepting=False)
         self.assertEqual(self.choose(), "v2")
 
-    def test_a_gateway_started_during_a_rollout_uses_the_versions_of_its_targets(self) -> None:
+    def test_a_gateway_started_during_a_rollout_uses_the_versions_of_its_targets(
+        self,
+    ) -> None:
         """The first configuration that a gateway reads names what no target has yet.
 
         It has never known the version before. A request made for the new one was
--- a/libraries/gateway/tests/test_forwarder.py
+++ b/libraries/gateway/tests/test_forwarder.py
@@ -31,7 +31,7 @@
 from bamboopier_gateway.metrics import GatewayMetrics
 from bamboopier_protocol import agent_pb2 as pb
 
-from .builders import BODY, FakeDelivery, make_response, make_call
+from .builders import BODY, FakeDelivery, make_call, make_response
 from .relayed_agents import FakeAgent, Relay, start_relayed_agent
 
 if TYPE_CHECKING:
@@ -140,7 +140,9 @@
         await self.forward(make_call(body=ORDER, deadline=deadline))
         self.assertTrue(self.delivery.complete)
         self.relays[0].resume()
-        await self.connections.get_stub(self.addresses["near"]).Report(pb.ReportRequest())
+        await self.connections.get_stub(self.addresses["near"]).Report(
+            pb.ReportRequest()
+        )
         self.assertEqual([len(each.received) for each in self.agents], [0, 1])
         self.assertNotIn(ORDER, self.relays[0].received)
 
--- a/libraries/gateway/tests/test_recall.py
+++ b/libraries/gateway/tests/test_recall.py
@@ -89,12 +89,14 @@
         self.relay.disconnect()
         error = await self.recall(STALL_SECONDS)
         self.assertEqual(
-            (error.code, error.ran), (ErrorCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN)
+            (error.code, error.ran),
+            (ErrorCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN),
         )
 
     async def test_the_claim_holder_stalls_for_good(self) -> None:
         self.relay.may_accept.clear()
         error = await self.recall(STALL_SECONDS)
         self.assertEqual(
-            (error.code, error.ran), (ErrorCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN)
+            (error.code, error.ran),
+            (ErrorCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN),
         )
--- a/tools/safeguards/at_most_once.py
+++ b/tools/safeguards/at_most_once.py
@@ -245,8 +245,7 @@
     Mutation(
         "a quarantined request is refused",
         "libraries/gateway/src/bamboopier_gateway/forwarder.py",
-        "        if wait > 0:\n"
-        "            raise _make_quarantine_error(call, wait)\n",
+        "        if wait > 0:\n            raise _make_quarantine_error(call, wait)\n",
         "",
         ".",
         "tests.test_quarantine",
--- a/tools/safeguards/orders.py
+++ b/tools/safeguards/orders.py
@@ -106,8 +106,7 @@
         "in_use[0][0] if in_use else self.configured",
         "self.configured",
         "libraries/gateway",
-        "tests.test_fleet.VersionTests."
-        "test_a_superseded_version_keeps_the_one_in_use",
+        "tests.test_fleet.VersionTests.test_a_superseded_version_keeps_the_one_in_use",
     ),
     Mutation(
         "a roll-out may be underway when a gateway starts",
