--- a/libraries/agent/src/bamboopier_agent/daemon.py
+++ b/libraries/agent/src/bamboopier_agent/daemon.py
@@ -38,7 +38,7 @@
 from .context_view import build_view
 from .gate import AdmissionGate
 from .kept_answers import KeptAnswers
-from .lease import TARGET_LEASE_SECONDS, LeaseKeeper
+from .lease import TARGET_LEASE_SECONDS, LeaseManager
 from .load_slots import LoadSlots
 from .metrics import AgentMetrics
 from .service import AgentService
@@ -102,7 +102,7 @@
         )
         holder = f"{settings.vm}:{uuid.uuid4().hex}"
         place = f"{settings.vm}:{settings.listen}"
-        lease = LeaseKeeper(
+        lease = LeaseManager(
             platform,
             f"leases/targets/{settings.target}",
             Lease(holder, place, TARGET_LEASE_SECONDS),
@@ -196,7 +196,7 @@
 
 
 async def _give_orders(
-    lease: LeaseKeeper, weights: WeightsKeeper, generator: random.Random
+    lease: LeaseManager, weights: WeightsKeeper, generator: random.Random
 ) -> None:
     """Hold the target's lease and bring its weights up to date."""
     async with keep_running(lease.keep(weights.needs_lease, generator)):
--- a/libraries/agent/src/bamboopier_agent/lease.py
+++ b/libraries/agent/src/bamboopier_agent/lease.py
@@ -29,7 +29,7 @@
 NEED_POLL_SECONDS = 0.5
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Reads, takes, renews and gives up one lease object."""
 
     def __init__(self, objects: ObjectStore, key: str, lease: Lease) -> None:
--- a/libraries/agent/src/bamboopier_agent/load_slots.py
+++ b/libraries/agent/src/bamboopier_agent/load_slots.py
@@ -13,7 +13,7 @@
 from bamboopier_decisions.membership.lease import Lease
 from bamboopier_decisions.membership.load_slots import choose_slot
 
-from .lease import LeaseKeeper
+from .lease import LeaseManager
 
 if TYPE_CHECKING:
     import random
@@ -47,10 +47,10 @@
         self._random = random
         self._prefix = prefix
         self._lease_seconds = lease_seconds
-        self._keepers: dict[int, LeaseKeeper] = {}
+        self._keepers: dict[int, LeaseManager] = {}
 
     @asynccontextmanager
-    async def take(self, count: int) -> AsyncIterator[LeaseKeeper | None]:
+    async def take(self, count: int) -> AsyncIterator[LeaseManager | None]:
         """Hold one of the first ``count`` slots; None when none is free now.
 
         A try costs one read of all slots, and a slot a write to take, one to give up
@@ -77,7 +77,7 @@
                     keeper.note(stored)
         return True
 
-    async def _claim(self, count: int) -> LeaseKeeper | None:
+    async def _claim(self, count: int) -> LeaseManager | None:
         leases = {n: self._keepers[n].lease for n in range(count)}
         order = self._random.sample(range(count), count)
         number = choose_slot(read_clock(), leases, order)
@@ -85,16 +85,16 @@
             return None
         return self._keepers[number]
 
-    def _make_keeper(self, number: int) -> LeaseKeeper:
+    def _make_keeper(self, number: int) -> LeaseManager:
         # No two processes share a place here: an agent that starts anew after its
         # predecessor was killed must not take that one's slot at once, since the
         # engine may still be loading by the predecessor's order.
         lease = Lease(self._holder, self._holder, self._lease_seconds)
         key = f"{self._prefix}{self._service}/{number}"
-        return LeaseKeeper(self._objects, key, lease)
+        return LeaseManager(self._objects, key, lease)
 
 
-async def _renew(keeper: LeaseKeeper) -> None:
+async def _renew(keeper: LeaseManager) -> None:
     while True:
         await asyncio.sleep(RENEW_SECONDS)
         await keeper.acquire()
--- a/libraries/agent/src/bamboopier_agent/weights.py
+++ b/libraries/agent/src/bamboopier_agent/weights.py
@@ -21,7 +21,7 @@
     from bamboopier_configuration.model import Service
     from bamboopier_objects.follower import ConfigurationFollower
 
-    from .lease import LeaseKeeper
+    from .lease import LeaseManager
     from .load_slots import LoadSlots
     from .standing import TargetStanding
     from .target import TargetClient
@@ -65,7 +65,7 @@
         watch: TargetWatch,
         standing: TargetStanding,
         follower: ConfigurationFollower,
-        lease: LeaseKeeper,
+        lease: LeaseManager,
         slots: LoadSlots,
         count_targets: Callable[[], int],
         random: random.Random,
@@ -126,7 +126,7 @@
         model = self._follower.directory.models.get(service.models[0])
         return model.version if model is not None else ""
 
-    async def _load(self, wanted: str, slot: LeaseKeeper) -> LoadOutcome:
+    async def _load(self, wanted: str, slot: LeaseManager) -> LoadOutcome:
         """Order the load and read back what the engine says of itself.
 
         Between the order and the read-back the engine may serve either version, so no
--- a/libraries/agent/tests/order_builders.py
+++ b/libraries/agent/tests/order_builders.py
@@ -12,7 +12,7 @@
 
 from bamboopier_agent.errors import OrderFailedError, OrderRefusedError, TargetError
 from bamboopier_agent.gate import AdmissionGate
-from bamboopier_agent.lease import LeaseKeeper
+from bamboopier_agent.lease import LeaseManager
 from bamboopier_agent.load_slots import LoadSlots
 from bamboopier_agent.standing import TargetStanding
 from bamboopier_agent.weights import WeightsKeeper
@@ -158,7 +158,7 @@
         self.standing = TargetStanding(settings, self.gate)
         holder = vm or name
         lease = Lease(f"{holder}:{next(_starts)}", f"place-of-{holder}", DURATION)
-        self.lease = LeaseKeeper(objects, f"leases/targets/{name}", lease)  # type: ignore[arg-type]
+        self.lease = LeaseManager(objects, f"leases/targets/{name}", lease)  # type: ignore[arg-type]
         self.watch = Watch(engine)
         self.weights = WeightsKeeper(
             SERVICE,
--- a/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
+++ b/libraries/proxy/src/bamboopier_proxy/agent_daemon.py
@@ -10,7 +10,7 @@
 import structlog
 from prometheus_client import CollectorRegistry
 
-from bamboopier_agent.lease import LeaseKeeper
+from bamboopier_agent.lease import LeaseManager
 from bamboopier_agent.load_slots import LoadSlots
 from bamboopier_configuration.settings import Address
 from bamboopier_daemon.clock import read_clock
@@ -58,7 +58,7 @@
     generator = random.Random(f"{settings.vm}:{os.getpid()}:{read_clock()}")
     weights = WeightVersions(settings.version_seconds)
     target_address = str(settings.target)
-    lease = LeaseKeeper(
+    lease = LeaseManager(
         store,
         f"{schema.leases_prefix}{target_address}",
         Lease(settings.vm, settings.host, settings.lease_seconds),
--- a/libraries/proxy/src/bamboopier_proxy/weight_updater.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_updater.py
@@ -28,7 +28,7 @@
 if TYPE_CHECKING:
     import random
 
-    from bamboopier_agent.lease import LeaseKeeper
+    from bamboopier_agent.lease import LeaseManager
     from bamboopier_agent.load_slots import LoadSlots
     from bamboopier_decisions.forwarding.weight_versions import WeightVersions
 
@@ -68,7 +68,7 @@
         endpoint: Endpoint,
         orders: TargetOrders,
         weights: WeightVersions,
-        lease: LeaseKeeper,
+        lease: LeaseManager,
         slots: LoadSlots,
         announcer: WeightLoadAnnouncer,
         directory: TargetDirectory,
@@ -197,7 +197,7 @@
                 return model, newest
         return None
 
-    async def _load(self, wanted: tuple[str, int], slot: LeaseKeeper) -> None:
+    async def _load(self, wanted: tuple[str, int], slot: LeaseManager) -> None:
         if not await self._lease.acquire():
             log.info("lease not acquired", key=self._lease.key)
             return
