--- a/libraries/agent/src/bamboopier_agent/lease.py
+++ b/libraries/agent/src/bamboopier_agent/lease.py
@@ -21,7 +21,7 @@
 # 730 agents that renew every 20 s write 37 times a second, a tenth of what the platform
 # takes; a lease survives two renewals that fail.
 TARGET_LEASE_SECONDS = 60.0
-RENEW_SECONDS = 20.0
+RENEW_INTERVAL_SECONDS = 20.0
 # A lease that another process holds is read this often; the wait for it starts anew
 # whenever its version has changed.
 OBSERVE_SECONDS = 10.0
@@ -82,7 +82,7 @@
             if self.lease.fence == 0:
                 await self.observe()
             held = await self.acquire()
-            seconds = RENEW_SECONDS if held else OBSERVE_SECONDS
+            seconds = RENEW_INTERVAL_SECONDS if held else OBSERVE_SECONDS
             wait = self.lease.find_wait(read_clock())
             if not held and 0 < wait < seconds:
                 seconds = wait
--- a/libraries/agent/src/bamboopier_agent/load_slots.py
+++ b/libraries/agent/src/bamboopier_agent/load_slots.py
@@ -24,7 +24,7 @@
 # Longer than an order to load may take, so that a slot whose holder was killed comes
 # back only when that holder's load is over.
 SLOT_LEASE_SECONDS = 90.0
-RENEW_SECONDS = 20.0
+RENEW_INTERVAL_SECONDS = 20.0
 PREFIX = "leases/loads/"
 
 
@@ -96,5 +96,5 @@
 
 async def _renew(keeper: LeaseManager) -> None:
     while True:
-        await asyncio.sleep(RENEW_SECONDS)
+        await asyncio.sleep(RENEW_INTERVAL_SECONDS)
         await keeper.acquire()
--- a/tools/capacity/projection.py
+++ b/tools/capacity/projection.py
@@ -13,7 +13,7 @@
 import fire
 
 from bamboopier_agent.claims import PARTITIONS
-from bamboopier_agent.lease import RENEW_SECONDS
+from bamboopier_agent.lease import RENEW_INTERVAL_SECONDS
 from bamboopier_daemon.daemon import KEEPALIVE_MS
 from bamboopier_gateway.shared_quarantine import (
     WATCH_SECONDS as QUARANTINE_WATCH_SECONDS,
@@ -106,7 +106,7 @@
     memory = slopes.predict("agent memory per gateway connection", size.GATEWAYS)
     idle = slopes.predict("agent idle CPU per gateway connection", size.GATEWAYS)
     traffic = _keepalive_traffic(size.GATEWAYS) + _claim_traffic()
-    traffic += RENEW_BYTES / RENEW_SECONDS / 1e3
+    traffic += RENEW_BYTES / RENEW_INTERVAL_SECONDS / 1e3
     connections = "one connection a gateway, all workspaces in memory"
     need = _Need("agent", size.TARGETS, memory, idle, traffic, connections)
     return _project_node(slopes, need)
@@ -155,7 +155,7 @@
     claims = size.REQUESTS_PER_SECOND * size.NON_IDEMPOTENT
     quarantine = 2 * size.GATEWAYS / QUARANTINE_WATCH_SECONDS
     steady = 2 * watches + lists + changes * per_change + claims + quarantine
-    leases = size.TARGETS / RENEW_SECONDS
+    leases = size.TARGETS / RENEW_INTERVAL_SECONDS
     start = slopes.predict("object reads of a starting node, by workspaces", 6300)
     lost = size.NODES / size.DATA_CENTRES * start
     reach = slopes.predict("worst seconds to all nodes, by nodes", size.NODES)
@@ -175,7 +175,7 @@
             "leases, a claim each, publishes",
         ),
         _writes("of these for claims", claims, "one conditional update a claim"),
-        _writes("of these for leases", leases, f"a renewal each {RENEW_SECONDS:g} s"),
+        _writes("of these for leases", leases, f"a renewal each {RENEW_INTERVAL_SECONDS:g} s"),
         Line("platform", "reads for one change", per_change, "calls", 0, "3 a node"),
         Line(
             "platform",
