--- a/libraries/agent/src/bamboopier_agent/load_slots.py
+++ b/libraries/agent/src/bamboopier_agent/load_slots.py
@@ -50,7 +50,7 @@
         self._keepers: dict[int, LeaseManager] = {}
 
     @asynccontextmanager
-    async def take(self, count: int) -> AsyncIterator[LeaseManager | None]:
+    async def acquire(self, count: int) -> AsyncIterator[LeaseManager | None]:
         """Hold one of the first ``count`` slots; None when none is free now.
 
         A try costs one read of all slots, and a slot a write to take, one to give up
--- a/libraries/agent/src/bamboopier_agent/weights.py
+++ b/libraries/agent/src/bamboopier_agent/weights.py
@@ -110,7 +110,7 @@
         if not self._lease.held:
             return LoadOutcome.NO_LEASE
         count = count_slots(service.loads_at_once, self._count_targets())
-        async with self._slots.take(count) as slot:
+        async with self._slots.acquire(count) as slot:
             if slot is None:
                 return LoadOutcome.NO_SLOT
             outcome = await self._load(wanted, slot)
--- a/libraries/proxy/src/bamboopier_proxy/weight_updater.py
+++ b/libraries/proxy/src/bamboopier_proxy/weight_updater.py
@@ -127,7 +127,7 @@
         )
         if not await self._is_drained(wanted, report):
             return True
-        async with self._slots.take(
+        async with self._slots.acquire(
             count_concurrent_loads(self._directory.count)
         ) as slot:
             if slot is None:
