--- a/libraries/agent/src/bamboopier_agent/daemon.py
+++ b/libraries/agent/src/bamboopier_agent/daemon.py
@@ -37,16 +37,16 @@
 from .context import ContextKeeper, assume_rates
 from .context_view import build_view
 from .gate import AdmissionGate
-from .kept_answers import KeptAnswers
+from .response_cache import KeptAnswers
 from .lease import TARGET_LEASE_SECONDS, LeaseManager
 from .load_slots import LoadSlots
 from .metrics import AgentMetrics
 from .service import AgentService
-from .standing import TargetStanding
+from .availability_gate import TargetStanding
 from .store_client import StoreClient
 from .target import TargetClient
-from .target_watch import TargetWatch
-from .weights import WeightsKeeper
+from .target_monitor import TargetWatch
+from .weight_updater import WeightsKeeper
 
 if TYPE_CHECKING:
     from bamboopier_configuration.directory import Directory
--- a/libraries/agent/src/bamboopier_agent/refusals.py
+++ b/libraries/agent/src/bamboopier_agent/refusals.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from bamboopier_decisions.claims.table import ClaimOutcome
 
-    from .answer import Answer
+    from .event_builder import Answer
 
 _CAUSES = {
     RejectReason.QUEUE_FULL: pb.QUEUE_FULL,
--- a/libraries/agent/src/bamboopier_agent/service.py
+++ b/libraries/agent/src/bamboopier_agent/service.py
@@ -14,7 +14,7 @@
 from bamboopier_decisions.claims.table import ClaimStatus
 from bamboopier_protocol import agent_pb2 as pb, agent_pb2_grpc
 
-from .answer import Answer
+from .event_builder import Answer
 from .claims import hash_key
 from .errors import TargetBrokenError, TargetUnreachableError
 from .event_stream import EventStream
@@ -39,10 +39,10 @@
     from .claims import ClaimTable
     from .context import ContextKeeper
     from .gate import AdmissionGate, Entry
-    from .kept_answers import KeptAnswer, KeptAnswers
+    from .response_cache import KeptAnswer, KeptAnswers
     from .metrics import AgentMetrics
     from .target import TargetClient
-    from .target_watch import TargetWatch
+    from .target_monitor import TargetWatch
 
 # How long past its deadline a non-idempotent call may go on, for its answer to be there
 # when the caller repeats the key. Without an end a hung target would fill its slots.
--- a/libraries/agent/src/bamboopier_agent/weights.py
+++ b/libraries/agent/src/bamboopier_agent/weight_updater.py
@@ -23,9 +23,9 @@
 
     from .lease import LeaseManager
     from .load_slots import LoadSlots
-    from .standing import TargetStanding
+    from .availability_gate import TargetStanding
     from .target import TargetClient
-    from .target_watch import TargetWatch
+    from .target_monitor import TargetWatch
 
 REVIEW_SECONDS = 0.5
 # 41 targets of a model that wait for two slots read 55 times a second.
--- a/libraries/agent/tests/order_builders.py
+++ b/libraries/agent/tests/order_builders.py
@@ -14,8 +14,8 @@
 from bamboopier_agent.gate import AdmissionGate
 from bamboopier_agent.lease import LeaseManager
 from bamboopier_agent.load_slots import LoadSlots
-from bamboopier_agent.standing import TargetStanding
-from bamboopier_agent.weights import WeightsKeeper
+from bamboopier_agent.availability_gate import TargetStanding
+from bamboopier_agent.weight_updater import WeightsKeeper
 from bamboopier_configuration.directory import Directory
 from bamboopier_configuration.model import Configuration, Model, Service
 from bamboopier_configuration.settings import Address, AgentSettings
--- a/libraries/agent/tests/service_builders.py
+++ b/libraries/agent/tests/service_builders.py
@@ -11,7 +11,7 @@
 from bamboopier_agent.claims import ClaimTable
 from bamboopier_agent.errors import TargetUnreachableError
 from bamboopier_agent.gate import AdmissionGate
-from bamboopier_agent.kept_answers import KeptAnswers
+from bamboopier_agent.response_cache import KeptAnswers
 from bamboopier_agent.metrics import AgentMetrics
 from bamboopier_agent.service import AgentService
 from bamboopier_configuration.directory import Directory
--- a/libraries/agent/tests/test_kept_answers.py
+++ b/libraries/agent/tests/test_response_cache.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from bamboopier_agent.kept_answers import ENTRY_BYTES, KeptAnswers
+from bamboopier_agent.response_cache import ENTRY_BYTES, KeptAnswers
 
 CAPACITY = 4 * ENTRY_BYTES
 PIECE = b"x" * 100
--- a/libraries/agent/tests/test_weights.py
+++ b/libraries/agent/tests/test_weight_updater.py
@@ -10,7 +10,7 @@
 from unittest import mock
 
 from bamboopier_agent.load_slots import SLOT_LEASE_SECONDS
-from bamboopier_agent.weights import LoadOutcome
+from bamboopier_agent.weight_updater import LoadOutcome
 from bamboopier_decisions.membership.availability import UnavailableReason
 
 from .order_builders import DURATION, Agent, Clock, Engine, Objects
@@ -22,9 +22,9 @@
         for module in ("lease", "load_slots"):
             name = f"bamboopier_agent.{module}.read_clock"
             self.enterContext(mock.patch(name, self.clock))
-        poll = mock.patch("bamboopier_agent.weights.READ_BACK_POLL_SECONDS", 0.001)
+        poll = mock.patch("bamboopier_agent.weight_updater.READ_BACK_POLL_SECONDS", 0.001)
         self.enterContext(poll)
-        settle = mock.patch("bamboopier_agent.weights.SETTLE_SECONDS", 0.0)
+        settle = mock.patch("bamboopier_agent.weight_updater.SETTLE_SECONDS", 0.0)
         self.enterContext(settle)
         self.objects = Objects()
 
--- a/tools/safeguards/at_most_once.py
+++ b/tools/safeguards/at_most_once.py
@@ -107,12 +107,12 @@
     ),
     Mutation(
         "answers kept while they run are bounded",
-        "libraries/agent/src/bamboopier_agent/kept_answers.py",
+        "libraries/agent/src/bamboopier_agent/response_cache.py",
         "        if self._used > self._capacity:\n"
         "            self._used -= len(answer.body)",
         "        if False:\n            self._used -= len(answer.body)",
         "libraries/agent",
-        "tests.test_kept_answers.KeptAnswersTests.test_running_answers_share_the_memory",
+        "tests.test_response_cache.KeptAnswersTests.test_running_answers_share_the_memory",
     ),
     Mutation(
         "events of another attempt or out of order end it",
--- a/tools/safeguards/orders.py
+++ b/tools/safeguards/orders.py
@@ -139,43 +139,43 @@
     ),
     Mutation(
         "the lease is renewed just before an order",
-        "libraries/agent/src/bamboopier_agent/weights.py",
+        "libraries/agent/src/bamboopier_agent/weight_updater.py",
         "            if not await self._lease.acquire():\n"
         "                return LoadOutcome.NO_LEASE\n",
         "",
         "libraries/agent",
-        "tests.test_weights.WeightsTests."
+        "tests.test_weight_updater.WeightsTests."
         "test_a_renewal_shows_a_takeover_to_a_clock_that_stood_still",
     ),
     Mutation(
         "the slot is checked just before an order",
-        "libraries/agent/src/bamboopier_agent/weights.py",
+        "libraries/agent/src/bamboopier_agent/weight_updater.py",
         "            if not slot.held or not self._lease.held:\n"
         "                return LoadOutcome.NO_LEASE\n"
         "            answer",
         "            answer",
         "libraries/agent",
-        "tests.test_weights.WeightsTests."
+        "tests.test_weight_updater.WeightsTests."
         "test_a_slot_that_lapsed_in_a_pause_is_not_used",
     ),
     Mutation(
         "no order without a lease",
-        "libraries/agent/src/bamboopier_agent/weights.py",
+        "libraries/agent/src/bamboopier_agent/weight_updater.py",
         "        if not self._lease.held:\n"
         "            return LoadOutcome.NO_LEASE\n"
         "        count",
         "        count",
         "libraries/agent",
-        "tests.test_weights.WeightsTests."
+        "tests.test_weight_updater.WeightsTests."
         "test_without_the_platform_no_order_and_serving_goes_on",
     ),
     Mutation(
         "no more loads at once than allowed",
-        "libraries/agent/src/bamboopier_agent/weights.py",
+        "libraries/agent/src/bamboopier_agent/weight_updater.py",
         "count_slots(service.loads_at_once, self._count_targets())",
         "99",
         "libraries/agent",
-        "tests.test_weights.WeightsTests.test_no_more_loads_at_once_than_allowed",
+        "tests.test_weight_updater.WeightsTests.test_no_more_loads_at_once_than_allowed",
     ),
     Mutation(
         "the slot of a killed agent is waited out",
@@ -183,53 +183,53 @@
         "Lease(self._holder, self._holder, self._lease_seconds)",
         "Lease(self._holder, self._service, self._lease_seconds)",
         "libraries/agent",
-        "tests.test_weights.WeightsTests."
+        "tests.test_weight_updater.WeightsTests."
         "test_a_slot_of_a_killed_agent_comes_back_after_its_lease",
     ),
     Mutation(
         "no new work while weights are swapped",
-        "libraries/agent/src/bamboopier_agent/weights.py",
+        "libraries/agent/src/bamboopier_agent/weight_updater.py",
         "        self._standing.set_loading(True)\n",
         "",
         "libraries/agent",
-        "tests.test_weights.WeightsTests."
+        "tests.test_weight_updater.WeightsTests."
         "test_nothing_is_let_in_until_the_engine_reports_the_version",
     ),
     Mutation(
         "the version that the engine reports is awaited",
-        "libraries/agent/src/bamboopier_agent/weights.py",
+        "libraries/agent/src/bamboopier_agent/weight_updater.py",
         "            if self._watch.reachable and self._watch.version == wanted:\n",
         "            if self._watch.reachable:\n",
         "libraries/agent",
-        "tests.test_weights.WeightsTests."
+        "tests.test_weight_updater.WeightsTests."
         "test_nothing_is_let_in_until_the_engine_reports_the_version",
     ),
     Mutation(
         "a failed load gives its slot back at once",
-        "libraries/agent/src/bamboopier_agent/weights.py",
+        "libraries/agent/src/bamboopier_agent/weight_updater.py",
         "                if isinstance(answer.err_value, OrderFailedError):\n"
         "                    return LoadOutcome.FAILED\n",
         "",
         "libraries/agent",
-        "tests.test_weights.WeightsTests."
+        "tests.test_weight_updater.WeightsTests."
         "test_a_load_that_failed_gives_slot_and_work_back",
     ),
     Mutation(
         "orders carry the lease's fencing number",
-        "libraries/agent/src/bamboopier_agent/weights.py",
+        "libraries/agent/src/bamboopier_agent/weight_updater.py",
         "self._target.load_weights(wanted, self._lease.lease.fence)",
         "self._target.load_weights(wanted, 10**6)",
         "libraries/agent",
-        "tests.test_weights.WeightsTests."
+        "tests.test_weight_updater.WeightsTests."
         "test_an_engine_that_checks_refuses_the_older_number",
     ),
     Mutation(
         "a target that ignores fencing numbers is waited for",
-        "libraries/agent/src/bamboopier_agent/weights.py",
+        "libraries/agent/src/bamboopier_agent/weight_updater.py",
         "            TakeoverPolicy.AT_ONCE if checks else TakeoverPolicy.AFTER_WAIT\n",
         "            TakeoverPolicy.AT_ONCE\n",
         "libraries/agent",
-        "tests.test_weights.WeightsTests.test_a_second_agent_waits_out_the_first",
+        "tests.test_weight_updater.WeightsTests.test_a_second_agent_waits_out_the_first",
     ),
     Mutation(
         "closed targets do not count for a version",
--- a/tools/safeguards/places.py
+++ b/tools/safeguards/places.py
@@ -26,7 +26,7 @@
     ),
     Mutation(
         "the agent of a drained target refuses by itself",
-        "libraries/agent/src/bamboopier_agent/standing.py",
+        "libraries/agent/src/bamboopier_agent/availability_gate.py",
         "        self._drained = drained_set.contains(self._settings.target, "
         "self._settings.data_centre)\n",
         "        self._drained = False\n",
@@ -36,7 +36,7 @@
     ),
     Mutation(
         "the agent of a leaving target refuses by itself",
-        "libraries/agent/src/bamboopier_agent/standing.py",
+        "libraries/agent/src/bamboopier_agent/availability_gate.py",
         "            self._leaving = "
         "bool(self._leaving_vms.update(time.monotonic(), listed))\n",
         "            self._leaving = False\n",
