--- a/libraries/agent/src/bamboopier_agent/availability_gate.py
+++ b/libraries/agent/src/bamboopier_agent/availability_gate.py
@@ -25,7 +25,7 @@
 log = structlog.get_logger()
 
 
-class TargetStanding:
+class AvailabilityGate:
     """Collects what may keep new work away; tells the gate of each change.
 
     What waits at the gate when it closes is turned away as not run, so that gateways
@@ -40,7 +40,7 @@
         self._drained = False
         self._leaving = False
         self._loading = False
-        self.obstacle: UnavailableReason | None = None
+        self.unavailable_reason: UnavailableReason | None = None
 
     def apply_configuration(self, directory: Directory) -> None:
         """Take the drains of a new generation."""
@@ -51,7 +51,7 @@
         self._drained = drained_set.contains(
             self._settings.target, self._settings.data_centre
         )
-        self._review()
+        self._update()
 
     def apply_vms(self, board: VmBoard) -> None:
         """Take this VM's own state from a VM list."""
@@ -59,31 +59,31 @@
         listed = {vm.name: vm.state != "live"} if vm is not None else {}
         if listed:
             self._leaving = bool(self._leaving_vms.update(time.monotonic(), listed))
-        self._review()
+        self._update()
 
     def set_loading(self, loading: bool) -> None:
         """Close while weights are being swapped."""
         self._loading = loading
-        self._review()
+        self._update()
 
     def shut_down(self) -> None:
         """Close for good."""
         self._shutting_down = True
-        self._review()
+        self._update()
 
-    def _review(self) -> None:
-        standing = TargetAvailability(
+    def _update(self) -> None:
+        availability = TargetAvailability(
             self._shutting_down, self._drained, self._leaving, self._loading
         )
-        obstacle = standing.find_unavailable_reason()
-        if obstacle == self.obstacle:
+        unavailable_reason = availability.find_unavailable_reason()
+        if unavailable_reason == self.unavailable_reason:
             return
-        self.obstacle = obstacle
+        self.unavailable_reason = unavailable_reason
         log.info(
             "target standing changed",
             target=self._settings.target,
-            reason=obstacle.value if obstacle is not None else "open",
+            reason=unavailable_reason.value if unavailable_reason is not None else "open",
             running=self._gate.admission.running,
         )
         now = time.monotonic()
-        self._gate.tell(StopRequested(now) if obstacle else ResumeRequested(now))
+        self._gate.handle(StopRequested(now) if unavailable_reason else ResumeRequested(now))
--- a/libraries/agent/src/bamboopier_agent/block_exporter.py
+++ b/libraries/agent/src/bamboopier_agent/block_exporter.py
@@ -21,7 +21,7 @@
     ReuseTracker,
 )
 
-from .context_view import find_tag
+from .context_view import get_workspace_tag
 from .store_errors import StoreFullError
 from .store_evictor import StoreEvictor
 
@@ -34,11 +34,11 @@
     from .target import TargetClient
 
 # Blocks waiting for their export; the least likely to return are dropped beyond it.
-MAX_WAITING = 1024
+MAX_QUEUED_BLOCKS = 1024
 MAX_STORED_KEYS = 65_536
 # An export that the link lets wait longer than this is on a short link: blocks that
 # were seen once and open no prompt are then not worth it.
-SHORT_LINK_SECONDS = 1.0
+MAX_LINK_WAIT_SECONDS = 1.0
 
 log = structlog.get_logger()
 
@@ -49,7 +49,7 @@
     WRITTEN = "written"
     STORED_ALREADY = "stored-already"
     NOT_IN_ENGINE = "not-in-engine"
-    NOT_WORTH_IT = "recompute-is-quicker"
+    RECOMPUTE_FASTER = "recompute-is-quicker"
     LINK_SHORT = "link-short"
     QUEUE_FULL = "queue-full"
     STORE_FULL = "store-full"
@@ -72,21 +72,21 @@
         self._metrics = metrics
         self._evictor = StoreEvictor(link)
         self._reuse_tracker = ReuseTracker()
-        self._queue = ExportQueue(MAX_WAITING)
+        self._queue = ExportQueue(MAX_QUEUED_BLOCKS)
         self._arrived = asyncio.Event()
-        self._stored: OrderedDict[bytes, None] = OrderedDict()
+        self._stored_keys: OrderedDict[bytes, None] = OrderedDict()
         # Found torn or damaged: written again even if something lies there.
-        self._damaged: set[bytes] = set()
+        self._damaged_keys: set[bytes] = set()
 
-    def offer(self, request: ServeRequest, *, worth: bool = True) -> None:
+    def offer(self, request: ServeRequest, *, worth_exporting: bool = True) -> None:
         """Queue a finished request's blocks that are not known to be stored.
 
-        Unless they are ``worth`` it: they are counted then, and nothing is written.
+        Unless they are ``worth_exporting`` it: they are counted then, and nothing is written.
         """
         work = request.model
         keys = tuple(work.block_keys)
         for depth, likelihood in enumerate(self._reuse_tracker.record_prompt(keys)):
-            if keys[depth] in self._stored:
+            if keys[depth] in self._stored_keys:
                 continue
             item = ExportItem(
                 request.request_id,
@@ -96,35 +96,35 @@
                 keys[depth],
                 depth,
             )
-            if not worth:
-                self._report(item, likelihood, ExportOutcome.NOT_WORTH_IT, [])
+            if not worth_exporting:
+                self._report(item, likelihood, ExportOutcome.RECOMPUTE_FASTER, [])
                 continue
             dropped = self._queue.push(likelihood, item)
             if dropped is not None:
                 self._report(dropped, likelihood, ExportOutcome.QUEUE_FULL, [])
         self._arrived.set()
 
-    def note_stored(self, key: bytes) -> None:
+    def record_stored(self, key: bytes) -> None:
         """A block was read whole from a store."""
-        self._stored[key] = None
-        self._stored.move_to_end(key)
-        if len(self._stored) > MAX_STORED_KEYS:
-            self._stored.popitem(last=False)
+        self._stored_keys[key] = None
+        self._stored_keys.move_to_end(key)
+        if len(self._stored_keys) > MAX_STORED_KEYS:
+            self._stored_keys.popitem(last=False)
 
-    def note_lost(self, key: bytes, *, damaged: bool) -> None:
+    def invalidate_stored(self, key: bytes, *, damaged: bool) -> None:
         """A block that should be stored is not, or is not the block."""
-        self._stored.pop(key, None)
-        if damaged and len(self._damaged) < MAX_STORED_KEYS:
-            self._damaged.add(key)
+        self._stored_keys.pop(key, None)
+        if damaged and len(self._damaged_keys) < MAX_STORED_KEYS:
+            self._damaged_keys.add(key)
 
     async def run(self) -> None:
         """Export until cancelled."""
         while True:
             await self._arrived.wait()
             self._arrived.clear()
-            await self.drain()
+            await self.export_queued()
 
-    async def drain(self) -> None:
+    async def export_queued(self) -> None:
         """Export everything that is queued now."""
         while (queued := self._queue.pop()) is not None:
             likelihood, item = queued
@@ -134,7 +134,7 @@
     async def _export(
         self, likelihood: ReuseLikelihood, item: ExportItem
     ) -> tuple[ExportOutcome, list[StoreVm]]:
-        if item.key in self._stored:
+        if item.key in self._stored_keys:
             return ExportOutcome.STORED_ALREADY, []
         owners = self._list_usable_owners(item.key)
         if not owners:
@@ -149,10 +149,10 @@
         sealed = await asyncio.to_thread(
             seal_block, secret, item.key, item.version, payload
         )
-        self._link.note_size(len(sealed))
-        tag = find_tag(self._block_secret, item.workspace)
+        self._link.record_block_size(len(sealed))
+        tag = get_workspace_tag(self._block_secret, item.workspace)
         name = BlockName(tag, item.depth, item.key)
-        return await self._place(likelihood, name, sealed, owners)
+        return await self._write_to_owners(likelihood, name, sealed, owners)
 
     def _list_usable_owners(self, key: bytes) -> list[StoreVm]:
         now = time.monotonic()
@@ -160,7 +160,7 @@
         owners = self._link.list_owners(key)
         return [vm for vm in owners if not health.is_backing_off(now, vm.name)]
 
-    async def _place(
+    async def _write_to_owners(
         self,
         likelihood: ReuseLikelihood,
         name: BlockName,
@@ -180,8 +180,8 @@
         if written:
             outcome = ExportOutcome.WRITTEN
         if outcome in (ExportOutcome.WRITTEN, ExportOutcome.STORED_ALREADY):
-            self._damaged.discard(name.key)
-            self.note_stored(name.key)
+            self._damaged_keys.discard(name.key)
+            self.record_stored(name.key)
         return outcome, written
 
     async def _is_stored(self, vm: StoreVm, name: BlockName, size: int) -> bool:
@@ -190,15 +190,15 @@
         A torn write is shorter and is written again; one that a reader found damaged
         is written again whatever its size.
         """
-        if name.key in self._damaged:
+        if name.key in self._damaged_keys:
             return False
-        answer = await self._link.store.measure(vm.address, str(name))
-        return isinstance(answer, Ok) and answer.ok_value == size
+        result = await self._link.store.get_size(vm.address, str(name))
+        return isinstance(result, Ok) and result.ok_value == size
 
     async def _wait_for_link(self, likelihood: ReuseLikelihood, size: int) -> bool:
         waited = 0.0
         while (wait := self._link.budget.try_export(time.monotonic(), size)) > 0:
-            if likelihood is ReuseLikelihood.NEW and waited + wait > SHORT_LINK_SECONDS:
+            if likelihood is ReuseLikelihood.NEW and waited + wait > MAX_LINK_WAIT_SECONDS:
                 return False
             await asyncio.sleep(wait)
             waited += wait
@@ -207,13 +207,13 @@
     async def _write(
         self, vm: StoreVm, name: BlockName, sealed: bytes
     ) -> ExportOutcome:
-        answer = await self._link.write(vm, name, sealed)
-        full = isinstance(answer, Err) and isinstance(answer.err_value, StoreFullError)
-        if full and await self._evictor.make_room(vm, name):
-            answer = await self._link.write(vm, name, sealed)
-        if isinstance(answer, Ok):
+        result = await self._link.write(vm, name, sealed)
+        full = isinstance(result, Err) and isinstance(result.err_value, StoreFullError)
+        if full and await self._evictor.free_space(vm, name):
+            result = await self._link.write(vm, name, sealed)
+        if isinstance(result, Ok):
             return ExportOutcome.WRITTEN
-        if isinstance(answer.err_value, StoreFullError):
+        if isinstance(result.err_value, StoreFullError):
             return ExportOutcome.STORE_FULL
         return ExportOutcome.STORE_FAILED
 
--- a/libraries/agent/src/bamboopier_agent/claim_writer.py
+++ b/libraries/agent/src/bamboopier_agent/claim_writer.py
@@ -42,7 +42,7 @@
     created: float
 
 
-class _Waiting:
+class _PendingClaim:
     """A claim and who waits for its outcome; done once nobody does."""
 
     __slots__ = ("claim", "future")
@@ -55,20 +55,20 @@
 
 
 class ClaimWriter:
-    """Drives one ``ClaimPartition``; calls ``forget`` when nothing is left to do."""
+    """Drives one ``ClaimPartition``; calls ``on_finished`` when nothing is left to do."""
 
     def __init__(
         self,
         objects: ObjectStore,
         name: str,
         lifetime: float,
-        forget: Callable[[str], None],
+        on_finished: Callable[[str], None],
     ) -> None:
         self._objects = objects
         self.name = name
-        self._forget = forget
+        self._on_finished = on_finished
         self._partition = ClaimPartition(lifetime, PARTITION_CAPACITY)
-        self._waiting: list[_Waiting] = []
+        self._pending: list[_PendingClaim] = []
         self._arrived = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
@@ -86,14 +86,14 @@
 
     async def submit(self, claim: Claim) -> Result[ClaimOutcome, PlatformError]:
         """Queue a claim for the next update and wait for its outcome."""
-        waiting = _Waiting(claim)
-        self._waiting.append(waiting)
+        pending = _PendingClaim(claim)
+        self._pending.append(pending)
         self.start()
-        return await waiting.future
+        return await pending.future
 
-    def abandon(self, claim: Claim, granted_at: int = 0) -> asyncio.Task[None]:
+    def abandon(self, claim: Claim, granted_version: int = 0) -> asyncio.Task[None]:
         """Give a claim up; the task ends when it neither stands nor can land."""
-        self._partition.abandon(claim, granted_at)
+        self._partition.abandon(claim, granted_version)
         return self.start()
 
     def is_abandoned(self, key: bytes) -> bool:
@@ -102,24 +102,24 @@
 
     async def _work(self) -> None:
         """Write until no claim waits and nothing given up is left."""
-        while self._waiting or not self._partition.all_released:
+        while self._pending or not self._partition.all_released:
             self._arrived.clear()
-            batch, self._waiting = self._waiting, []
-            answer = await self._commit(batch)
-            if isinstance(answer, Err):
-                self._give_up(batch, answer)
-                await self._pause()
-        self._forget(self.name)
-
-    async def _pause(self) -> None:
+            batch, self._pending = self._pending, []
+            result = await self._commit(batch)
+            if isinstance(result, Err):
+                self._abandon_batch(batch, result)
+                await self._back_off()
+        self._on_finished(self.name)
+
+    async def _back_off(self) -> None:
         """Wait before the next try, unless a new claim comes in."""
-        if self._waiting or self._partition.all_released:
+        if self._pending or self._partition.all_released:
             return
-        waiting = asyncio.ensure_future(self._arrived.wait())
-        await asyncio.wait({waiting}, timeout=RELEASE_RETRY_SECONDS)
-        waiting.cancel()
+        pending = asyncio.ensure_future(self._arrived.wait())
+        await asyncio.wait({pending}, timeout=RELEASE_RETRY_SECONDS)
+        pending.cancel()
 
-    async def _commit(self, batch: list[_Waiting]) -> Result[None, PlatformError]:
+    async def _commit(self, batch: list[_PendingClaim]) -> Result[None, PlatformError]:
         """Write the batch into the object; only a confirmed write grants anything.
 
         A lost answer is settled by reading: the claim either stands there, or the next
@@ -131,18 +131,18 @@
             if isinstance(read, Err):
                 return read
             # Whoever left meanwhile must not be granted what nobody would run.
-            waiting = [entry for entry in batch if not entry.future.done()]
-            claims = [entry.claim for entry in waiting]
+            pending = [entry for entry in batch if not entry.future.done()]
+            claims = [entry.claim for entry in pending]
             plan = self._partition.plan(claims, time.time())
             if not plan.needs_write:
-                self._tell_outcomes(waiting, plan.outcomes)
+                self._set_outcomes(pending, plan.outcomes)
                 return Ok(None)
             value = _encode(plan.claims)
-            answer = await self._objects.write(self.name, value, plan.expected_version)
-            match answer:
+            result = await self._objects.write(self.name, value, plan.expected_version)
+            match result:
                 case Ok(version):
                     self._partition.commit(plan, version)
-                    self._tell_outcomes(waiting, plan.outcomes)
+                    self._set_outcomes(pending, plan.outcomes)
                     return Ok(None)
                 case Err(
                     VersionConflictError() | PlatformOutcomeUnknownError() as error
@@ -156,15 +156,15 @@
                     return Err(error)
         return Err(last)
 
-    def _tell_outcomes(
-        self, waiting: list[_Waiting], outcomes: tuple[ClaimOutcome, ...]
+    def _set_outcomes(
+        self, pending: list[_PendingClaim], outcomes: tuple[ClaimOutcome, ...]
     ) -> None:
-        for entry, outcome in zip(waiting, outcomes, strict=True):
+        for entry, outcome in zip(pending, outcomes, strict=True):
             if not entry.future.done():
-                told = replace(outcome, version=self._partition.version)
-                entry.future.set_result(Ok(told))
+                updated = replace(outcome, version=self._partition.version)
+                entry.future.set_result(Ok(updated))
 
-    def _give_up(self, batch: list[_Waiting], error: Err[PlatformError]) -> None:
+    def _abandon_batch(self, batch: list[_PendingClaim], error: Err[PlatformError]) -> None:
         """Tell all that they must not run; what may land yet is released later."""
         for entry in batch:
             self._partition.abandon(entry.claim)
@@ -172,10 +172,10 @@
                 entry.future.set_result(error)
 
     async def _read(self) -> Result[None, PlatformError]:
-        answer = await self._objects.read(self.name)
-        if isinstance(answer, Err):
-            return answer
-        stored = answer.ok_value
+        result = await self._objects.read(self.name)
+        if isinstance(result, Err):
+            return result
+        stored = result.ok_value
         if stored is None:
             self._partition.apply_read(ABSENT, ())
             return Ok(None)
--- a/libraries/agent/src/bamboopier_agent/claims.py
+++ b/libraries/agent/src/bamboopier_agent/claims.py
@@ -36,12 +36,12 @@
 # is granted again while its first run goes on.
 MIN_LIFETIME_SECONDS = 2 * 3600.0
 # A platform that takes longer is as good as down: refused, truthfully and at once.
-CLAIM_SECONDS = 2.0
+CLAIM_TIMEOUT_SECONDS = 2.0
 # A given-up claim is released before "not run" is said, unless that takes longer; it
 # goes on in the background then.
-RELEASE_SECONDS = 0.5
+RELEASE_TIMEOUT_SECONDS = 0.5
 # Claims given up that are remembered after their release, some 100 bytes each.
-MAX_GIVEN_UP = 4096
+MAX_ABANDONED_IDS = 4096
 
 
 class ClaimTable:
@@ -52,9 +52,9 @@
         self._holder = holder
         # Only partitions with work under way; the platform has the rest.
         self._writers: dict[str, ClaimWriter] = {}
-        self._given_up: OrderedDict[str, None] = OrderedDict()
+        self._abandoned_ids: OrderedDict[str, None] = OrderedDict()
         # Ids of claims that have no outcome here yet; one for each request that waits.
-        self._open: set[str] = set()
+        self._open_ids: set[str] = set()
 
     async def claim(
         self, service: Service, workspace: str, key: str, fingerprint: bytes
@@ -67,35 +67,35 @@
         """
         digest = hash_key(workspace, key)
         claim = Claim(digest, fingerprint, uuid.uuid4().hex, self._holder, time.time())
-        writer = self._find_writer(service, digest)
-        self._open.add(claim.claim_id)
+        writer = self._get_writer(service, digest)
+        self._open_ids.add(claim.claim_id)
         try:
             return await self._submit(writer, claim)
         finally:
-            self._open.discard(claim.claim_id)
+            self._open_ids.discard(claim.claim_id)
 
     async def _submit(
         self, writer: ClaimWriter, claim: Claim
     ) -> Result[ClaimOutcome, PlatformError]:
         """Wait for a claim's outcome; one that will not be used is given up."""
         try:
-            async with asyncio.timeout(CLAIM_SECONDS):
-                answer = await writer.submit(claim)
+            async with asyncio.timeout(CLAIM_TIMEOUT_SECONDS):
+                result = await writer.submit(claim)
         except TimeoutError:
             self._abandon(writer, claim)
             return Err(PlatformUnavailableError("the platform is slow"))
         except asyncio.CancelledError:
             self._abandon(writer, claim)
             raise
-        if isinstance(answer, Err):
-            self._note_given_up(claim)
-        return answer
+        if isinstance(result, Err):
+            self._record_abandoned(claim)
+        return result
 
     async def release(self, service: Service, granted: ClaimOutcome) -> None:
         """Give up a grant under which nothing was sent to the target."""
         settled = self.abandon(service, granted)
         if settled is not None:
-            await asyncio.wait({settled}, timeout=RELEASE_SECONDS)
+            await asyncio.wait({settled}, timeout=RELEASE_TIMEOUT_SECONDS)
 
     def abandon(
         self, service: Service, granted: ClaimOutcome
@@ -104,8 +104,8 @@
         claim = granted.current
         if claim is None:
             return None
-        self._note_given_up(claim)
-        writer = self._find_writer(service, claim.key)
+        self._record_abandoned(claim)
+        writer = self._get_writer(service, claim.key)
         return writer.abandon(claim, granted.version)
 
     def is_abandoned(self, workspace: str, key: str) -> bool:
@@ -113,14 +113,14 @@
         digest = hash_key(workspace, key)
         return any(writer.is_abandoned(digest) for writer in self._writers.values())
 
-    def has_given_up(self, claim_id: str) -> bool:
+    def was_abandoned(self, claim_id: str) -> bool:
         """Say whether a claim of this agent was given up, released by now or not.
 
         Another agent may have read the claim just before its release. Asked about it
         afterwards, this one would know nothing of the key, and the caller would be told
         "outcome unknown" of a request that nobody ran.
         """
-        return claim_id in self._given_up
+        return claim_id in self._abandoned_ids
 
     def is_open(self, claim_id: str) -> bool:
         """Say whether a claim may yet be granted or given up here.
@@ -131,14 +131,14 @@
         or that nobody runs. An id is open until its outcome is taken in, and is noted
         as a run or as given up in the same step; what is none of these is lost.
         """
-        return claim_id in self._open
+        return claim_id in self._open_ids
 
-    def _note_given_up(self, claim: Claim) -> None:
-        self._given_up[claim.claim_id] = None
-        if len(self._given_up) > MAX_GIVEN_UP:
-            self._given_up.popitem(last=False)
+    def _record_abandoned(self, claim: Claim) -> None:
+        self._abandoned_ids[claim.claim_id] = None
+        if len(self._abandoned_ids) > MAX_ABANDONED_IDS:
+            self._abandoned_ids.popitem(last=False)
 
-    async def settle(self) -> None:
+    async def wait_until_released(self) -> None:
         """Return once nothing given up is left to release.
 
         A process that ends sooner leaves keys that nobody ran "unknown" for ever.
@@ -147,13 +147,13 @@
             tasks = {writer.start() for writer in self._writers.values()}
             await asyncio.wait(tasks)
 
-    def _find_writer(self, service: Service, digest: bytes) -> ClaimWriter:
+    def _get_writer(self, service: Service, digest: bytes) -> ClaimWriter:
         number = int.from_bytes(digest[:4], "big") % PARTITIONS
         name = f"claims/{service.name}/{number}"
         writer = self._writers.get(name)
         if writer is None:
             lifetime = max(service.key_lifetime_seconds, MIN_LIFETIME_SECONDS)
-            writer = ClaimWriter(self._objects, name, lifetime, self._forget)
+            writer = ClaimWriter(self._objects, name, lifetime, self._remove_writer)
             self._writers[name] = writer
         return writer
 
@@ -164,11 +164,11 @@
         by a writer that is not in the table, it would be left behind by a stop, which
         waits for those that are, and its key would be "unknown" for its lifetime.
         """
-        self._note_given_up(claim)
+        self._record_abandoned(claim)
         current = self._writers.setdefault(writer.name, writer)
         current.abandon(claim, 0 if current is writer else writer.version)
 
-    def _forget(self, name: str) -> None:
+    def _remove_writer(self, name: str) -> None:
         """Drop a partition that has nothing left to do."""
         self._writers.pop(name, None)
 
--- a/libraries/agent/src/bamboopier_agent/context.py
+++ b/libraries/agent/src/bamboopier_agent/context.py
@@ -23,13 +23,13 @@
 
 from .block_exporter import BlockExporter
 from .block_fetcher import BlockFetcher
-from .context_view import DEFAULT_BLOCK_TOKENS, ContextView, find_tag
+from .context_view import DEFAULT_BLOCK_TOKENS, ContextView, get_workspace_tag
 from .store_errors import (
     BlockMissingError,
-    BlockUnprovedError,
+    BlockVerificationError,
     StoreError,
     StoreHungError,
-    StoreLateError,
+    TransferTimeoutError,
 )
 from .store_link import StoreLink
 
@@ -44,8 +44,8 @@
     from .target import CacheEvents, TargetClient
 
 # Assumed until measured: tokens a second and bytes a second.
-FIRST_PREFILL_RATE = 8000.0
-FIRST_LINK_RATE = 125_000_000.0
+INITIAL_PREFILL_RATE = 8000.0
+INITIAL_LINK_RATE = 125_000_000.0
 
 log = structlog.get_logger()
 
@@ -58,15 +58,15 @@
     link: Rate
 
 
-def assume_rates() -> ContextRates:
+def make_initial_rates() -> ContextRates:
     """Return the rates of a target that has measured nothing yet."""
     return ContextRates(
-        MeasuredRate(FIRST_PREFILL_RATE, FIRST_PREFILL_RATE),
-        MeasuredRate(FIRST_LINK_RATE, FIRST_LINK_RATE),
+        MeasuredRate(INITIAL_PREFILL_RATE, INITIAL_PREFILL_RATE),
+        MeasuredRate(INITIAL_LINK_RATE, INITIAL_LINK_RATE),
     )
 
 
-class ContextKeeper:
+class ContextBlockManager:
     """Fetches and exports blocks for one target."""
 
     def __init__(
@@ -108,7 +108,7 @@
         fetched = 0
         if plan.blocks:
             wanted = range(resident, resident + plan.blocks)
-            fetched = await self._bring(request, wanted, plan)
+            fetched = await self._fetch_blocks(request, wanted, plan)
         self._metrics.fetch_decisions.labels(plan.reason).inc()
         log.info(
             "context fetch",
@@ -124,7 +124,7 @@
         )
         return fetched
 
-    def note_answer(
+    def record_response(
         self,
         request: ServeRequest,
         cached_tokens: int,
@@ -147,9 +147,9 @@
             if cached < len(keys):
                 self._resident.record_miss(keys[cached])
             self._resident.confirm(now, keys)
-            conditions = self._ask(request, 1)
-            worth = is_worth_exporting(conditions, self._link.view.cost_weights)
-            self.exporter.offer(request, worth=worth)
+            conditions = self._build_conditions(request, 1)
+            worth_exporting = is_worth_exporting(conditions, self._link.view.cost_weights)
+            self.exporter.offer(request, worth_exporting=worth_exporting)
 
     async def run(self) -> None:
         """Export queued blocks until cancelled."""
@@ -163,14 +163,14 @@
             if event.kind == "evicted":
                 self._resident.remove(bytes.fromhex(event.key))
 
-    def forget_resident(self) -> None:
+    def clear_resident(self) -> None:
         """The engine started anew: its cache is empty."""
         self._resident.clear()
 
     def find_block_tokens(self, request: ServeRequest) -> int:
         """Return how many tokens a block of the request's model has."""
-        known = self._link.view.block_tokens
-        return known.get(request.model.model, DEFAULT_BLOCK_TOKENS)
+        block_tokens = self._link.view.block_tokens
+        return block_tokens.get(request.model.model, DEFAULT_BLOCK_TOKENS)
 
     def _plan(self, request: ServeRequest, missing: int) -> FetchPlan:
         if missing == 0:
@@ -178,9 +178,9 @@
         view = self._link.view
         if not view.store_vms:
             return FetchPlan(0, FetchReason.NO_STORE)
-        return choose_fetch(self._ask(request, missing), view.cost_weights)
+        return choose_fetch(self._build_conditions(request, missing), view.cost_weights)
 
-    def _ask(self, request: ServeRequest, missing: int) -> FetchConditions:
+    def _build_conditions(self, request: ServeRequest, missing: int) -> FetchConditions:
         now = time.monotonic()
         block_tokens = self.find_block_tokens(request)
         return FetchConditions(
@@ -193,42 +193,42 @@
             budget_rate=self._link.view.link_bytes_per_second,
         )
 
-    async def _bring(
+    async def _fetch_blocks(
         self, request: ServeRequest, wanted: range, plan: FetchPlan
     ) -> int:
         work = request.model
         secret = derive_workspace_secret(self._block_secret, request.workspace)
-        tag = find_tag(self._block_secret, request.workspace)
+        tag = get_workspace_tag(self._block_secret, request.workspace)
         names = [BlockName(tag, n, work.block_keys[n]) for n in wanted]
         started = time.monotonic()
         imported = 0
         size = 0
-        give_up_at = started + plan.timeout
+        deadline = started + plan.timeout
         failure: StoreError | None = None
         async with self._fetcher.open(
-            names, secret, work.weight_version, give_up_at
+            names, secret, work.weight_version, deadline
         ) as reader:
             for name in names:
-                answer = await reader.read_next()
-                if isinstance(answer, Err):
-                    failure = answer.err_value
+                result = await reader.read_next()
+                if isinstance(result, Err):
+                    failure = result.err_value
                     break
                 if not await self._target.import_block(
-                    work.cache_salt, name.key, work.weight_version, answer.ok_value
+                    work.cache_salt, name.key, work.weight_version, result.ok_value
                 ):
                     break
                 self._resident.confirm(time.monotonic(), [name.key])
-                self.exporter.note_stored(name.key)
-                size += len(answer.ok_value)
+                self.exporter.record_stored(name.key)
+                size += len(result.ok_value)
                 imported += 1
-        self._learn(imported, size, time.monotonic() - started, failure)
-        if isinstance(failure, BlockMissingError | BlockUnprovedError):
-            lost = work.block_keys[wanted.start + imported :]
-            damaged = isinstance(failure, BlockUnprovedError)
-            self._note_lost(lost, damaged=damaged)
+        self._record_transfer(imported, size, time.monotonic() - started, failure)
+        if isinstance(failure, BlockMissingError | BlockVerificationError):
+            missing_keys = work.block_keys[wanted.start + imported :]
+            damaged = isinstance(failure, BlockVerificationError)
+            self._invalidate_stored(missing_keys, damaged=damaged)
         return imported
 
-    def _learn(
+    def _record_transfer(
         self,
         imported: int,
         size: int,
@@ -236,20 +236,20 @@
         failure: StoreError | None,
     ) -> None:
         now = time.monotonic()
-        if isinstance(failure, StoreHungError | StoreLateError):
+        if isinstance(failure, StoreHungError | TransferTimeoutError):
             expected = self._link.estimate_block_bytes()
-            self._link.note_late(now, size + expected, seconds)
+            self._link.record_timeout(now, size + expected, seconds)
             return
         if imported:
-            self._link.note_transfer(now, size, seconds)
+            self._link.record_transfer(now, size, seconds)
 
-    def _note_lost(self, keys: Sequence[bytes], *, damaged: bool) -> None:
+    def _invalidate_stored(self, keys: Sequence[bytes], *, damaged: bool) -> None:
         """The first of a prompt's remaining blocks was not had from any store.
 
         Those behind it were written at the same time and have probably gone with it.
         Without forgetting them each return would find, and write again, only one. A
         look before each export keeps those that are there from being sent.
         """
-        self.exporter.note_lost(keys[0], damaged=damaged)
+        self.exporter.invalidate_stored(keys[0], damaged=damaged)
         for key in keys[1:]:
-            self.exporter.note_lost(key, damaged=False)
+            self.exporter.invalidate_stored(key, damaged=False)
--- a/libraries/agent/src/bamboopier_agent/context_view.py
+++ b/libraries/agent/src/bamboopier_agent/context_view.py
@@ -23,7 +23,7 @@
 DEFAULT_LINK_BYTES_PER_SECOND = 125_000_000
 DEFAULT_BLOCK_TOKENS = 2000
 
-find_tag = lru_cache(maxsize=65_536)(derive_workspace_tag)
+get_workspace_tag = lru_cache(maxsize=65_536)(derive_workspace_tag)
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
         link_bytes_per_second=store.link_bytes_per_second,
         block_tokens={m.name: m.block_tokens for m in directory.models.values()},
         shares={
-            find_tag(block_secret, workspace.name): workspace.weight
+            get_workspace_tag(block_secret, workspace.name): workspace.weight
             for workspace in directory.workspaces.values()
         },
     )
--- a/libraries/agent/src/bamboopier_agent/daemon.py
+++ b/libraries/agent/src/bamboopier_agent/daemon.py
@@ -34,29 +34,29 @@
 )
 
 from .claims import ClaimTable
-from .context import ContextKeeper, assume_rates
+from .context import ContextBlockManager, make_initial_rates
 from .context_view import build_view
 from .gate import AdmissionGate
-from .response_cache import KeptAnswers
+from .response_cache import ResponseCache
 from .lease import TARGET_LEASE_SECONDS, LeaseManager
 from .load_slots import LoadSlots
 from .metrics import AgentMetrics
 from .service import AgentService
-from .availability_gate import TargetStanding
+from .availability_gate import AvailabilityGate
 from .store_client import StoreClient
 from .target import TargetClient
-from .target_monitor import TargetWatch
-from .weight_updater import WeightsKeeper
+from .target_monitor import TargetMonitor
+from .weight_updater import WeightUpdater
 
 if TYPE_CHECKING:
     from bamboopier_configuration.directory import Directory
     from bamboopier_configuration.settings import AgentSettings
 
 # For the last claims to be released; longer only while the platform is away.
-SETTLE_SECONDS = 5.0
+CLAIM_RELEASE_TIMEOUT_SECONDS = 5.0
 # For answers that have left the target and not yet reached their gateway.
-FLUSH_SECONDS = 30.0
-RELEASE_SECONDS = 2.0
+FLUSH_TIMEOUT_SECONDS = 30.0
+LEASE_RELEASE_TIMEOUT_SECONDS = 2.0
 
 log = structlog.get_logger()
 
@@ -66,12 +66,12 @@
     generator = random.Random(f"{settings.vm}:{os.getpid()}")
     async with AsyncExitStack() as stack:
         certificates = Certificates(settings.tls, allow_plain=settings.allow_plain)
-        context_out = certificates.make_client_context()
+        ssl_context = certificates.make_client_context()
         platform = await stack.enter_async_context(
-            HttpPlatform(settings.platform_url, context_out)
+            HttpPlatform(settings.platform_url, ssl_context)
         )
         target = await stack.enter_async_context(
-            TargetClient(settings.target_url, context_out)
+            TargetClient(settings.target_url, ssl_context)
         )
         store = await stack.enter_async_context(StoreClient())
         gate = AdmissionGate(
@@ -79,39 +79,39 @@
         )
         secret = bytes.fromhex(settings.block_secret)
         metrics = AgentMetrics()
-        context = ContextKeeper(target, store, secret, metrics, assume_rates())
-        watch = TargetWatch(target, gate, context)
+        context = ContextBlockManager(target, store, secret, metrics, make_initial_rates())
+        monitor = TargetMonitor(target, gate, context)
         claims = ClaimTable(platform, str(settings.listen))
-        standing = TargetStanding(settings, gate)
+        availability_gate = AvailabilityGate(settings, gate)
         vms = VmBoard(generator)
-        vms.tell(standing.apply_vms)
+        vms.tell(availability_gate.apply_vms)
         vms.tell(lambda _: apply_context())
         peers = PeerClient(settings.peers, vms, certificates.open_channel, generator)
 
         def apply_context() -> None:
-            places = (settings.service, settings.data_centre)
-            view = build_view(follower.directory, vms.vms, *places, secret)
+            location = (settings.service, settings.data_centre)
+            view = build_view(follower.directory, vms.vms, *location, secret)
             context.configure(view)
 
         def apply_configuration(directory: Directory) -> None:
-            standing.apply_configuration(directory)
+            availability_gate.apply_configuration(directory)
             apply_context()
 
         follower = ConfigurationFollower(
             platform, apply_configuration, generator, peers, lambda: vms.nodes
         )
         holder = f"{settings.vm}:{uuid.uuid4().hex}"
-        place = f"{settings.vm}:{settings.listen}"
+        agent_address = f"{settings.vm}:{settings.listen}"
         lease = LeaseManager(
             platform,
             f"leases/targets/{settings.target}",
-            Lease(holder, place, TARGET_LEASE_SECONDS),
+            Lease(holder, agent_address, TARGET_LEASE_SECONDS),
         )
-        weights = WeightsKeeper(
+        weight_updater = WeightUpdater(
             settings.service,
             target,
-            watch,
-            standing,
+            monitor,
+            availability_gate,
             follower,
             lease,
             LoadSlots(platform, settings.service, holder, generator),
@@ -123,16 +123,16 @@
             target,
             gate,
             claims,
-            KeptAnswers(settings.kept_answer_bytes),
+            ResponseCache(settings.kept_answer_bytes),
             context,
-            watch,
+            monitor,
             follower,
             metrics,
         )
         for loop in (
             certificates.follow(),
             gate.run(),
-            watch.run(),
+            monitor.run(),
             follower.run(),
             context.run(),
             vms.run(platform),
@@ -147,14 +147,14 @@
             certificates.add_port(server, str(settings.listen))
         await server.start()
         # Only now is the place proved to be this process's own.
-        orders = _give_orders(lease, weights, generator)
-        await stack.enter_async_context(keep_running(orders))
+        updates = _run_weight_updates(lease, weight_updater, generator)
+        await stack.enter_async_context(keep_running(updates))
 
         def is_ready() -> bool:
             # Without services and stores this agent would refuse or forget what the
             # first requests bring.
-            informed = follower.directory.generation > 0 and vms.is_known
-            return informed and watch.reachable and gate.admission.accepting
+            has_configuration = follower.directory.generation > 0 and vms.is_known
+            return has_configuration and monitor.reachable and gate.admission.accepting
 
         add_process_metrics(
             metrics.registry,
@@ -169,10 +169,10 @@
         log.info("agent started", target=settings.target, listen=str(settings.listen))
         with StopSignals() as signals:
             await signals.wait_for_first()
-            standing.shut_down()
+            availability_gate.shut_down()
             log.info("agent stopping", running=gate.admission.running)
             timeout = settings.shutdown_timeout_seconds
-            end = await signals.wait_until(_finish(gate, server), timeout)
+            end = await signals.wait_until(_finish_requests(gate, server), timeout)
             if end is not StopEnd.IDLE:
                 # Gateways see these streams break off and tell their callers that the
                 # outcome is unknown, which it is.
@@ -181,26 +181,26 @@
                 )
                 await server.stop(grace=None)
             with suppress(TimeoutError):
-                await asyncio.wait_for(claims.settle(), SETTLE_SECONDS)
+                await asyncio.wait_for(claims.wait_until_released(), CLAIM_RELEASE_TIMEOUT_SECONDS)
             # A lease that cannot be given up in time lapses by itself.
             with suppress(TimeoutError):
-                async with asyncio.timeout(RELEASE_SECONDS):
+                async with asyncio.timeout(LEASE_RELEASE_TIMEOUT_SECONDS):
                     await lease.release()
             log.info("agent stopped")
 
 
-async def _finish(gate: AdmissionGate, server: grpc.aio.Server) -> None:
+async def _finish_requests(gate: AdmissionGate, server: grpc.aio.Server) -> None:
     """Return once nothing runs and every answer has been taken over by its gateway."""
     await gate.wait_until_idle()
-    await server.stop(grace=FLUSH_SECONDS)
+    await server.stop(grace=FLUSH_TIMEOUT_SECONDS)
 
 
-async def _give_orders(
-    lease: LeaseManager, weights: WeightsKeeper, generator: random.Random
+async def _run_weight_updates(
+    lease: LeaseManager, weight_updater: WeightUpdater, generator: random.Random
 ) -> None:
     """Hold the target's lease and bring its weights up to date."""
-    async with keep_running(lease.keep(weights.needs_lease, generator)):
-        await weights.run()
+    async with keep_running(lease.maintain(weight_updater.needs_lease, generator)):
+        await weight_updater.run()
 
 
 def _count_targets(
--- a/libraries/agent/src/bamboopier_agent/errors.py
+++ b/libraries/agent/src/bamboopier_agent/errors.py
@@ -13,7 +13,7 @@
     """No connection was made: the target received nothing."""
 
 
-class TargetBrokenError(TargetError):
+class BrokenResponseError(TargetError):
     """The target was reached and its answer is missing or cut."""
 
 
--- a/libraries/agent/src/bamboopier_agent/event_builder.py
+++ b/libraries/agent/src/bamboopier_agent/event_builder.py
@@ -10,7 +10,7 @@
     from collections.abc import Callable, Iterable
 
 
-class Answer:
+class EventBuilder:
     """Numbers the events of one attempt so that its reader can prove it whole."""
 
     __slots__ = ("_attempt_id", "_report", "_sequence", "body_bytes")
--- a/libraries/agent/src/bamboopier_agent/event_stream.py
+++ b/libraries/agent/src/bamboopier_agent/event_stream.py
@@ -11,7 +11,7 @@
     from bamboopier_protocol import agent_pb2 as pb
 
 # Events a target may be ahead of a slow gateway.
-MAX_AHEAD = 16
+MAX_BUFFERED_EVENTS = 16
 
 
 class EventStream:
@@ -25,18 +25,18 @@
     def __init__(self, deadline: float) -> None:
         # Seconds on the monotonic clock, counted from the request's arrival.
         self.deadline = deadline
-        self._events: asyncio.Queue[pb.ServeEvent | None] = asyncio.Queue(MAX_AHEAD)
-        self._left = False
+        self._events: asyncio.Queue[pb.ServeEvent | None] = asyncio.Queue(MAX_BUFFERED_EVENTS)
+        self._disconnected = False
         self.detached = False
 
     async def put(self, event: pb.ServeEvent | None) -> None:
         """Pass an event on, or None at the end; dropped once the gateway has left."""
-        if not self._left:
+        if not self._disconnected:
             await self._events.put(event)
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         """Note that the gateway has left; a writer that waits goes on."""
-        self._left = True
+        self._disconnected = True
         while not self._events.empty():
             self._events.get_nowait()
 
--- a/libraries/agent/src/bamboopier_agent/gate.py
+++ b/libraries/agent/src/bamboopier_agent/gate.py
@@ -34,7 +34,7 @@
     __slots__ = (
         "_gate",
         "_request_id",
-        "answered",
+        "succeeded",
         "failed",
         "prefill_tokens",
         "output_tokens",
@@ -46,7 +46,7 @@
         self._request_id = request_id
         self.reject: Reject | None = None
         # Neither means that the caller left or that it was refused after all.
-        self.answered = False
+        self.succeeded = False
         self.failed = False
         self.output_tokens = 0
         self.prefill_tokens = 0
@@ -56,7 +56,7 @@
 
         How much it prefilled is known only with the usage at the answer's end.
         """
-        self._gate.tell(FirstTokenReceived(time.monotonic(), self._request_id, 0))
+        self._gate.handle(FirstTokenReceived(time.monotonic(), self._request_id, 0))
 
 
 class AdmissionGate:
@@ -74,11 +74,11 @@
         waiter = asyncio.get_running_loop().create_future()
         self._waiters[work.request_id] = waiter
         entry = Entry(self, work.request_id)
-        self.tell(work)
+        self.handle(work)
         try:
             entry.reject = await waiter
         except asyncio.CancelledError:
-            self._withdraw(work.request_id)
+            self._cancel(work.request_id)
             raise
         if entry.reject is not None:
             yield entry
@@ -87,11 +87,11 @@
         try:
             yield entry
         finally:
-            self.tell(_describe_end(entry, work.request_id))
+            self.handle(_describe_end(entry, work.request_id))
             if self.admission.running == 0:
                 self._idle.set()
 
-    def tell(self, event: AdmissionEvent) -> None:
+    def handle(self, event: AdmissionEvent) -> None:
         """Pass an event to the decisions and carry out what they answer."""
         for decision in self.admission.handle(event):
             waiter = self._waiters.pop(decision.request_id, None)
@@ -103,26 +103,26 @@
         """Tell the decisions the time until cancelled."""
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            self.tell(Tick(time.monotonic()))
+            self.handle(Tick(time.monotonic()))
 
     async def wait_until_idle(self) -> None:
         """Return once no started request is left."""
         await self._idle.wait()
 
-    def _withdraw(self, request_id: str) -> None:
+    def _cancel(self, request_id: str) -> None:
         """Undo a request whose gateway left while it waited or as it was let in."""
         self._waiters.pop(request_id, None)
         now = time.monotonic()
-        self.tell(RequestCancelled(now, request_id))
-        self.tell(RequestFinished(now, request_id, succeeded=False, cancelled=True))
+        self.handle(RequestCancelled(now, request_id))
+        self.handle(RequestFinished(now, request_id, succeeded=False, cancelled=True))
 
 
 def _describe_end(entry: Entry, request_id: str) -> RequestFinished:
     return RequestFinished(
         now=time.monotonic(),
         request_id=request_id,
-        succeeded=entry.answered,
+        succeeded=entry.succeeded,
         output_tokens=entry.output_tokens,
-        cancelled=not entry.answered and not entry.failed,
+        cancelled=not entry.succeeded and not entry.failed,
         prefill_tokens=entry.prefill_tokens,
     )
--- a/libraries/agent/src/bamboopier_agent/lease.py
+++ b/libraries/agent/src/bamboopier_agent/lease.py
@@ -24,9 +24,9 @@
 RENEW_INTERVAL_SECONDS = 20.0
 # A lease that another process holds is read this often; the wait for it starts anew
 # whenever its version has changed.
-OBSERVE_SECONDS = 10.0
+OBSERVE_INTERVAL_SECONDS = 10.0
 # A service that has just been configured may need orders.
-NEED_POLL_SECONDS = 0.5
+NEED_POLL_INTERVAL_SECONDS = 0.5
 
 
 class LeaseManager:
@@ -44,14 +44,14 @@
 
     async def observe(self) -> bool:
         """Read the lease's object once; False when the platform did not answer."""
-        answer = await self._objects.read(self.key)
-        if isinstance(answer, Err):
+        result = await self._objects.read(self.key)
+        if isinstance(result, Err):
             return False
-        if answer.ok_value is not None:
-            self.note(answer.ok_value)
+        if result.ok_value is not None:
+            self.apply_read(result.ok_value)
         return True
 
-    def note(self, stored: StoredObject) -> None:
+    def apply_read(self, stored: StoredObject) -> None:
         """Take the object as it was read."""
         try:
             record = msgspec.json.decode(stored.value, type=LeaseRecord)
@@ -62,7 +62,7 @@
 
     async def acquire(self) -> bool:
         """Take or renew the lease if it may be; say whether it is held afterwards."""
-        if not await self._refresh_wait():
+        if not await self._can_acquire():
             return False
         await self._write(self.lease.acquire(read_clock()))
         return self.held
@@ -73,22 +73,22 @@
         if write is not None:
             await self._write(write)
 
-    async def keep(self, is_needed: Callable[[], bool], random: random.Random) -> None:
+    async def maintain(self, is_needed: Callable[[], bool], random: random.Random) -> None:
         """Hold the lease whenever it is needed and possible, until cancelled."""
         while True:
             if not is_needed():
-                await asyncio.sleep(NEED_POLL_SECONDS)
+                await asyncio.sleep(NEED_POLL_INTERVAL_SECONDS)
                 continue
             if self.lease.fence == 0:
                 await self.observe()
             held = await self.acquire()
-            seconds = RENEW_INTERVAL_SECONDS if held else OBSERVE_SECONDS
+            seconds = RENEW_INTERVAL_SECONDS if held else OBSERVE_INTERVAL_SECONDS
             wait = self.lease.find_wait(read_clock())
             if not held and 0 < wait < seconds:
                 seconds = wait
             await asyncio.sleep(seconds * random.uniform(0.9, 1.0))
 
-    async def _refresh_wait(self) -> bool:
+    async def _can_acquire(self) -> bool:
         """Say whether the lease may be claimed now, looking again if not."""
         if self.lease.find_wait(read_clock()) > 0:
             await self.observe()
@@ -101,10 +101,10 @@
         repeated a write that took effect, and a write held up on its way may land.
         """
         value = msgspec.json.encode(write.record)
-        answer = await self._objects.write(self.key, value, write.expected_version)
-        if isinstance(answer, Ok):
+        result = await self._objects.write(self.key, value, write.expected_version)
+        if isinstance(result, Ok):
             self.lease.observe(
-                read_clock(), ObservedLease(answer.ok_value, write.record)
+                read_clock(), ObservedLease(result.ok_value, write.record)
             )
         else:
             await self.observe()
--- a/libraries/agent/src/bamboopier_agent/load_slots.py
+++ b/libraries/agent/src/bamboopier_agent/load_slots.py
@@ -47,7 +47,7 @@
         self._random = random
         self._prefix = prefix
         self._lease_seconds = lease_seconds
-        self._keepers: dict[int, LeaseManager] = {}
+        self._slots: dict[int, LeaseManager] = {}
 
     @asynccontextmanager
     async def acquire(self, count: int) -> AsyncIterator[LeaseManager | None]:
@@ -56,36 +56,36 @@
         A try costs one read of all slots, and a slot a write to take, one to give up
         and one each 20 s between.
         """
-        keeper = await self._claim(count) if await self._observe(count) else None
-        if keeper is None:
+        slot = await self._acquire_free(count) if await self._observe(count) else None
+        if slot is None:
             yield None
             return
-        async with keep_running(_renew(keeper)):
-            yield keeper
-        await keeper.release()
+        async with keep_running(_renew(slot)):
+            yield slot
+        await slot.release()
 
     async def _observe(self, count: int) -> bool:
         """Read all slots at once; False when the platform did not answer."""
         for number in range(count):
-            self._keepers.setdefault(number, self._make_keeper(number))
-        answer = await self._objects.scan(f"{self._prefix}{self._service}/")
-        if isinstance(answer, Err):
+            self._slots.setdefault(number, self._make_slot(number))
+        result = await self._objects.scan(f"{self._prefix}{self._service}/")
+        if isinstance(result, Err):
             return False
-        for stored in answer.ok_value:
-            for keeper in self._keepers.values():
-                if stored.key == keeper.key:
-                    keeper.note(stored)
+        for stored in result.ok_value:
+            for slot in self._slots.values():
+                if stored.key == slot.key:
+                    slot.apply_read(stored)
         return True
 
-    async def _claim(self, count: int) -> LeaseManager | None:
-        leases = {n: self._keepers[n].lease for n in range(count)}
+    async def _acquire_free(self, count: int) -> LeaseManager | None:
+        leases = {n: self._slots[n].lease for n in range(count)}
         order = self._random.sample(range(count), count)
         number = choose_slot(read_clock(), leases, order)
-        if number is None or not await self._keepers[number].acquire():
+        if number is None or not await self._slots[number].acquire():
             return None
-        return self._keepers[number]
+        return self._slots[number]
 
-    def _make_keeper(self, number: int) -> LeaseManager:
+    def _make_slot(self, number: int) -> LeaseManager:
         # No two processes share a place here: an agent that starts anew after its
         # predecessor was killed must not take that one's slot at once, since the
         # engine may still be loading by the predecessor's order.
@@ -94,7 +94,7 @@
         return LeaseManager(self._objects, key, lease)
 
 
-async def _renew(keeper: LeaseManager) -> None:
+async def _renew(slot: LeaseManager) -> None:
     while True:
         await asyncio.sleep(RENEW_INTERVAL_SECONDS)
-        await keeper.acquire()
+        await slot.acquire()
--- a/libraries/agent/src/bamboopier_agent/refusals.py
+++ b/libraries/agent/src/bamboopier_agent/refusals.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from bamboopier_decisions.claims.table import ClaimOutcome
 
-    from .event_builder import Answer
+    from .event_builder import EventBuilder
 
 _CAUSES = {
     RejectReason.QUEUE_FULL: pb.QUEUE_FULL,
@@ -21,21 +21,21 @@
     RejectReason.BUSY: pb.BUSY,
 }
 # Seconds; a full partition frees places only as claims lapse.
-FULL_RETRY_SECONDS = 60.0
+TABLE_FULL_RETRY_SECONDS = 60.0
 
 
-def make_rejection(answer: Answer, reject: Reject) -> pb.ServeEvent:
+def make_rejection(builder: EventBuilder, reject: Reject) -> pb.ServeEvent:
     """Return the event for what admission turned away."""
-    return answer.make_not_run(_CAUSES[reject.reason], reject.retry_after)
+    return builder.make_not_run(_CAUSES[reject.reason], reject.retry_after)
 
 
-def make_claim_refusal(answer: Answer, outcome: ClaimOutcome) -> pb.ServeEvent:
+def make_claim_refusal(builder: EventBuilder, outcome: ClaimOutcome) -> pb.ServeEvent:
     """Return the event for a key that was not granted."""
     current = outcome.current
     if outcome.status is ClaimStatus.FULL or current is None:
-        return answer.make_not_run(pb.KEY_TABLE_FULL, FULL_RETRY_SECONDS)
+        return builder.make_not_run(pb.KEY_TABLE_FULL, TABLE_FULL_RETRY_SECONDS)
     if outcome.status is ClaimStatus.REUSED:
-        return answer.make_not_run(pb.KEY_REUSED)
-    return answer.make_not_run(
+        return builder.make_not_run(pb.KEY_REUSED)
+    return builder.make_not_run(
         pb.KEY_CLAIMED, claimed_by=current.holder, claim_id=current.claim_id
     )
--- a/libraries/agent/src/bamboopier_agent/response_cache.py
+++ b/libraries/agent/src/bamboopier_agent/response_cache.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class KeptAnswer:
+class CachedResponse:
     """One run under a key; ``finished`` once its answer is whole."""
 
     fingerprint: bytes
@@ -27,62 +27,62 @@
     overflowed: bool = False
 
 
-class KeptAnswers:
+class ResponseCache:
     """A bounded memory of answers, least recently made dropped first."""
 
     def __init__(self, capacity_bytes: int) -> None:
         self._capacity = capacity_bytes
         self._used = 0
-        self._answers: OrderedDict[bytes, KeptAnswer] = OrderedDict()
+        self._responses: OrderedDict[bytes, CachedResponse] = OrderedDict()
 
-    def begin(self, key: bytes, fingerprint: bytes) -> KeptAnswer:
+    def start(self, key: bytes, fingerprint: bytes) -> CachedResponse:
         """Note that a run under ``key`` is under way."""
         self.discard(key)
-        answer = KeptAnswer(fingerprint)
-        self._answers[key] = answer
+        response = CachedResponse(fingerprint)
+        self._responses[key] = response
         self._used += ENTRY_BYTES
-        return answer
+        return response
 
-    def add(self, answer: KeptAnswer, chunk: bytes) -> None:
+    def add(self, response: CachedResponse, chunk: bytes) -> None:
         """Keep a further piece; older answers, or this one's bytes, may have to go.
 
         Running answers count as well: a few huge ones would else fill the process's
         memory before the first of them ends.
         """
-        if answer.overflowed:
+        if response.overflowed:
             return
-        answer.body.extend(chunk)
+        response.body.extend(chunk)
         self._used += len(chunk)
-        self._make_room()
+        self._evict()
         if self._used > self._capacity:
-            self._used -= len(answer.body)
-            answer.body.clear()
-            answer.overflowed = True
+            self._used -= len(response.body)
+            response.body.clear()
+            response.overflowed = True
 
     def finish(self, key: bytes) -> None:
         """Note that the answer is whole."""
-        answer = self._answers.get(key)
-        if answer is None:
+        response = self._responses.get(key)
+        if response is None:
             return
-        answer.finished = True
-        if answer.overflowed:
+        response.finished = True
+        if response.overflowed:
             self.discard(key)
-        self._make_room()
+        self._evict()
 
     def discard(self, key: bytes) -> None:
         """Forget a run that left no whole answer."""
-        answer = self._answers.pop(key, None)
-        if answer is not None:
-            self._used -= ENTRY_BYTES + len(answer.body)
+        response = self._responses.pop(key, None)
+        if response is not None:
+            self._used -= ENTRY_BYTES + len(response.body)
 
-    def find(self, key: bytes) -> KeptAnswer | None:
+    def find(self, key: bytes) -> CachedResponse | None:
         """Return what is known of a run under ``key``."""
-        return self._answers.get(key)
+        return self._responses.get(key)
 
-    def _make_room(self) -> None:
+    def _evict(self) -> None:
         if self._used <= self._capacity:
             return
-        finished = [key for key, answer in self._answers.items() if answer.finished]
+        finished = [key for key, response in self._responses.items() if response.finished]
         for key in finished:
             if self._used <= self._capacity:
                 return
--- a/libraries/agent/src/bamboopier_agent/service.py
+++ b/libraries/agent/src/bamboopier_agent/service.py
@@ -14,9 +14,9 @@
 from bamboopier_decisions.claims.table import ClaimStatus
 from bamboopier_protocol import agent_pb2 as pb, agent_pb2_grpc
 
-from .event_builder import Answer
+from .event_builder import EventBuilder
 from .claims import hash_key
-from .errors import TargetBrokenError, TargetUnreachableError
+from .errors import BrokenResponseError, TargetUnreachableError
 from .event_stream import EventStream
 from .forwarded_request import (
     list_headers,
@@ -37,16 +37,16 @@
     from bamboopier_objects.follower import ConfigurationFollower
 
     from .claims import ClaimTable
-    from .context import ContextKeeper
+    from .context import ContextBlockManager
     from .gate import AdmissionGate, Entry
-    from .response_cache import KeptAnswer, KeptAnswers
+    from .response_cache import CachedResponse, ResponseCache
     from .metrics import AgentMetrics
     from .target import TargetClient
-    from .target_monitor import TargetWatch
+    from .target_monitor import TargetMonitor
 
 # How long past its deadline a non-idempotent call may go on, for its answer to be there
 # when the caller repeats the key. Without an end a hung target would fill its slots.
-OVERTIME_SECONDS = 60.0
+DEADLINE_GRACE_SECONDS = 60.0
 
 log = structlog.get_logger()
 
@@ -60,9 +60,9 @@
         target: TargetClient,
         gate: AdmissionGate,
         claims: ClaimTable,
-        kept: KeptAnswers,
-        context: ContextKeeper,
-        watch: TargetWatch,
+        response_cache: ResponseCache,
+        context: ContextBlockManager,
+        monitor: TargetMonitor,
         follower: ConfigurationFollower,
         metrics: AgentMetrics,
     ) -> None:
@@ -70,13 +70,13 @@
         self._target = target
         self._gate = gate
         self._claims = claims
-        self._kept = kept
+        self._response_cache = response_cache
         self._context = context
-        self._watch = watch
+        self._monitor = monitor
         self._follower = follower
         self._metrics = metrics
         self._seen = SeenAttempts()
-        self._runs: set[asyncio.Task[None]] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
 
     async def Serve(  # noqa: N802 (the name is the protocol's)
         self, request: pb.ServeRequest, context: Any
@@ -86,43 +86,43 @@
         Cancelling it cancels the target, unless a non-idempotent call has started.
         """
         self._follower.hear(request.generation)
-        answer = Answer(request.attempt_id, self.report)
+        builder = EventBuilder(request.attempt_id, self.report)
         if not self._seen.add(request.attempt_id):
             # The first copy may run: "not run" would be false, and so no refusal.
-            yield answer.make_unknown(pb.CONNECTION_LOST, "attempt received twice")
+            yield builder.make_unknown(pb.CONNECTION_LOST, "attempt received twice")
             return
-        refusal = self._find_refusal(request, answer)
+        refusal = self._find_refusal(request, builder)
         if refusal is not None:
             self._log_refusal(request, refusal)
             yield refusal
             return
         deadline = time.monotonic() + request.timeout_ms / 1000
         stream = EventStream(deadline)
-        run = asyncio.create_task(self._carry(request, answer, stream))
-        self._runs.add(run)
-        run.add_done_callback(self._runs.discard)
+        run = asyncio.create_task(self._serve_attempt(request, builder, stream))
+        self._tasks.add(run)
+        run.add_done_callback(self._tasks.discard)
         try:
             async with aclosing(stream.read()) as events:
                 async for event in events:
                     yield event
             await run
         finally:
-            stream.leave()
+            stream.disconnect()
             if not stream.detached:
                 run.cancel()
 
-    async def _carry(
-        self, request: pb.ServeRequest, answer: Answer, stream: EventStream
+    async def _serve_attempt(
+        self, request: pb.ServeRequest, builder: EventBuilder, stream: EventStream
     ) -> None:
         """Admit, claim and run one attempt, telling the stream what happens."""
         try:
-            async with self._gate.enter(self._describe(request, stream)) as entry:
+            async with self._gate.enter(self._build_admission_request(request, stream)) as entry:
                 if entry.reject is not None:
-                    refusal = make_rejection(answer, entry.reject)
+                    refusal = make_rejection(builder, entry.reject)
                     self._log_refusal(request, refusal)
                     await stream.put(refusal)
                     return
-                running = self._claim_and_run(request, answer, entry, stream)
+                running = self._claim_and_run(request, builder, entry, stream)
                 async with aclosing(running) as events:
                     async for event in events:
                         await stream.put(event)
@@ -136,23 +136,23 @@
         key = hash_key(request.workspace, request.idempotency_key)
         if self._claims.is_abandoned(request.workspace, request.idempotency_key):
             return pb.RecallReply(state=pb.RecallReply.NEVER_RAN)
-        if self._claims.has_given_up(request.claim_id):
+        if self._claims.was_abandoned(request.claim_id):
             return pb.RecallReply(state=pb.RecallReply.NEVER_RAN)
         if self._claims.is_open(request.claim_id):
             return pb.RecallReply(state=pb.RecallReply.RUNNING)
-        kept = self._kept.find(key)
-        if kept is None or kept.fingerprint != request.fingerprint:
+        cached_response = self._response_cache.find(key)
+        if cached_response is None or cached_response.fingerprint != request.fingerprint:
             return pb.RecallReply(state=pb.RecallReply.NOT_KEPT)
-        if not kept.finished:
+        if not cached_response.finished:
             return pb.RecallReply(state=pb.RecallReply.RUNNING)
         head = pb.ResponseHead(
-            status=kept.status,
-            headers=[pb.Header(name=n, value=v) for n, v in kept.headers],
-            weight_version=kept.weight_version,
+            status=cached_response.status,
+            headers=[pb.Header(name=n, value=v) for n, v in cached_response.headers],
+            weight_version=cached_response.weight_version,
             replayed=True,
         )
         return pb.RecallReply(
-            state=pb.RecallReply.KEPT, head=head, body=bytes(kept.body)
+            state=pb.RecallReply.KEPT, head=head, body=bytes(cached_response.body)
         )
 
     async def Report(  # noqa: N802 (the name is the protocol's)
@@ -169,16 +169,16 @@
         self._metrics.waiting.set(admission.waiting)
         return pb.LoadReport(
             target=self._settings.target,
-            start_id=self._watch.start_id,
+            start_id=self._monitor.start_id,
             running=admission.running,
             waiting=admission.waiting,
             limit=admission.limit,
             prefill_rate=admission.prefill_rate,
             queue_delay=admission.estimate_delay(),
             accepting=admission.accepting
-            and self._watch.reachable
+            and self._monitor.reachable
             and not self._is_drained(),
-            weight_version=self._watch.version,
+            weight_version=self._monitor.version,
             generation=self._follower.directory.generation,
         )
 
@@ -190,20 +190,20 @@
         )
 
     def _find_refusal(
-        self, request: pb.ServeRequest, answer: Answer
+        self, request: pb.ServeRequest, builder: EventBuilder
     ) -> pb.ServeEvent | None:
         if request.service != self._settings.service:
-            return answer.make_not_run(pb.TARGET_DOWN, detail="another service")
+            return builder.make_not_run(pb.TARGET_DOWN, detail="another service")
         if self._is_drained():
-            return answer.make_not_run(pb.STOPPING, detail="drained")
-        if not self._watch.reachable:
-            return answer.make_not_run(pb.TARGET_DOWN)
-        wanted = request.model.weight_version
-        if wanted and wanted != self._watch.version:
-            return answer.make_not_run(pb.WRONG_VERSION, detail=self._watch.version)
+            return builder.make_not_run(pb.STOPPING, detail="drained")
+        if not self._monitor.reachable:
+            return builder.make_not_run(pb.TARGET_DOWN)
+        requested = request.model.weight_version
+        if requested and requested != self._monitor.version:
+            return builder.make_not_run(pb.WRONG_VERSION, detail=self._monitor.version)
         return None
 
-    def _describe(
+    def _build_admission_request(
         self, request: pb.ServeRequest, stream: EventStream
     ) -> AdmissionRequested:
         workspace = self._follower.directory.workspaces.get(request.workspace)
@@ -222,36 +222,36 @@
     async def _claim_and_run(
         self,
         request: pb.ServeRequest,
-        answer: Answer,
+        builder: EventBuilder,
         entry: Entry,
         stream: EventStream,
     ) -> AsyncGenerator[pb.ServeEvent]:
         if request.idempotent or not request.idempotency_key:
-            running = self._run(request, answer, entry, stream, None)
+            running = self._run(request, builder, entry, stream, None)
             async with aclosing(running) as events:
                 async for event in events:
                     yield event
             return
         service = self._follower.directory.services.get(request.service)
         if service is None:
-            yield answer.make_not_run(pb.STALE_GENERATION, detail="service unknown")
+            yield builder.make_not_run(pb.STALE_GENERATION, detail="service unknown")
             return
-        claimed = await self._claims.claim(
+        claim_result = await self._claims.claim(
             service, request.workspace, request.idempotency_key, request.fingerprint
         )
-        if isinstance(claimed, Err):
-            detail = str(claimed.err_value)
-            refusal = answer.make_not_run(pb.PLATFORM_DOWN, 2.0, detail)
-        elif claimed.ok_value.status is not ClaimStatus.GRANTED:
-            refusal = make_claim_refusal(answer, claimed.ok_value)
+        if isinstance(claim_result, Err):
+            detail = str(claim_result.err_value)
+            refusal = builder.make_not_run(pb.PLATFORM_DOWN, 2.0, detail)
+        elif claim_result.ok_value.status is not ClaimStatus.GRANTED:
+            refusal = make_claim_refusal(builder, claim_result.ok_value)
         else:
             refusal = None
         if refusal is not None:
             self._log_refusal(request, refusal)
             yield refusal
             return
-        granted = claimed.unwrap()
-        running = self._run_claimed(request, answer, entry, stream, service, granted)
+        granted = claim_result.unwrap()
+        running = self._run_claimed(request, builder, entry, stream, service, granted)
         async with aclosing(running) as events:
             async for event in events:
                 yield event
@@ -259,7 +259,7 @@
     async def _run_claimed(
         self,
         request: pb.ServeRequest,
-        answer: Answer,
+        builder: EventBuilder,
         entry: Entry,
         stream: EventStream,
         service: Service,
@@ -271,40 +271,40 @@
         would else find the key claimed and tell the caller "outcome unknown".
         """
         key = hash_key(request.workspace, request.idempotency_key)
-        kept = self._kept.begin(key, request.fingerprint)
-        reached = True
+        cached_response = self._response_cache.start(key, request.fingerprint)
+        may_have_run = True
         try:
-            running = self._run(request, answer, entry, stream, kept)
+            running = self._run(request, builder, entry, stream, cached_response)
             async with aclosing(running) as events:
                 async for event in events:
                     if event.HasField("not_run"):
-                        reached = False
-                        self._kept.discard(key)
+                        may_have_run = False
+                        self._response_cache.discard(key)
                         await self._claims.release(service, granted)
                     yield event
         finally:
-            if entry.answered:
-                self._kept.finish(key)
+            if entry.succeeded:
+                self._response_cache.finish(key)
             else:
-                self._kept.discard(key)
-            if reached and not stream.detached:
+                self._response_cache.discard(key)
+            if may_have_run and not stream.detached:
                 # Cancelled before anything was sent.
                 self._claims.abandon(service, granted)
 
     async def _run(
         self,
         request: pb.ServeRequest,
-        answer: Answer,
+        builder: EventBuilder,
         entry: Entry,
         stream: EventStream,
-        kept: KeptAnswer | None,
+        cached_response: CachedResponse | None,
     ) -> AsyncGenerator[pb.ServeEvent]:
         started = time.monotonic()
         fetched = await self._context.fetch(request) if request.model.model else 0
         if time.monotonic() >= stream.deadline:
             # This process or the platform stood still for so long that the gateway has
             # told its caller the end; a thawed process must not run what came before.
-            yield answer.make_not_run(pb.DEADLINE)
+            yield builder.make_not_run(pb.DEADLINE)
             return
         usage = UsageReader()
         sent = time.monotonic()
@@ -312,7 +312,7 @@
         stream.detached = not request.idempotent
         try:
             async with (
-                asyncio.timeout_at(stream.deadline + OVERTIME_SECONDS),
+                asyncio.timeout_at(stream.deadline + DEADLINE_GRACE_SECONDS),
                 self._target.open(
                     request.method,
                     request.path,
@@ -324,43 +324,43 @@
                 self._metrics.first_byte.observe(time.monotonic() - started)
                 version = response.headers.get("Weight-Version", "")
                 headers = list_response_headers(response)
-                if kept is not None:
-                    kept.status, kept.headers = response.status, headers
-                    kept.weight_version = version
+                if cached_response is not None:
+                    cached_response.status, cached_response.headers = response.status, headers
+                    cached_response.weight_version = version
                 entry.mark_first_byte()
-                yield answer.make_head(response.status, headers, version)
+                yield builder.make_head(response.status, headers, version)
                 async for chunk in response.content.iter_any():
                     usage.add(chunk)
-                    if kept is not None:
-                        self._kept.add(kept, chunk)
-                    yield answer.make_chunk(chunk)
+                    if cached_response is not None:
+                        self._response_cache.add(cached_response, chunk)
+                    yield builder.make_chunk(chunk)
         except TargetUnreachableError as error:
             entry.failed = True
-            self._log_end(request, "not-run", 0)
-            yield answer.make_not_run(pb.TARGET_DOWN, detail=str(error))
+            self._log_outcome(request, "not-run", 0)
+            yield builder.make_not_run(pb.TARGET_DOWN, detail=str(error))
             return
-        except (TargetBrokenError, TimeoutError) as error:
+        except (BrokenResponseError, TimeoutError) as error:
             entry.failed = True
-            self._log_end(request, "unknown", 0)
-            yield answer.make_unknown(pb.TARGET_CRASHED, str(error))
+            self._log_outcome(request, "unknown", 0)
+            yield builder.make_unknown(pb.TARGET_CRASHED, str(error))
             return
-        counted = usage.read()
-        entry.answered = True
+        usage_counts = usage.read()
+        entry.succeeded = True
         if request.model.model:
-            prefill_tokens = max(0, counted.prompt_tokens - counted.cached_tokens)
-            self._context.note_answer(
-                request, counted.cached_tokens, prefill_tokens, first_byte
+            prefill_tokens = max(0, usage_counts.prompt_tokens - usage_counts.cached_tokens)
+            self._context.record_response(
+                request, usage_counts.cached_tokens, prefill_tokens, first_byte
             )
-        entry.output_tokens = counted.completion_tokens
-        entry.prefill_tokens = max(0, counted.prompt_tokens - counted.cached_tokens)
-        self._count_tokens(counted.prompt_tokens, counted.cached_tokens, fetched)
-        self._log_end(request, "finished", counted.cached_tokens)
-        yield answer.make_finished(
+        entry.output_tokens = usage_counts.completion_tokens
+        entry.prefill_tokens = max(0, usage_counts.prompt_tokens - usage_counts.cached_tokens)
+        self._count_tokens(usage_counts.prompt_tokens, usage_counts.cached_tokens, fetched)
+        self._log_outcome(request, "finished", usage_counts.cached_tokens)
+        yield builder.make_finished(
             pb.Finished(
-                prompt_tokens=counted.prompt_tokens,
-                cached_tokens=counted.cached_tokens,
+                prompt_tokens=usage_counts.prompt_tokens,
+                cached_tokens=usage_counts.cached_tokens,
                 fetched_tokens=fetched * self._context.find_block_tokens(request),
-                output_tokens=counted.completion_tokens,
+                output_tokens=usage_counts.completion_tokens,
             )
         )
 
@@ -370,7 +370,7 @@
         self._metrics.prompt_tokens.labels("reused").inc(cached)
         self._metrics.link_blocks.labels("fetch").inc(fetched)
 
-    def _log_end(self, request: pb.ServeRequest, outcome: str, cached: int) -> None:
+    def _log_outcome(self, request: pb.ServeRequest, outcome: str, cached: int) -> None:
         log.info(
             "attempt ended",
             request_id=request.request_id,
--- a/libraries/agent/src/bamboopier_agent/store_client.py
+++ b/libraries/agent/src/bamboopier_agent/store_client.py
@@ -11,11 +11,11 @@
 
 from .store_errors import (
     BlockMissingError,
-    StoreAnswerError,
+    StoreResponseError,
     StoreError,
     StoreFullError,
     StoreHungError,
-    StoreLateError,
+    TransferTimeoutError,
     StoreUnreachableError,
 )
 
@@ -26,7 +26,7 @@
 CALL_TIMEOUT_SECONDS = 5.0
 # A longer list is cut here: some 50,000 names, oldest first.
 MAX_LIST_BYTES = 4 * 1024 * 1024
-READ_PIECE_BYTES = 256 * 1024
+READ_CHUNK_BYTES = 256 * 1024
 
 
 class StoreClient:
@@ -60,25 +60,25 @@
         try:
             async with self._call("GET", address, name, timeout=timeout) as response:
                 if response.status != 200:
-                    return Err(_explain(response.status))
+                    return Err(_make_error(response.status))
                 # The store is not trusted with this process's memory: an endless body
                 # would otherwise grow it until the VM kills the agent.
                 await _read_up_to(response, content, limit + 1)
         except TimeoutError:
             # Bytes that came make it a slow link, none at all a store that hangs.
-            return Err(StoreLateError() if content else StoreHungError())
+            return Err(TransferTimeoutError() if content else StoreHungError())
         except aiohttp.ClientError as error:
             return Err(StoreUnreachableError(str(error)))
         if len(content) > limit:
-            return Err(StoreAnswerError(f"more than {limit} bytes"))
+            return Err(StoreResponseError(f"more than {limit} bytes"))
         return Ok(bytes(content))
 
-    async def measure(self, address: str, name: str) -> Result[int, StoreError]:
+    async def get_size(self, address: str, name: str) -> Result[int, StoreError]:
         """Return how many bytes lie under ``name``."""
         try:
             async with self._call("HEAD", address, name) as response:
                 if response.status != 200:
-                    return Err(_explain(response.status))
+                    return Err(_make_error(response.status))
                 return Ok(int(response.headers.get("Content-Length", "-1")))
         except TimeoutError:
             return Err(StoreHungError())
@@ -89,18 +89,18 @@
         self, address: str, name: str, sealed: bytes
     ) -> Result[None, StoreError]:
         """Store a block."""
-        return await self._change("PUT", address, name, sealed)
+        return await self._send_change("PUT", address, name, sealed)
 
     async def delete(self, address: str, name: str) -> Result[None, StoreError]:
         """Free a block's space; one that is gone already is no failure."""
-        return await self._change("DELETE", address, name)
+        return await self._send_change("DELETE", address, name)
 
     async def list_names(self, address: str) -> Result[list[str], StoreError]:
         """Return the names of stored blocks, oldest first, cut at a bound."""
         try:
             async with self._call("GET", address, "") as response:
                 if response.status != 200:
-                    return Err(_explain(response.status))
+                    return Err(_make_error(response.status))
                 content = bytearray()
                 await _read_up_to(response, content, MAX_LIST_BYTES)
         except TimeoutError:
@@ -109,14 +109,14 @@
             return Err(StoreUnreachableError(str(error)))
         return _decode_names(bytes(content))
 
-    async def _change(
+    async def _send_change(
         self, method: str, address: str, name: str, body: bytes | None = None
     ) -> Result[None, StoreError]:
         try:
             async with self._call(method, address, name, body=body) as response:
                 await response.read()
                 if response.status != 200:
-                    return Err(_explain(response.status))
+                    return Err(_make_error(response.status))
                 return Ok(None)
         except TimeoutError:
             return Err(StoreHungError())
@@ -147,8 +147,8 @@
 async def _read_up_to(
     response: aiohttp.ClientResponse, content: bytearray, limit: int
 ) -> None:
-    async for piece in response.content.iter_chunked(READ_PIECE_BYTES):
-        content.extend(piece)
+    async for chunk in response.content.iter_chunked(READ_CHUNK_BYTES):
+        content.extend(chunk)
         if len(content) >= limit:
             response.close()
             break
@@ -160,12 +160,12 @@
     try:
         return Ok(msgspec.json.decode(content, type=list[str]))
     except msgspec.MsgspecError as error:
-        return Err(StoreAnswerError(str(error)))
+        return Err(StoreResponseError(str(error)))
 
 
-def _explain(status: int) -> StoreError:
+def _make_error(status: int) -> StoreError:
     if status == 404:
         return BlockMissingError()
     if status == 507:
         return StoreFullError()
-    return StoreAnswerError(f"status {status}")
+    return StoreResponseError(f"status {status}")
--- a/libraries/agent/src/bamboopier_agent/store_errors.py
+++ b/libraries/agent/src/bamboopier_agent/store_errors.py
@@ -14,16 +14,16 @@
     MISSING = "missing"
     UNREACHABLE = "unreachable"
     HUNG = "hung"
-    LATE = "late"
+    TIMED_OUT = "late"
     FULL = "full"
-    UNPROVED = "unproved"
-    BAD_ANSWER = "bad-answer"
+    UNVERIFIED = "unproved"
+    BAD_RESPONSE = "bad-answer"
 
 
 class StoreError(BamboopierError):
     """Base of the failures of calls to store VMs."""
 
-    reason: ClassVar[StoreFailure] = StoreFailure.BAD_ANSWER
+    reason: ClassVar[StoreFailure] = StoreFailure.BAD_RESPONSE
 
 
 class BlockMissingError(StoreError):
@@ -44,10 +44,10 @@
     reason = StoreFailure.HUNG
 
 
-class StoreLateError(StoreError):
+class TransferTimeoutError(StoreError):
     """The bytes, or the link's budget for them, came too slowly to be of use."""
 
-    reason = StoreFailure.LATE
+    reason = StoreFailure.TIMED_OUT
 
 
 class StoreFullError(StoreError):
@@ -56,11 +56,11 @@
     reason = StoreFailure.FULL
 
 
-class BlockUnprovedError(StoreError):
+class BlockVerificationError(StoreError):
     """The bytes are not the block: torn, reused, damaged or someone else's."""
 
-    reason = StoreFailure.UNPROVED
+    reason = StoreFailure.UNVERIFIED
 
 
-class StoreAnswerError(StoreError):
+class StoreResponseError(StoreError):
     """The VM answered with a status or a body that has no meaning here."""
--- a/libraries/agent/src/bamboopier_agent/store_evictor.py
+++ b/libraries/agent/src/bamboopier_agent/store_evictor.py
@@ -17,8 +17,8 @@
 
 # Names chosen from one list. With the least seconds between lists this bounds the
 # calls: a full VM costs each writer one list in ten seconds and a delete a block.
-BATCH = 16
-LIST_SECONDS = 10.0
+EVICTION_BATCH_SIZE = 16
+MIN_LIST_INTERVAL_SECONDS = 10.0
 
 
 class StoreEvictor:
@@ -27,34 +27,34 @@
     def __init__(self, link: StoreLink) -> None:
         self._link = link
         # Chosen and not yet deleted, and when the list was read, by VM name.
-        self._chosen: dict[str, list[str]] = {}
+        self._victims: dict[str, list[str]] = {}
         self._listed_at: dict[str, float] = {}
 
-    async def make_room(self, vm: StoreVm, writer: BlockName) -> bool:
+    async def free_space(self, vm: StoreVm, writer: BlockName) -> bool:
         """Delete one block for ``writer``; False when there is nothing to delete now.
 
         Another agent may delete at the same moment: both then free a block, and a
         block freed under a reader fails that reader's proof.
         """
-        if not self._chosen.get(vm.name):
-            await self._choose(vm, writer)
-        chosen = self._chosen.get(vm.name)
-        if not chosen:
+        if not self._victims.get(vm.name):
+            await self._choose_victims(vm, writer)
+        victims = self._victims.get(vm.name)
+        if not victims:
             return False
-        victim = chosen.pop(0)
-        answer = await self._link.store.delete(vm.address, victim)
-        self._link.note_call(vm, answer.err_value if isinstance(answer, Err) else None)
-        return not isinstance(answer, Err)
+        victim = victims.pop(0)
+        result = await self._link.store.delete(vm.address, victim)
+        self._link.record_call(vm, result.err_value if isinstance(result, Err) else None)
+        return not isinstance(result, Err)
 
-    async def _choose(self, vm: StoreVm, writer: BlockName) -> None:
+    async def _choose_victims(self, vm: StoreVm, writer: BlockName) -> None:
         now = time.monotonic()
-        if now - self._listed_at.get(vm.name, -LIST_SECONDS) < LIST_SECONDS:
+        if now - self._listed_at.get(vm.name, -MIN_LIST_INTERVAL_SECONDS) < MIN_LIST_INTERVAL_SECONDS:
             return
         self._listed_at[vm.name] = now
-        answer = await self._link.store.list_names(vm.address)
-        if isinstance(answer, Err):
-            self._link.note_call(vm, answer.err_value)
+        result = await self._link.store.list_names(vm.address)
+        if isinstance(result, Err):
+            self._link.record_call(vm, result.err_value)
             return
-        self._chosen[vm.name] = choose_evictions(
-            answer.ok_value, self._link.view.shares, writer.tag, BATCH
+        self._victims[vm.name] = choose_evictions(
+            result.ok_value, self._link.view.shares, writer.tag, EVICTION_BATCH_SIZE
         )
--- a/libraries/agent/src/bamboopier_agent/store_link.py
+++ b/libraries/agent/src/bamboopier_agent/store_link.py
@@ -16,10 +16,10 @@
 from .context_view import DEFAULT_BLOCK_TOKENS, ContextView
 from .store_errors import (
     BlockMissingError,
-    BlockUnprovedError,
+    BlockVerificationError,
     StoreError,
     StoreHungError,
-    StoreLateError,
+    TransferTimeoutError,
     StoreUnreachableError,
 )
 
@@ -32,18 +32,18 @@
     from .store_client import StoreClient
 
 # Assumed until a first block has been seen.
-FIRST_BYTES_PER_TOKEN = 6400
+INITIAL_BYTES_PER_TOKEN = 6400
 SIZE_SMOOTHING = 0.3
 # A block larger than this many times its expected size is not read to its end.
 MAX_SIZE_FACTOR = 8
 # Blocks on their way at once for all requests together. When a data centre returns,
 # dozens of prompts fetch at the same moment; over a slow link their blocks of some
 # 50 MB would pile up here until the VM kills the agent with every stream it carries.
-READS_AT_ONCE = 4
+MAX_CONCURRENT_READS = 4
 MIN_READ_LIMIT = 64 * 1024 * 1024
 # How long blocks are looked for at the VMs that owned them before a change: most
 # prompts that return within the hour have moved their blocks by then.
-FORMER_SECONDS = 3600.0
+FORMER_OWNER_SECONDS = 3600.0
 
 
 class StoreLink:
@@ -58,15 +58,15 @@
         self._rate = rate
         self._block_bytes = 0.0
         self._former_vms: tuple[StoreVm, ...] = ()
-        self._changed_at = 0.0
-        self._slots = asyncio.Semaphore(READS_AT_ONCE)
+        self._vms_changed_at = 0.0
+        self._read_semaphore = asyncio.Semaphore(MAX_CONCURRENT_READS)
 
     def configure(self, view: ContextView) -> None:
         """Take another view; the VMs of the one before are still looked at."""
         now = time.monotonic()
         if self.view.store_vms and set(view.store_vms) != set(self.view.store_vms):
             self._former_vms = self.view.store_vms
-            self._changed_at = now
+            self._vms_changed_at = now
         changed = view.link_bytes_per_second != self.view.link_bytes_per_second
         self.view = view
         if changed:
@@ -79,18 +79,18 @@
 
     def estimate_block_bytes(self, block_tokens: int = DEFAULT_BLOCK_TOKENS) -> float:
         """Return the expected size of a sealed block."""
-        return self._block_bytes or block_tokens * FIRST_BYTES_PER_TOKEN
+        return self._block_bytes or block_tokens * INITIAL_BYTES_PER_TOKEN
 
-    def note_size(self, size: int) -> None:
+    def record_block_size(self, size: int) -> None:
         """Learn from a whole block's size."""
-        known = self._block_bytes or size
-        self._block_bytes = known + SIZE_SMOOTHING * (size - known)
+        previous = self._block_bytes or size
+        self._block_bytes = previous + SIZE_SMOOTHING * (size - previous)
 
-    def note_transfer(self, now: float, size: float, seconds: float) -> None:
+    def record_transfer(self, now: float, size: float, seconds: float) -> None:
         """Learn from a fetch that came in time."""
         self._rate.record(now, size, seconds)
 
-    def note_late(self, now: float, size: float, seconds: float) -> None:
+    def record_timeout(self, now: float, size: float, seconds: float) -> None:
         """Learn from a fetch of ``size`` bytes that was given up."""
         self._rate.record_timeout(now, size, seconds)
 
@@ -98,34 +98,34 @@
         """Return the VMs a block is written to."""
         return place_block(key, self.view.store_vms, self.view.replicas)
 
-    async def read_proved(
-        self, name: BlockName, secret: bytes, version: str, give_up_at: float
+    async def read_verified(
+        self, name: BlockName, secret: bytes, version: str, deadline: float
     ) -> Result[bytes, StoreError]:
         """Return the payload of a block that proved to be this very one.
 
-        ``give_up_at`` is on the monotonic clock; no wait in here goes beyond it.
+        ``deadline`` is on the monotonic clock; no wait in here goes beyond it.
         """
         sources = self._list_usable_sources(name.key)
         failure: StoreError = BlockMissingError()
         for position, vm in enumerate(sources):
-            left = give_up_at - time.monotonic()
+            remaining = deadline - time.monotonic()
             # A source that hangs leaves as much time for each of those behind it.
-            timeout = left / (len(sources) - position)
-            answer = await self._read_in_turn(vm, name, timeout)
-            if isinstance(answer, Err):
-                failure = answer.err_value
+            timeout = remaining / (len(sources) - position)
+            result = await self._read_when_free(vm, name, timeout)
+            if isinstance(result, Err):
+                failure = result.err_value
                 continue
             # A store may hold half a write, space freed and reused, or damaged bytes;
             # imported, they would become a wrong answer to some caller. The digest is
             # keyed and covers key, version and length, so nothing else passes. It is
             # computed in a thread: some 50 ms a block would stop every other stream.
             payload = await asyncio.to_thread(
-                open_block, secret, name.key, version, answer.ok_value
+                open_block, secret, name.key, version, result.ok_value
             )
             if payload is not None:
-                self.note_size(len(answer.ok_value))
+                self.record_block_size(len(result.ok_value))
                 return Ok(payload)
-            failure = BlockUnprovedError()
+            failure = BlockVerificationError()
             self._count_failure(failure)
         return Err(failure)
 
@@ -133,16 +133,16 @@
         self, vm: StoreVm, name: BlockName, sealed: bytes
     ) -> Result[None, StoreError]:
         """Write a block to one VM; the budget has been taken already."""
-        answer = await self.store.write(vm.address, str(name), sealed)
+        result = await self.store.write(vm.address, str(name), sealed)
         self._metrics.link_bytes.labels("export").inc(len(sealed))
-        self._note_answer(vm, answer)
-        return answer
+        self._record_result(vm, result)
+        return result
 
-    def note_call(self, vm: StoreVm, error: StoreError | None) -> None:
+    def record_call(self, vm: StoreVm, error: StoreError | None) -> None:
         """Learn the VM's health from a call; count its failure."""
         if isinstance(error, StoreHungError | StoreUnreachableError):
             self.health.record_failure(time.monotonic(), vm.name)
-        elif not isinstance(error, StoreLateError):
+        elif not isinstance(error, TransferTimeoutError):
             self.health.record_response(vm.name)
         if error is not None:
             self._count_failure(error)
@@ -150,28 +150,28 @@
     def _list_usable_sources(self, key: bytes) -> list[StoreVm]:
         now = time.monotonic()
         view = self.view
-        former = self._former_vms if now - self._changed_at < FORMER_SECONDS else ()
+        former = self._former_vms if now - self._vms_changed_at < FORMER_OWNER_SECONDS else ()
         sources = list_read_vms(
             key, view.store_vms, former, view.replicas, view.data_centre
         )
         return [vm for vm in sources if not self.health.is_backing_off(now, vm.name)]
 
-    async def _read_in_turn(
+    async def _read_when_free(
         self, vm: StoreVm, name: BlockName, timeout: float
     ) -> Result[bytes, StoreError]:
         started = time.monotonic()
         try:
             async with asyncio.timeout(timeout):
-                await self._slots.acquire()
+                await self._read_semaphore.acquire()
         except TimeoutError:
-            error = StoreLateError("other reads take all the time")
+            error = TransferTimeoutError("other reads take all the time")
             self._count_failure(error)
             return Err(error)
         try:
-            left = timeout - (time.monotonic() - started)
-            return await self._read(vm, name, left)
+            remaining = timeout - (time.monotonic() - started)
+            return await self._read(vm, name, remaining)
         finally:
-            self._slots.release()
+            self._read_semaphore.release()
 
     async def _read(
         self, vm: StoreVm, name: BlockName, timeout: float
@@ -182,27 +182,27 @@
         wait = self.budget.reserve_fetch(started, expected)
         try:
             if wait >= timeout:
-                error = StoreLateError("the link's budget is spent")
+                error = TransferTimeoutError("the link's budget is spent")
                 self._count_failure(error)
                 return Err(error)
             if wait > 0:
                 await asyncio.sleep(wait)
-            left = timeout - (time.monotonic() - started)
+            remaining = timeout - (time.monotonic() - started)
             limit = max(MIN_READ_LIMIT, expected * MAX_SIZE_FACTOR)
-            answer = await self.store.read(vm.address, str(name), left, limit)
-            used = len(answer.ok_value) if isinstance(answer, Ok) else 0
-            if isinstance(answer, Err) and isinstance(answer.err_value, StoreLateError):
+            result = await self.store.read(vm.address, str(name), remaining, limit)
+            used = len(result.ok_value) if isinstance(result, Ok) else 0
+            if isinstance(result, Err) and isinstance(result.err_value, TransferTimeoutError):
                 used = expected
         finally:
             self.budget.adjust_fetch(expected, used)
         self._metrics.link_bytes.labels("fetch").inc(used)
-        self._note_answer(vm, answer)
-        return answer
+        self._record_result(vm, result)
+        return result
 
-    def _note_answer(
-        self, vm: StoreVm, answer: Result[bytes, StoreError] | Result[None, StoreError]
+    def _record_result(
+        self, vm: StoreVm, result: Result[bytes, StoreError] | Result[None, StoreError]
     ) -> None:
-        self.note_call(vm, answer.err_value if isinstance(answer, Err) else None)
+        self.record_call(vm, result.err_value if isinstance(result, Err) else None)
 
     def _count_failure(self, error: StoreError) -> None:
         self._metrics.store_failures.labels(error.reason).inc()
--- a/libraries/agent/src/bamboopier_agent/target.py
+++ b/libraries/agent/src/bamboopier_agent/target.py
@@ -13,7 +13,7 @@
 from .errors import (
     OrderFailedError,
     OrderRefusedError,
-    TargetBrokenError,
+    BrokenResponseError,
     TargetError,
     TargetUnreachableError,
 )
@@ -57,9 +57,9 @@
     """Calls the target at ``base_url``; close it by leaving the context."""
 
     def __init__(
-        self, base_url: str, certificates: ssl.SSLContext | None = None
+        self, base_url: str, ssl_context: ssl.SSLContext | None = None
     ) -> None:
-        self._certificates = certificates or True
+        self._ssl_context = ssl_context or True
         self._base_url = base_url.rstrip("/")
         self._session: aiohttp.ClientSession | None = None
         self._run_session: aiohttp.ClientSession | None = None
@@ -68,7 +68,7 @@
         timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=CONNECT_TIMEOUT_SECONDS
         )
-        connector = aiohttp.TCPConnector(limit=0, ssl=self._certificates)
+        connector = aiohttp.TCPConnector(limit=0, ssl=self._ssl_context)
         self._session = aiohttp.ClientSession(
             timeout=timeout, connector=connector, auto_decompress=False
         )
@@ -78,7 +78,7 @@
             timeout=timeout,
             connector=aiohttp.TCPConnector(limit=0, force_close=True),
             auto_decompress=False,
-            middlewares=(_send_once,),
+            middlewares=(_prevent_resend,),
         )
         return self
 
@@ -116,7 +116,7 @@
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             raise TargetUnreachableError(str(error)) from error
         except aiohttp.ClientError as error:
-            raise TargetBrokenError(str(error) or type(error).__name__) from error
+            raise BrokenResponseError(str(error) or type(error).__name__) from error
 
     async def read_state(self) -> Result[TargetState, TargetError]:
         """Return the target's start id and weight version."""
@@ -142,7 +142,7 @@
                     return Err(OrderFailedError(f"status {response.status}"))
                 return Ok(None)
         except (aiohttp.ClientError, TimeoutError) as error:
-            return Err(TargetBrokenError(str(error) or type(error).__name__))
+            return Err(BrokenResponseError(str(error) or type(error).__name__))
 
     async def export_block(self, salt: str, key: bytes, version: str) -> bytes | None:
         """Return a block of ``version`` from the engine's cache, or None."""
@@ -184,7 +184,7 @@
                 content = await response.read()
                 return Ok(msgspec.json.decode(content, type=kind))
         except (aiohttp.ClientError, TimeoutError, msgspec.MsgspecError) as error:
-            return Err(TargetBrokenError(str(error) or type(error).__name__))
+            return Err(BrokenResponseError(str(error) or type(error).__name__))
 
     def _require_session(self) -> aiohttp.ClientSession:
         if self._session is None:
@@ -192,7 +192,7 @@
         return self._session
 
 
-async def _send_once(
+async def _prevent_resend(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
     """Keep aiohttp from sending a request again by itself.
@@ -206,4 +206,4 @@
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
         raise
     except aiohttp.ClientError as error:
-        raise TargetBrokenError(str(error) or type(error).__name__) from error
+        raise BrokenResponseError(str(error) or type(error).__name__) from error
--- a/libraries/agent/src/bamboopier_agent/target_monitor.py
+++ b/libraries/agent/src/bamboopier_agent/target_monitor.py
@@ -11,18 +11,18 @@
 from bamboopier_decisions.admission.messages import TargetRestarted
 
 if TYPE_CHECKING:
-    from .context import ContextKeeper
+    from .context import ContextBlockManager
     from .gate import AdmissionGate
     from .target import TargetClient
 
 POLL_SECONDS = 0.5
 
 
-class TargetWatch:
+class TargetMonitor:
     """Knows the target as of its last answer."""
 
     def __init__(
-        self, target: TargetClient, gate: AdmissionGate, context: ContextKeeper
+        self, target: TargetClient, gate: AdmissionGate, context: ContextBlockManager
     ) -> None:
         self._target = target
         self._gate = gate
@@ -40,29 +40,29 @@
 
     async def refresh(self) -> None:
         """Ask the target once."""
-        answer = await self._target.read_state()
-        if isinstance(answer, Err):
+        result = await self._target.read_state()
+        if isinstance(result, Err):
             self.reachable = False
             return
-        state = answer.ok_value
+        state = result.ok_value
         self.reachable = True
         self.version = state.version
         if state.start_id != self.start_id:
-            self._note_restart(state.start_id)
+            self._handle_restart(state.start_id)
         if state.version:
             await self._read_events()
 
-    def _note_restart(self, start_id: str) -> None:
+    def _handle_restart(self, start_id: str) -> None:
         self.start_id = start_id
         self._event_position = 0
-        self._context.forget_resident()
-        self._gate.tell(TargetRestarted(time.monotonic()))
+        self._context.clear_resident()
+        self._gate.handle(TargetRestarted(time.monotonic()))
 
     async def _read_events(self) -> None:
-        answer = await self._target.read_events(self._event_position)
-        if isinstance(answer, Err):
+        result = await self._target.read_events(self._event_position)
+        if isinstance(result, Err):
             return
-        events = answer.ok_value
+        events = result.ok_value
         if events.start_id != self.start_id:
             return
         # Fewer events than positions: some were lost, and any block may have left.
--- a/libraries/agent/src/bamboopier_agent/usage.py
+++ b/libraries/agent/src/bamboopier_agent/usage.py
@@ -6,7 +6,7 @@
 
 # The usage stands in the last event or at the end of the document.
 TAIL_BYTES = 4096
-_MARK = b'"usage":'
+_USAGE_KEY = b'"usage":'
 
 
 class _PromptDetails(msgspec.Struct):
@@ -42,10 +42,10 @@
 
     def read(self) -> Usage:
         """Return the usage, all zero when the engine reported none."""
-        position = self._tail.rfind(_MARK)
+        position = self._tail.rfind(_USAGE_KEY)
         if position < 0:
             return Usage()
-        document = _cut_object(self._tail[position + len(_MARK) :])
+        document = _cut_object(self._tail[position + len(_USAGE_KEY) :])
         try:
             return msgspec.json.decode(document, type=Usage)
         except msgspec.MsgspecError:
--- a/libraries/agent/src/bamboopier_agent/weight_updater.py
+++ b/libraries/agent/src/bamboopier_agent/weight_updater.py
@@ -23,23 +23,23 @@
 
     from .lease import LeaseManager
     from .load_slots import LoadSlots
-    from .availability_gate import TargetStanding
+    from .availability_gate import AvailabilityGate
     from .target import TargetClient
-    from .target_monitor import TargetWatch
+    from .target_monitor import TargetMonitor
 
-REVIEW_SECONDS = 0.5
+RECONCILE_INTERVAL_SECONDS = 0.5
 # 41 targets of a model that wait for two slots read 55 times a second.
 SLOT_RETRY_SECONDS = 1.5
 # How long an engine may report its old version after it took an order, or after the
 # order's answer was lost; the slot stays taken meanwhile.
-READ_BACK_SECONDS = 60.0
+READ_BACK_TIMEOUT_SECONDS = 60.0
 READ_BACK_POLL_SECONDS = 0.1
 # The slot is kept this long after a load, so that gateways learn that the target is
 # open again before the next one closes. Without it callers are refused in between:
 # gateways know of no target with the new version while the last with the old one load.
-SETTLE_SECONDS = 2.0
+SLOT_HOLD_SECONDS = 2.0
 # After a load that failed, doubled up to the maximum.
-FIRST_RETRY_SECONDS = 1.0
+INITIAL_RETRY_SECONDS = 1.0
 MAX_RETRY_SECONDS = 60.0
 
 log = structlog.get_logger()
@@ -55,15 +55,15 @@
     FAILED = "failed"
 
 
-class WeightsKeeper:
+class WeightUpdater:
     """Compares the target's version with the configured one and orders loads."""
 
     def __init__(
         self,
         service_name: str,
         target: TargetClient,
-        watch: TargetWatch,
-        standing: TargetStanding,
+        monitor: TargetMonitor,
+        availability_gate: AvailabilityGate,
         follower: ConfigurationFollower,
         lease: LeaseManager,
         slots: LoadSlots,
@@ -72,8 +72,8 @@
     ) -> None:
         self._service_name = service_name
         self._target = target
-        self._watch = watch
-        self._standing = standing
+        self._monitor = monitor
+        self._availability_gate = availability_gate
         self._follower = follower
         self._lease = lease
         self._slots = slots
@@ -86,7 +86,7 @@
         while True:
             outcome = await self.reconcile()
             failures = failures + 1 if outcome is LoadOutcome.FAILED else 0
-            await asyncio.sleep(self._draw_pause(outcome, failures))
+            await asyncio.sleep(self._choose_delay(outcome, failures))
 
     def needs_lease(self) -> bool:
         """Say whether the target takes orders, and how its lease may be taken over."""
@@ -102,10 +102,10 @@
     async def reconcile(self) -> LoadOutcome:
         """Load the configured version if the target serves another."""
         service = self._follower.directory.services.get(self._service_name)
-        wanted = self.find_wanted(service)
-        if service is None or not wanted or not self._watch.reachable:
+        configured_version = self.find_configured_version(service)
+        if service is None or not configured_version or not self._monitor.reachable:
             return LoadOutcome.LOADED
-        if self._watch.version == wanted:
+        if self._monitor.version == configured_version:
             return LoadOutcome.LOADED
         if not self._lease.held:
             return LoadOutcome.NO_LEASE
@@ -113,26 +113,26 @@
         async with self._slots.acquire(count) as slot:
             if slot is None:
                 return LoadOutcome.NO_SLOT
-            outcome = await self._load(wanted, slot)
+            outcome = await self._load(configured_version, slot)
             if outcome is LoadOutcome.LOADED:
-                await asyncio.sleep(SETTLE_SECONDS)
-        log.info("weights ordered", version=wanted, outcome=outcome.value)
+                await asyncio.sleep(SLOT_HOLD_SECONDS)
+        log.info("weights ordered", version=configured_version, outcome=outcome.value)
         return outcome
 
-    def find_wanted(self, service: Service | None) -> str:
+    def find_configured_version(self, service: Service | None) -> str:
         """Return the configured version; empty where there is not just one model."""
         if service is None or service.kind != "model" or len(service.models) != 1:
             return ""
         model = self._follower.directory.models.get(service.models[0])
         return model.version if model is not None else ""
 
-    async def _load(self, wanted: str, slot: LeaseManager) -> LoadOutcome:
+    async def _load(self, configured_version: str, slot: LeaseManager) -> LoadOutcome:
         """Order the load and read back what the engine says of itself.
 
         Between the order and the read-back the engine may serve either version, so no
         new work goes in: a request made for one version could run on the other.
         """
-        self._standing.set_loading(True)
+        self._availability_gate.set_loading(True)
         try:
             # The write shows at once whether another process has taken the lease while
             # this one, or its whole machine, stood still.
@@ -140,30 +140,30 @@
                 return LoadOutcome.NO_LEASE
             if not slot.held or not self._lease.held:
                 return LoadOutcome.NO_LEASE
-            answer = await self._target.load_weights(wanted, self._lease.lease.fence)
-            if isinstance(answer, Err):
-                if isinstance(answer.err_value, OrderRefusedError):
+            result = await self._target.load_weights(configured_version, self._lease.lease.fence)
+            if isinstance(result, Err):
+                if isinstance(result.err_value, OrderRefusedError):
                     return LoadOutcome.REFUSED
-                if isinstance(answer.err_value, OrderFailedError):
+                if isinstance(result.err_value, OrderFailedError):
                     return LoadOutcome.FAILED
-            return await self._read_back(wanted)
+            return await self._read_back(configured_version)
         finally:
-            self._standing.set_loading(False)
+            self._availability_gate.set_loading(False)
 
-    async def _read_back(self, wanted: str) -> LoadOutcome:
+    async def _read_back(self, configured_version: str) -> LoadOutcome:
         """Wait until the engine itself reports the version."""
-        tries = int(READ_BACK_SECONDS / READ_BACK_POLL_SECONDS)
+        tries = int(READ_BACK_TIMEOUT_SECONDS / READ_BACK_POLL_SECONDS)
         for _ in range(tries):
-            await self._watch.refresh()
-            if self._watch.reachable and self._watch.version == wanted:
+            await self._monitor.refresh()
+            if self._monitor.reachable and self._monitor.version == configured_version:
                 return LoadOutcome.LOADED
             await asyncio.sleep(READ_BACK_POLL_SECONDS)
         return LoadOutcome.FAILED
 
-    def _draw_pause(self, outcome: LoadOutcome, failures: int) -> float:
+    def _choose_delay(self, outcome: LoadOutcome, failures: int) -> float:
         if outcome is LoadOutcome.NO_SLOT:
             return self._random.uniform(0.5, 1.0) * SLOT_RETRY_SECONDS
         if outcome in (LoadOutcome.FAILED, LoadOutcome.REFUSED):
-            longest = FIRST_RETRY_SECONDS * 2.0 ** min(failures, 8)
-            return self._random.uniform(0.5, 1.0) * min(MAX_RETRY_SECONDS, longest)
-        return REVIEW_SECONDS
+            max_delay = INITIAL_RETRY_SECONDS * 2.0 ** min(failures, 8)
+            return self._random.uniform(0.5, 1.0) * min(MAX_RETRY_SECONDS, max_delay)
+        return RECONCILE_INTERVAL_SECONDS
--- a/libraries/agent/tests/context_builders.py
+++ b/libraries/agent/tests/context_builders.py
@@ -9,8 +9,8 @@
 import aiohttp
 from aiohttp.test_utils import TestServer
 
-from bamboopier_agent.context import ContextKeeper, ContextRates
-from bamboopier_agent.context_view import ContextView, find_tag
+from bamboopier_agent.context import ContextBlockManager, ContextRates
+from bamboopier_agent.context_view import ContextView, get_workspace_tag
 from bamboopier_agent.metrics import AgentMetrics
 from bamboopier_agent.store_client import StoreClient
 from bamboopier_agent.target import TargetClient
@@ -37,7 +37,7 @@
 # The caller's patience for a fast link is the least there is.
 FAST_LINK = 1e9
 # Recomputing is quicker than this: nothing is fetched.
-STUCK_LINK = 0.001
+STALLED_LINK = 0.001
 HISTORY = tuple(f"visit-{n}" for n in range(3 * BLOCK_TOKENS))
 
 
@@ -62,7 +62,7 @@
 
 def list_names(request: pb.ServeRequest) -> list[str]:
     """Return the names in the store of a request's blocks."""
-    tag = find_tag(BLOCK_SECRET, request.workspace)
+    tag = get_workspace_tag(BLOCK_SECRET, request.workspace)
     return [str(BlockName(tag, n, k)) for n, k in enumerate(request.model.block_keys)]
 
 
@@ -90,7 +90,7 @@
         return self.rate
 
 
-class ContextRig:
+class ContextHarness:
     """One target with its keeper and some store VMs."""
 
     def __init__(self, stores: int = 1, capacity: int = 1 << 20) -> None:
@@ -120,7 +120,7 @@
         """Put a new keeper in place, which remembers nothing."""
         self.metrics = AgentMetrics()
         self.link_rate = FixedRate(SLOW_LINK)
-        self.keeper = ContextKeeper(
+        self.manager = ContextBlockManager(
             self.target,
             self.store_client,
             BLOCK_SECRET,
@@ -132,12 +132,12 @@
     def configure(self, **view: Any) -> None:
         """Publish a view; by default all store VMs, one replica."""
         values = {"store_vms": self.vms, "block_tokens": {MODEL: BLOCK_TOKENS}, **view}
-        self.keeper.configure(ContextView(**values))
+        self.manager.configure(ContextView(**values))
 
     async def run(self, request: pb.ServeRequest, *, fetch: bool = True) -> int:
         """Run a request as the agent does; return the tokens that were cached."""
         if fetch:
-            await self.keeper.fetch(request)
+            await self.manager.fetch(request)
         body = {
             "prompt": request.body.decode(),
             "cache_salt": request.model.cache_salt,
@@ -148,7 +148,7 @@
             usage = (await response.json())["usage"]
         cached = int(usage["prompt_tokens_details"]["cached_tokens"])
         prefill_tokens = usage["prompt_tokens"] - cached
-        self.keeper.note_answer(request, cached, prefill_tokens, 0.1)
+        self.manager.record_response(request, cached, prefill_tokens, 0.1)
         return cached
 
     async def run_and_export(
@@ -156,10 +156,10 @@
     ) -> int:
         """Run a request and wait until its blocks are exported."""
         cached = await self.run(request, fetch=fetch)
-        await self.keeper.exporter.drain()
+        await self.manager.exporter.export_queued()
         return cached
 
-    def start_cold(self) -> None:
+    def restart_cold(self) -> None:
         """A fresh engine process with a fresh agent beside it; the stores stay."""
         self.engine.cache.clear()
         self.engine.imports.clear()
--- a/libraries/agent/tests/order_builders.py
+++ b/libraries/agent/tests/order_builders.py
@@ -14,8 +14,8 @@
 from bamboopier_agent.gate import AdmissionGate
 from bamboopier_agent.lease import LeaseManager
 from bamboopier_agent.load_slots import LoadSlots
-from bamboopier_agent.availability_gate import TargetStanding
-from bamboopier_agent.weight_updater import WeightsKeeper
+from bamboopier_agent.availability_gate import AvailabilityGate
+from bamboopier_agent.weight_updater import WeightUpdater
 from bamboopier_configuration.directory import Directory
 from bamboopier_configuration.model import Configuration, Model, Service
 from bamboopier_configuration.settings import Address, AgentSettings
@@ -115,7 +115,7 @@
         return Ok(None)
 
 
-class Watch:
+class FakeMonitor:
     """Shows an engine as its agent's watch would."""
 
     def __init__(self, engine: Engine) -> None:
@@ -155,16 +155,16 @@
         self.engine = engine
         self.gate = AdmissionGate(AdmissionController(4, 4, random.Random(1)))
         settings = build_settings(name)
-        self.standing = TargetStanding(settings, self.gate)
+        self.availability_gate = AvailabilityGate(settings, self.gate)
         holder = vm or name
         lease = Lease(f"{holder}:{next(_starts)}", f"place-of-{holder}", DURATION)
         self.lease = LeaseManager(objects, f"leases/targets/{name}", lease)  # type: ignore[arg-type]
-        self.watch = Watch(engine)
-        self.weights = WeightsKeeper(
+        self.monitor = FakeMonitor(engine)
+        self.weight_updater = WeightUpdater(
             SERVICE,
             engine,  # type: ignore[arg-type]
-            self.watch,  # type: ignore[arg-type]
-            self.standing,
+            self.monitor,  # type: ignore[arg-type]
+            self.availability_gate,
             Published(build_directory(version, loads_at_once, engine)),  # type: ignore[arg-type]
             self.lease,
             LoadSlots(
@@ -177,8 +177,8 @@
             random.Random(3),
         )
 
-    async def take_lease(self) -> bool:
-        self.weights.needs_lease()
+    async def acquire_lease(self) -> bool:
+        self.weight_updater.needs_lease()
         await self.lease.observe()
         return await self.lease.acquire()
 
--- a/libraries/agent/tests/service_builders.py
+++ b/libraries/agent/tests/service_builders.py
@@ -11,7 +11,7 @@
 from bamboopier_agent.claims import ClaimTable
 from bamboopier_agent.errors import TargetUnreachableError
 from bamboopier_agent.gate import AdmissionGate
-from bamboopier_agent.response_cache import KeptAnswers
+from bamboopier_agent.response_cache import ResponseCache
 from bamboopier_agent.metrics import AgentMetrics
 from bamboopier_agent.service import AgentService
 from bamboopier_configuration.directory import Directory
@@ -66,7 +66,7 @@
     )
     directory = Directory(1, Configuration(services=[DISPATCH]))
     follower: Any = SimpleNamespace(directory=directory, hear=lambda _: None)
-    watch: Any = SimpleNamespace(reachable=True, start_id="s", version="")
+    monitor: Any = SimpleNamespace(reachable=True, start_id="s", version="")
     untyped_target: Any = target
     context: Any = SimpleNamespace(find_block_tokens=lambda _: 0)
     return AgentService(
@@ -74,9 +74,9 @@
         untyped_target,
         AdmissionGate(AdmissionController(8, 8, random.Random(1))),
         ClaimTable(objects, name),
-        KeptAnswers(10_000),
+        ResponseCache(10_000),
         context,
-        watch,
+        monitor,
         follower,
         AgentMetrics(),
     )
--- a/libraries/agent/tests/test_claims.py
+++ b/libraries/agent/tests/test_claims.py
@@ -35,13 +35,13 @@
         self.agents = [ClaimTable(self.objects, f"agent-{n}") for n in range(2)]
 
     async def claim(self, number: int, body: bytes = b"A46") -> ClaimOutcome | None:
-        answer = await self.agents[number].claim(DISPATCH, "fosse", "key", body)
-        return answer.ok_value if isinstance(answer, Ok) else None
+        result = await self.agents[number].claim(DISPATCH, "fosse", "key", body)
+        return result.ok_value if isinstance(result, Ok) else None
 
     async def wait_until_settled(self) -> None:
         async with asyncio.timeout(HANG_SECONDS):
             for table in self.agents:
-                await table.settle()
+                await table.wait_until_released()
 
     async def test_at_most_one_is_granted_and_no_key_is_lost(self) -> None:
         # A lost first answer is tried again at once, so a cell needs two in a row; all
@@ -57,16 +57,16 @@
     async def _run_cell(self, faults: list[CallFault]) -> None:
         self.setUp()
         self.objects.write_faults.extend(faults)
-        told = [await self.claim(0), await self.claim(1)]
+        outcomes = [await self.claim(0), await self.claim(1)]
         self.objects.write_faults.clear()
         self.objects.land_delayed()
         await self.wait_until_settled()
         self.objects.land_delayed()
-        told.append(await self.claim(1))
-        granted = [o for o in told if o is not None and o.status is ClaimStatus.GRANTED]
-        self.assertEqual(len(granted), 1, told)
+        outcomes.append(await self.claim(1))
+        granted = [o for o in outcomes if o is not None and o.status is ClaimStatus.GRANTED]
+        self.assertEqual(len(granted), 1, outcomes)
 
-    async def test_a_claim_left_while_it_is_written_is_released(self) -> None:
+    async def test_a_claim_cancelled_during_its_write_is_released(self) -> None:
         self.objects.may_write.clear()
         left = asyncio.create_task(self.claim(0))
         await self.objects.writing.wait()
@@ -77,7 +77,7 @@
         outcome = await self.claim(1)
         self.assertEqual(outcome and outcome.status, ClaimStatus.GRANTED)
 
-    async def test_a_claim_left_while_its_write_is_resent_is_released(self) -> None:
+    async def test_a_claim_cancelled_while_its_write_is_resent_is_released(self) -> None:
         # The write takes effect, its answer is lost, the message layer sends it again
         # and the platform answers with a conflict: that is no proof of no effect.
         self.objects.may_write.clear()
@@ -94,7 +94,7 @@
     async def test_a_slow_platform_is_refused_and_the_claim_released(self) -> None:
         self.objects.may_write.clear()
         async with asyncio.timeout(HANG_SECONDS):
-            with mock.patch.object(claims, "CLAIM_SECONDS", 0.01):
+            with mock.patch.object(claims, "CLAIM_TIMEOUT_SECONDS", 0.01):
                 self.assertIsNone(await self.claim(0))
         self.assertTrue(self.agents[0].is_abandoned("fosse", "key"))
         self.objects.may_write.set()
@@ -106,7 +106,7 @@
         granted = await self.claim(0)
         assert granted is not None
         self.objects.down = True
-        with mock.patch.object(claims, "RELEASE_SECONDS", 0.01):
+        with mock.patch.object(claims, "RELEASE_TIMEOUT_SECONDS", 0.01):
             await self.agents[0].release(DISPATCH, granted)
         self.objects.down = False
         self.assertTrue(self.agents[0].is_abandoned("fosse", "key"))
@@ -114,7 +114,7 @@
         outcome = await self.claim(1)
         self.assertEqual(outcome and outcome.status, ClaimStatus.GRANTED)
 
-    async def test_a_released_claim_is_still_known_to_have_run_nothing(self) -> None:
+    async def test_a_released_claim_is_still_reported_as_never_run(self) -> None:
         # Agent 1 has read the claim of agent 0, which then releases it. Asked about
         # that claim, agent 0 must not seem to have lost the answer of a run.
         granted = await self.claim(0)
@@ -124,9 +124,9 @@
         await self.agents[0].release(DISPATCH, granted)
         await self.wait_until_settled()
         self.assertFalse(self.agents[0].is_abandoned("fosse", "key"))
-        self.assertTrue(self.agents[0].has_given_up(seen.current.claim_id))
+        self.assertTrue(self.agents[0].was_abandoned(seen.current.claim_id))
 
-    async def test_a_stop_waits_for_a_claim_left_as_its_grant_arrived(self) -> None:
+    async def test_a_stop_waits_for_a_claim_cancelled_as_it_is_granted(self) -> None:
         # In one turn of the event loop a claim is granted, its gateway leaves, and the
         # caller's resend comes to the same agent, which then stops. Left behind by the
         # stop, the claim would make its key "outcome unknown" although nothing ran.
@@ -145,7 +145,7 @@
         await self.wait_until_settled()
         self.assertNotIn(claim_id, self.objects.list_claim_ids())
 
-    async def test_an_outage_leaves_no_work_behind(self) -> None:
+    async def test_an_outage_leaves_no_pending_work(self) -> None:
         self.objects.down = True
         for _ in range(100):
             self.assertIsNone(await self.claim(0))
@@ -157,8 +157,8 @@
         await self.agents[0].claim(short, "fosse", "key", b"A46")
         later = time.time() + 3600
         with mock.patch("bamboopier_agent.claim_writer.time.time", lambda: later):
-            answer = await self.agents[1].claim(short, "fosse", "key", b"A46")
-        self.assertEqual(answer.unwrap().status, ClaimStatus.HELD)
+            result = await self.agents[1].claim(short, "fosse", "key", b"A46")
+        self.assertEqual(result.unwrap().status, ClaimStatus.HELD)
 
     async def test_claims_of_one_partition_share_a_write(self) -> None:
         with mock.patch.object(claims, "PARTITIONS", 1):
--- a/libraries/agent/tests/test_context.py
+++ b/libraries/agent/tests/test_context.py
@@ -11,15 +11,15 @@
 import unittest
 
 from bamboopier_agent.forwarded_request import make_body
-from bamboopier_agent.store_link import READS_AT_ONCE
+from bamboopier_agent.store_link import MAX_CONCURRENT_READS
 from bamboopier_agent.target import CacheEvent, CacheEvents
 
 from .context_builders import (
     BLOCK_TOKENS,
     FAST_LINK,
     HISTORY,
-    STUCK_LINK,
-    ContextRig,
+    STALLED_LINK,
+    ContextHarness,
     build_request,
     list_digests,
     list_names,
@@ -33,30 +33,30 @@
         # in the caller's answer, so the engine must be given nothing of it.
         for fault in ("flip", "truncate", "swap", "splice"):
             with self.subTest(fault):
-                async with ContextRig() as rig:
+                async with ContextHarness() as harness:
                     request = build_request()
-                    await rig.run_and_export(request)
-                    rig.start_cold()
-                    rig.stores[0].faults = {fault: 1}
-                    self.assertEqual(await rig.run_and_export(request), 0)
-                    self.assertEqual(rig.list_imported(), [])
-                    rig.start_cold()
-                    self.assertEqual(await rig.run(request), len(HISTORY))
-                    self.assertEqual(rig.list_imported(), list_digests(request))
+                    await harness.run_and_export(request)
+                    harness.restart_cold()
+                    harness.stores[0].faults = {fault: 1}
+                    self.assertEqual(await harness.run_and_export(request), 0)
+                    self.assertEqual(harness.list_imported(), [])
+                    harness.restart_cold()
+                    self.assertEqual(await harness.run(request), len(HISTORY))
+                    self.assertEqual(harness.list_imported(), list_digests(request))
 
     async def test_a_block_damaged_in_the_store_is_written_again(self) -> None:
         # A bit of the stored block has turned; its length is right, so that a look at
         # the store says "there". Unless it is written again every return recomputes.
-        async with ContextRig() as rig:
+        async with ContextHarness() as harness:
             request = build_request()
-            await rig.run_and_export(request)
-            rig.stores[0].blocks[list_names(request)[0]][200] ^= 1
-            rig.start_cold()
-            await rig.run_and_export(request)
-            self.assertEqual(rig.list_imported(), [])
-            self.assertEqual(rig.count_failures("unproved"), 1)
-            rig.start_cold()
-            self.assertEqual(await rig.run(request), len(HISTORY))
+            await harness.run_and_export(request)
+            harness.stores[0].blocks[list_names(request)[0]][200] ^= 1
+            harness.restart_cold()
+            await harness.run_and_export(request)
+            self.assertEqual(harness.list_imported(), [])
+            self.assertEqual(harness.count_failures("unproved"), 1)
+            harness.restart_cold()
+            self.assertEqual(await harness.run(request), len(HISTORY))
 
     async def test_a_foreign_or_older_block_under_the_name_is_not_imported(
         self,
@@ -71,214 +71,214 @@
         }
         for what, other in others.items():
             with self.subTest(what):
-                async with ContextRig() as rig:
-                    rig.engine.version = other.model.weight_version
-                    await rig.run_and_export(other)
-                    rig.engine.version = "v1"
-                    blocks = rig.stores[0].blocks
+                async with ContextHarness() as harness:
+                    harness.engine.version = other.model.weight_version
+                    await harness.run_and_export(other)
+                    harness.engine.version = "v1"
+                    blocks = harness.stores[0].blocks
                     blocks[list_names(request)[0]] = blocks[list_names(other)[0]]
-                    rig.start_cold()
-                    self.assertEqual(await rig.run(request), 0)
-                    self.assertEqual(rig.list_imported(), [])
+                    harness.restart_cold()
+                    self.assertEqual(await harness.run(request), 0)
+                    self.assertEqual(harness.list_imported(), [])
 
     async def test_a_writer_killed_at_any_byte_leaves_no_block(self) -> None:
         # The agent dies while it writes: the store keeps what arrived under the
         # block's name. The next reader must take it for a miss, and the next writer
         # must not take the torn block for a stored one.
-        async with ContextRig() as rig:
+        async with ContextHarness() as harness:
             request = build_request(HISTORY[:BLOCK_TOKENS])
-            await rig.run_and_export(request)
-            whole = len(rig.stores[0].blocks[list_names(request)[0]])
+            await harness.run_and_export(request)
+            whole = len(harness.stores[0].blocks[list_names(request)[0]])
             for cut in range(0, whole, 17):
-                rig.stores[0].blocks.clear()
-                rig.start_cold()
-                rig.stores[0].faults = {"cut": cut}
-                await rig.run_and_export(request)
-                stored = rig.stores[0].blocks[list_names(request)[0]]
+                harness.stores[0].blocks.clear()
+                harness.restart_cold()
+                harness.stores[0].faults = {"cut": cut}
+                await harness.run_and_export(request)
+                stored = harness.stores[0].blocks[list_names(request)[0]]
                 self.assertEqual(len(stored), cut)
-                rig.stores[0].faults = {}
-                rig.start_cold()
-                await rig.run_and_export(request)
-                self.assertEqual(rig.list_imported(), [], cut)
-                rig.start_cold()
-                await rig.run(request)
-                self.assertEqual(rig.list_imported(), list_digests(request), cut)
+                harness.stores[0].faults = {}
+                harness.restart_cold()
+                await harness.run_and_export(request)
+                self.assertEqual(harness.list_imported(), [], cut)
+                harness.restart_cold()
+                await harness.run(request)
+                self.assertEqual(harness.list_imported(), list_digests(request), cut)
 
-    async def test_a_torn_write_is_not_taken_for_a_stored_block(self) -> None:
+    async def test_a_torn_write_does_not_count_as_a_stored_block(self) -> None:
         # The writer died half-way; its successor fetches nothing, because the engine
         # has the blocks, and asks the store only whether the block is there.
-        async with ContextRig() as rig:
+        async with ContextHarness() as harness:
             request = build_request()
-            rig.stores[0].faults = {"cut": 200}
-            await rig.run_and_export(request)
-            rig.stores[0].faults = {}
-            rig.restart_agent()
-            await rig.run_and_export(request, fetch=False)
-            rig.start_cold()
-            await rig.run(request)
-            self.assertEqual(rig.list_imported(), list_digests(request))
+            harness.stores[0].faults = {"cut": 200}
+            await harness.run_and_export(request)
+            harness.stores[0].faults = {}
+            harness.restart_agent()
+            await harness.run_and_export(request, fetch=False)
+            harness.restart_cold()
+            await harness.run(request)
+            self.assertEqual(harness.list_imported(), list_digests(request))
 
     async def test_a_swap_between_run_and_export_stores_nothing(self) -> None:
         # The engine swaps weights while the agent still believes v1: the prompt runs
         # with v2, and its block lies in the engine under v1's key. Stored, it would be
         # served to a caller of v1, with a digest that proves it.
-        async with ContextRig() as rig:
-            rig.engine.version = "v2"
-            await rig.run_and_export(build_request(version="v1"))
-            self.assertEqual(list(rig.stores[0].blocks), [])
+        async with ContextHarness() as harness:
+            harness.engine.version = "v2"
+            await harness.run_and_export(build_request(version="v1"))
+            self.assertEqual(list(harness.stores[0].blocks), [])
 
-    async def test_wrong_beliefs_about_the_cache_cost_only_a_recomputation(
+    async def test_a_stale_view_of_the_cache_costs_only_a_recomputation(
         self,
     ) -> None:
         # The engine drops blocks and its events are lost: for the first prompt that
         # returns the agent fetches nothing and the engine recomputes. Its count of
         # cached tokens ends the belief in all older blocks, as a gap in events does.
-        async with ContextRig() as rig:
+        async with ContextHarness() as harness:
             older, request = build_request(HISTORY[::-1]), build_request()
             for gap in (False, True):
-                await rig.run_and_export(older)
-                await rig.run_and_export(request)
-                rig.engine.cache.clear()
-                rig.engine.imports.clear()
+                await harness.run_and_export(older)
+                await harness.run_and_export(request)
+                harness.engine.cache.clear()
+                harness.engine.imports.clear()
                 if gap:
                     lost = CacheEvents("s", 9, [CacheEvent("stored", "00")])
-                    rig.keeper.apply_events(lost, gap=True)
-                cached = await rig.run(request)
+                    harness.manager.apply_events(lost, gap=True)
+                cached = await harness.run(request)
                 self.assertEqual(cached, len(HISTORY) if gap else 0)
-                self.assertEqual(await rig.run(older), len(HISTORY))
+                self.assertEqual(await harness.run(older), len(HISTORY))
 
 
 class StoreFailureTests(unittest.IsolatedAsyncioTestCase):
-    async def test_a_store_that_hangs_is_given_up_and_then_passed_over(self) -> None:
+    async def test_a_hung_store_times_out_and_is_then_skipped(self) -> None:
         # The store accepts the connection and never answers, or sends the head and
         # then nothing. The caller waits for the plan's patience, not for the store;
         # callers after it are not made to find out again.
         for fault in ("frozen", "drip"):
             with self.subTest(fault):
-                async with ContextRig() as rig:
+                async with ContextHarness() as harness:
                     request = build_request()
-                    await rig.run_and_export(request)
-                    rig.start_cold()
-                    rig.link_rate.rate = FAST_LINK
-                    rig.stores[0].faults = {fault: 99}
-                    reads = rig.count_calls("GET")
+                    await harness.run_and_export(request)
+                    harness.restart_cold()
+                    harness.link_rate.rate = FAST_LINK
+                    harness.stores[0].faults = {fault: 99}
+                    reads = harness.count_calls("GET")
                     for _ in range(3):
-                        self.assertEqual(await rig.run(request), 0)
-                        rig.engine.cache.clear()
-                        rig.keeper.forget_resident()
-                    asked = rig.count_calls("GET") - reads
+                        self.assertEqual(await harness.run(request), 0)
+                        harness.engine.cache.clear()
+                        harness.manager.clear_resident()
+                    asked = harness.count_calls("GET") - reads
                     self.assertLessEqual(asked, 2 * len(request.model.block_keys))
-                    self.assertGreater(rig.count_failures("hung"), 0)
-                    self.assertEqual(rig.list_imported(), [])
+                    self.assertGreater(harness.count_failures("hung"), 0)
+                    self.assertEqual(harness.list_imported(), [])
 
     async def test_a_dead_store_falls_back_to_the_other_replica(self) -> None:
-        async with ContextRig(stores=2) as rig:
-            rig.restart_agent(replicas=2)
+        async with ContextHarness(stores=2) as harness:
+            harness.restart_agent(replicas=2)
             request = build_request()
-            await rig.run_and_export(request)
-            self.assertEqual([len(s.blocks) for s in rig.stores], [3, 3])
-            rig.start_cold()
-            rig.configure(replicas=2, data_centre="dc-0")
-            rig.stores[0].blocks.clear()
-            self.assertEqual(await rig.run(request), len(HISTORY))
+            await harness.run_and_export(request)
+            self.assertEqual([len(s.blocks) for s in harness.stores], [3, 3])
+            harness.restart_cold()
+            harness.configure(replicas=2, data_centre="dc-0")
+            harness.stores[0].blocks.clear()
+            self.assertEqual(await harness.run(request), len(HISTORY))
 
     async def test_a_full_store_fails_the_export_only(self) -> None:
-        async with ContextRig() as rig:
-            rig.stores[0].faults = {"full": 1}
+        async with ContextHarness() as harness:
+            harness.stores[0].faults = {"full": 1}
             request = build_request()
-            await rig.run_and_export(request)
-            self.assertEqual(rig.stores[0].blocks, {})
-            self.assertEqual(await rig.run(request), len(HISTORY))
+            await harness.run_and_export(request)
+            self.assertEqual(harness.stores[0].blocks, {})
+            self.assertEqual(await harness.run(request), len(HISTORY))
 
-    async def test_after_a_change_the_former_owner_is_asked_too(self) -> None:
-        async with ContextRig(stores=2) as rig:
-            rig.restart_agent(store_vms=rig.vms[:1])
+    async def test_after_a_change_the_former_owner_is_read_too(self) -> None:
+        async with ContextHarness(stores=2) as harness:
+            harness.restart_agent(store_vms=harness.vms[:1])
             requests = [build_request((f"p{n}", *HISTORY)) for n in range(4)]
             for request in requests:
-                await rig.run_and_export(request)
-            rig.engine.cache.clear()
-            rig.keeper.forget_resident()
-            rig.configure()
+                await harness.run_and_export(request)
+            harness.engine.cache.clear()
+            harness.manager.clear_resident()
+            harness.configure()
             for request in requests:
-                self.assertEqual(await rig.run(request), len(HISTORY))
+                self.assertEqual(await harness.run(request), len(HISTORY))
 
 
 class LinkUseTests(unittest.IsolatedAsyncioTestCase):
     async def test_concurrent_requests_fetch_a_block_once(self) -> None:
-        async with ContextRig() as rig:
+        async with ContextHarness() as harness:
             request = build_request()
-            await rig.run_and_export(request)
-            rig.start_cold()
-            reads = rig.count_calls("GET")
-            await asyncio.gather(*(rig.keeper.fetch(request) for _ in range(5)))
-            reads = rig.count_calls("GET") - reads
+            await harness.run_and_export(request)
+            harness.restart_cold()
+            reads = harness.count_calls("GET")
+            await asyncio.gather(*(harness.manager.fetch(request) for _ in range(5)))
+            reads = harness.count_calls("GET") - reads
             self.assertEqual(reads, len(request.model.block_keys))
 
     async def test_many_returning_prompts_are_read_a_few_blocks_at_a_time(self) -> None:
         # A data centre returns and twenty prompts with it. All at once, their blocks
         # would take more memory than the agent's VM has.
-        async with ContextRig() as rig:
+        async with ContextHarness() as harness:
             requests = [build_request((f"p{n}", *HISTORY)) for n in range(20)]
             for request in requests:
-                await rig.run_and_export(request)
-            rig.start_cold()
-            rig.stores[0].most_reading = 0
-            await asyncio.gather(*(rig.keeper.fetch(r) for r in requests))
-            self.assertLessEqual(rig.stores[0].most_reading, READS_AT_ONCE)
-            self.assertEqual(len(rig.engine.imports), 20 * 3)
+                await harness.run_and_export(request)
+            harness.restart_cold()
+            harness.stores[0].most_reading = 0
+            await asyncio.gather(*(harness.manager.fetch(r) for r in requests))
+            self.assertLessEqual(harness.stores[0].most_reading, MAX_CONCURRENT_READS)
+            self.assertEqual(len(harness.engine.imports), 20 * 3)
 
     async def test_a_restarted_agent_does_not_send_stored_blocks_again(self) -> None:
-        async with ContextRig() as rig:
+        async with ContextHarness() as harness:
             request = build_request()
-            await rig.run_and_export(request)
-            writes = rig.count_calls("PUT")
-            rig.restart_agent()
-            await rig.run_and_export(request, fetch=False)
-            self.assertEqual(rig.count_calls("PUT"), writes)
+            await harness.run_and_export(request)
+            writes = harness.count_calls("PUT")
+            harness.restart_agent()
+            await harness.run_and_export(request, fetch=False)
+            self.assertEqual(harness.count_calls("PUT"), writes)
 
-    async def test_evicted_blocks_are_written_again_at_one_return(self) -> None:
+    async def test_evicted_blocks_are_written_again_by_one_request(self) -> None:
         # Another agent evicted a prompt's last two blocks. This one, which wrote them,
         # meets the first as a miss; were the second still believed stored, each return
         # would mend a single block.
-        async with ContextRig() as rig:
+        async with ContextHarness() as harness:
             request = build_request()
-            await rig.run_and_export(request)
+            await harness.run_and_export(request)
             for name in list_names(request)[1:]:
-                del rig.stores[0].blocks[name]
-            rig.engine.cache.clear()
-            rig.keeper.forget_resident()
-            self.assertEqual(await rig.run_and_export(request), BLOCK_TOKENS)
-            self.assertEqual(set(rig.stores[0].blocks), set(list_names(request)))
+                del harness.stores[0].blocks[name]
+            harness.engine.cache.clear()
+            harness.manager.clear_resident()
+            self.assertEqual(await harness.run_and_export(request), BLOCK_TOKENS)
+            self.assertEqual(set(harness.stores[0].blocks), set(list_names(request)))
 
     async def test_a_slow_link_is_not_used_until_it_may_have_recovered(self) -> None:
         # The link has become a thousand times slower than prefill: nothing is read,
         # and nothing written that nobody would read.
-        async with ContextRig() as rig:
+        async with ContextHarness() as harness:
             request = build_request()
-            rig.link_rate.rate = STUCK_LINK
-            await rig.run_and_export(request)
-            self.assertEqual(rig.count_calls("PUT"), 0)
-            rig.start_cold()
-            await rig.run_and_export(request)
-            rig.start_cold()
-            rig.link_rate.rate = STUCK_LINK
-            reads = rig.count_calls("GET")
-            self.assertEqual(await rig.run(request), 0)
-            self.assertEqual(rig.count_calls("GET"), reads)
+            harness.link_rate.rate = STALLED_LINK
+            await harness.run_and_export(request)
+            self.assertEqual(harness.count_calls("PUT"), 0)
+            harness.restart_cold()
+            await harness.run_and_export(request)
+            harness.restart_cold()
+            harness.link_rate.rate = STALLED_LINK
+            reads = harness.count_calls("GET")
+            self.assertEqual(await harness.run(request), 0)
+            self.assertEqual(harness.count_calls("GET"), reads)
 
 
 class WorkspaceTests(unittest.IsolatedAsyncioTestCase):
     async def test_the_same_prompt_in_two_workspaces_shares_nothing(self) -> None:
         # Two workspaces send the same words. Neither the engine's cache nor the store
         # may let one see, by speed or by content, that the other sent them.
-        async with ContextRig() as rig:
+        async with ContextHarness() as harness:
             first, second = build_request(), build_request(workspace="gouda")
-            await rig.run_and_export(first)
-            self.assertEqual(await rig.run_and_export(second), 0)
+            await harness.run_and_export(first)
+            self.assertEqual(await harness.run_and_export(second), 0)
             self.assertFalse(set(list_names(first)) & set(list_names(second)))
-            rig.start_cold()
-            await rig.run(second)
-            salts = {entry["salt"] for entry in rig.engine.imports}
+            harness.restart_cold()
+            await harness.run(second)
+            salts = {entry["salt"] for entry in harness.engine.imports}
             self.assertEqual(salts, {"salt-gouda"})
 
     def test_a_caller_cannot_choose_the_salt_or_the_keys(self) -> None:
@@ -295,15 +295,15 @@
     async def test_a_workspace_that_fills_the_store_evicts_only_itself(self) -> None:
         # One workspace writes ten times what the store holds, through an agent that
         # meets 507 again and again; the other has one prompt there, below its share.
-        async with ContextRig() as rig:
+        async with ContextHarness() as harness:
             quiet = build_request(workspace="gouda")
-            await rig.run_and_export(quiet)
-            rig.stores[0].capacity = 4 * rig.stores[0].used
+            await harness.run_and_export(quiet)
+            harness.stores[0].capacity = 4 * harness.stores[0].used
             for number in range(40):
-                await rig.run_and_export(build_request((f"p{number}", *HISTORY)))
-            self.assertLessEqual(set(list_names(quiet)), set(rig.stores[0].blocks))
-            self.assertGreater(rig.count_calls("DELETE"), 0)
-            calls = {m: rig.count_calls(m) for m in ("HEAD", "PUT", "DELETE", "GET")}
+                await harness.run_and_export(build_request((f"p{number}", *HISTORY)))
+            self.assertLessEqual(set(list_names(quiet)), set(harness.stores[0].blocks))
+            self.assertGreater(harness.count_calls("DELETE"), 0)
+            calls = {m: harness.count_calls(m) for m in ("HEAD", "PUT", "DELETE", "GET")}
             # A block costs at most a look, two writes and a delete; lists are bounded.
             self.assertLessEqual(calls["HEAD"] + calls["DELETE"], 2 * 41 * 3)
             self.assertLessEqual(calls["PUT"], 2 * 41 * 3)
--- a/libraries/agent/tests/test_response_cache.py
+++ b/libraries/agent/tests/test_response_cache.py
@@ -4,46 +4,46 @@
 
 import unittest
 
-from bamboopier_agent.response_cache import ENTRY_BYTES, KeptAnswers
+from bamboopier_agent.response_cache import ENTRY_BYTES, ResponseCache
 
 CAPACITY = 4 * ENTRY_BYTES
 PIECE = b"x" * 100
 
 
-class KeptAnswersTests(unittest.TestCase):
+class ResponseCacheTests(unittest.TestCase):
     def setUp(self) -> None:
-        self.kept = KeptAnswers(CAPACITY)
+        self.cache = ResponseCache(CAPACITY)
 
-    def keep(self, key: bytes, pieces: int) -> None:
-        answer = self.kept.begin(key, b"body")
+    def store(self, key: bytes, pieces: int) -> None:
+        response = self.cache.start(key, b"body")
         for _ in range(pieces):
-            self.kept.add(answer, PIECE)
-        self.kept.finish(key)
-
-    def test_an_answer_larger_than_the_memory_is_not_kept(self) -> None:
-        self.keep(b"huge", CAPACITY)
-        self.assertIsNone(self.kept.find(b"huge"))
-        self.keep(b"small", 1)
-        small = self.kept.find(b"small")
+            self.cache.add(response, PIECE)
+        self.cache.finish(key)
+
+    def test_a_response_larger_than_the_cache_is_not_kept(self) -> None:
+        self.store(b"huge", CAPACITY)
+        self.assertIsNone(self.cache.find(b"huge"))
+        self.store(b"small", 1)
+        small = self.cache.find(b"small")
         self.assertEqual(small and bytes(small.body), PIECE)
 
-    def test_running_answers_share_the_memory(self) -> None:
-        running = [self.kept.begin(bytes([n]), b"body") for n in range(3)]
+    def test_running_responses_share_the_capacity(self) -> None:
+        running = [self.cache.start(bytes([n]), b"body") for n in range(3)]
         for _ in range(100):
-            for answer in running:
-                self.kept.add(answer, PIECE)
-        self.assertLessEqual(sum(len(answer.body) for answer in running), CAPACITY)
-        for answer in running:
-            self.assertFalse(answer.overflowed and answer.body)
+            for response in running:
+                self.cache.add(response, PIECE)
+        self.assertLessEqual(sum(len(response.body) for response in running), CAPACITY)
+        for response in running:
+            self.assertFalse(response.overflowed and response.body)
 
-    def test_the_oldest_finished_answer_goes_first(self) -> None:
+    def test_the_oldest_finished_response_is_evicted_first(self) -> None:
         for key in (b"1", b"2", b"3", b"4"):
-            self.keep(key, 4)
-        found = [key for key in (b"1", b"2", b"3", b"4") if self.kept.find(key)]
+            self.store(key, 4)
+        found = [key for key in (b"1", b"2", b"3", b"4") if self.cache.find(key)]
         self.assertEqual(found, [b"3", b"4"])
 
-    def test_a_part_of_an_answer_is_never_replayed(self) -> None:
-        answer = self.kept.begin(b"k", b"body")
-        self.kept.add(answer, PIECE)
-        self.kept.discard(b"k")
-        self.assertIsNone(self.kept.find(b"k"))
+    def test_a_partial_response_is_never_replayed(self) -> None:
+        response = self.cache.start(b"k", b"body")
+        self.cache.add(response, PIECE)
+        self.cache.discard(b"k")
+        self.assertIsNone(self.cache.find(b"k"))
--- a/libraries/agent/tests/test_service.py
+++ b/libraries/agent/tests/test_service.py
@@ -47,7 +47,7 @@
         request = make_request("left", **changes)
         return asyncio.create_task(serve(self.service, request))
 
-    async def leave(self, task: asyncio.Task[list[pb.ServeEvent]]) -> None:
+    async def disconnect(self, task: asyncio.Task[list[pb.ServeEvent]]) -> None:
         task.cancel()
         await asyncio.wait({task})
 
@@ -65,11 +65,11 @@
                 self.assertTrue(second.HasField("unknown"))
                 self.assertEqual(self.target.runs, 1)
 
-    async def test_a_run_goes_on_when_its_gateway_leaves(self) -> None:
+    async def test_a_run_continues_after_its_gateway_disconnects(self) -> None:
         self.target.may_answer.clear()
         task = await self.start()
         await self.target.running.wait()
-        await self.leave(task)
+        await self.disconnect(task)
         self.assertEqual((await self.recall()).state, pb.RecallReply.RUNNING)
         self.target.may_answer.set()
         async with asyncio.timeout(HANG_SECONDS):
@@ -78,26 +78,26 @@
         self.assertEqual((reply.state, reply.body), (reply.KEPT, b"".join(PIECES)))
         self.assertEqual((self.target.runs, self.target.cancelled), (1, 0))
 
-    async def test_an_idempotent_run_is_cut_when_its_gateway_leaves(self) -> None:
+    async def test_an_idempotent_run_is_cancelled_with_its_gateway(self) -> None:
         self.target.may_answer.clear()
         task = await self.start(idempotent=True)
         await self.target.running.wait()
-        await self.leave(task)
+        await self.disconnect(task)
         await asyncio.sleep(0)
         self.assertEqual(self.target.cancelled, 1)
 
-    async def test_a_gateway_that_leaves_before_the_run_frees_the_key(self) -> None:
+    async def test_a_disconnect_before_the_run_frees_the_key(self) -> None:
         self.objects.may_write.clear()
         task = await self.start()
         await self.objects.writing.wait()
-        await self.leave(task)
+        await self.disconnect(task)
         self.objects.may_write.set()
-        await self.service._claims.settle()
+        await self.service._claims.wait_until_released()
         self.assertEqual(self.target.runs, 0)
         events = await serve(self.other, make_request("next"))
         self.assertTrue(events[-1].HasField("finished"))
 
-    async def test_an_unreachable_target_frees_the_key_before_it_is_said(self) -> None:
+    async def test_an_unreachable_target_frees_the_key_before_not_run(self) -> None:
         self.target.reachable = False
         last = await self.serve("first")
         self.assertEqual(last.not_run.cause, pb.TARGET_DOWN)
@@ -106,19 +106,19 @@
         self.assertTrue(events[-1].HasField("finished"))
         self.assertEqual(self.target.runs, 1)
 
-    async def test_a_key_that_cannot_be_freed_yet_is_said_not_to_have_run(self) -> None:
+    async def test_a_key_that_cannot_be_freed_yet_is_reported_never_run(self) -> None:
         self.target.reachable = False
         self.objects.may_write.clear()
         task = asyncio.create_task(self.serve("first"))
         await self.objects.writing.wait()
         self.objects.may_write.set()
-        with mock.patch("bamboopier_agent.claims.RELEASE_SECONDS", 0.01):
+        with mock.patch("bamboopier_agent.claims.RELEASE_TIMEOUT_SECONDS", 0.01):
             self.objects.after_write = lambda: setattr(self.objects, "down", True)
             last = await task
         self.assertEqual(last.not_run.cause, pb.TARGET_DOWN)
         self.assertEqual((await self.recall()).state, pb.RecallReply.NEVER_RAN)
 
-    async def test_a_process_thawed_after_the_deadline_does_not_run(self) -> None:
+    async def test_a_process_resumed_after_the_deadline_does_not_run(self) -> None:
         # The platform's answer is held until the deadline has passed, as it is for a
         # process that was stopped in between; the caller has its final answer by then.
         self.objects.may_write.clear()
@@ -132,22 +132,22 @@
         events = await serve(self.other, make_request("next"))
         self.assertTrue(events[-1].HasField("finished"))
 
-    async def test_a_hung_target_does_not_hold_its_place_for_ever(self) -> None:
+    async def test_a_hung_target_does_not_hold_its_slot_forever(self) -> None:
         self.target.may_answer.clear()
-        no_overtime = mock.patch.object(service_module, "OVERTIME_SECONDS", 0)
+        no_grace = mock.patch.object(service_module, "DEADLINE_GRACE_SECONDS", 0)
         async with asyncio.timeout(HANG_SECONDS):
-            with no_overtime:
+            with no_grace:
                 last = await self.serve("hung", timeout_ms=20)
         self.assertTrue(last.HasField("unknown"))
         self.assertEqual(self.service._gate.admission.running, 0)
 
-    async def test_a_claim_whose_answer_is_under_way_is_no_lost_one(self) -> None:
+    async def test_a_claim_with_its_write_in_flight_is_running(self) -> None:
         # A gateway sends a dispatch, and the platform takes the claim. Before its
         # answer is back at the agent, the caller asks again at another agent, which
         # reads the claim. Its holder may yet run the dispatch or give it up: told
         # "outcome unknown" as of a lost run, the caller would never ask again.
-        for leaves in (False, True):
-            with self.subTest(leaves=leaves):
+        for disconnects in (False, True):
+            with self.subTest(disconnects=disconnects):
                 self.setUp()
                 self.objects.may_answer.clear()
                 task = await self.start()
@@ -156,11 +156,11 @@
                 self.assertEqual(second.cause, pb.KEY_CLAIMED)
                 reply = await self.recall(second.claim_id)
                 self.assertEqual(reply.state, pb.RecallReply.RUNNING)
-                if leaves:
-                    await self.leave(task)
+                if disconnects:
+                    await self.disconnect(task)
                 self.objects.may_answer.set()
                 await asyncio.wait({task})
-                wanted = pb.RecallReply.NEVER_RAN if leaves else pb.RecallReply.KEPT
+                wanted = pb.RecallReply.NEVER_RAN if disconnects else pb.RecallReply.KEPT
                 reply = await self.recall(second.claim_id)
                 self.assertEqual(reply.state, wanted)
 
@@ -174,7 +174,7 @@
         self.service = make_service(self.objects, self.target, "agent-1")
         reply = await self.recall(claim_id)
         self.assertEqual(reply.state, pb.RecallReply.NOT_KEPT)
-        await self.leave(task)
+        await self.disconnect(task)
 
 
 class RecallTests(unittest.IsolatedAsyncioTestCase):
@@ -192,7 +192,7 @@
         self.claim_ids: set[str] = set()
         self.states: set[int] = set()
 
-    async def test_the_holder_knows_its_claim_at_every_step(self) -> None:
+    async def test_the_holder_reports_its_claim_at_every_step(self) -> None:
         for reachable in (True, False):
             for fault in CallFault:
                 with self.subTest(reachable=reachable, fault=fault):
@@ -201,41 +201,41 @@
                     self.objects.write_faults.append(fault)
                     await self.follow()
 
-    async def test_the_holder_knows_its_claim_whenever_its_gateway_leaves(self) -> None:
+    async def test_the_holder_reports_its_claim_at_every_disconnect(self) -> None:
         for steps in range(MAX_STEPS):
             with self.subTest(steps=steps):
                 self.setUp()
-                ended = await self.follow(leave_after=steps)
+                ended = await self.follow(disconnect_after=steps)
         # The last one ran undisturbed, so that no step was left out.
         self.assertTrue(ended)
 
-    async def test_the_holder_knows_a_claim_that_took_too_long(self) -> None:
+    async def test_the_holder_reports_a_claim_that_timed_out(self) -> None:
         # The platform answers only once the agent has told its gateway "not run".
         self.objects.may_answer.clear()
-        with mock.patch.object(claims, "CLAIM_SECONDS", 0.01):
+        with mock.patch.object(claims, "CLAIM_TIMEOUT_SECONDS", 0.01):
             await self.follow()
         self.assertIn(pb.RecallReply.NEVER_RAN, self.states)
 
-    async def follow(self, leave_after: int | None = None) -> bool:
+    async def follow(self, disconnect_after: int | None = None) -> bool:
         """Ask all the time about each claim seen; say whether the attempt ended."""
         task = asyncio.create_task(serve(self.service, make_request("first")))
         steps = 0
         async with asyncio.timeout(HANG_SECONDS):
-            while not task.done() and steps != leave_after:
+            while not task.done() and steps != disconnect_after:
                 await self.step()
                 steps += 1
             ended = task.done()
             task.cancel()
             self.objects.may_answer.set()
-            settled = asyncio.create_task(self.settle())
+            settled = asyncio.create_task(self.wait_until_released())
             while not settled.done():
                 await self.step()
         self.assertNotIn(pb.RecallReply.NOT_KEPT, self.states)
         return ended
 
-    async def settle(self) -> None:
+    async def wait_until_released(self) -> None:
         await self.service._gate.wait_until_idle()
-        await self.service._claims.settle()
+        await self.service._claims.wait_until_released()
 
     async def step(self) -> None:
         """Let each task go on once, then ask."""
--- a/libraries/agent/tests/test_target.py
+++ b/libraries/agent/tests/test_target.py
@@ -10,7 +10,7 @@
 import asyncio
 import unittest
 
-from bamboopier_agent.errors import TargetBrokenError, TargetUnreachableError
+from bamboopier_agent.errors import BrokenResponseError, TargetUnreachableError
 from bamboopier_agent.target import TargetClient
 
 METHODS = ("GET", "HEAD", "PUT", "DELETE", "POST", "PATCH")
@@ -53,12 +53,12 @@
             with self.subTest(method):
                 target = ClosingTarget(answers=0)
                 client = await self.start(target)
-                with self.assertRaises(TargetBrokenError):
+                with self.assertRaises(BrokenResponseError):
                     async with client.open(method, "/vans", [], b""):
                         self.fail("an answer from nowhere")
                 self.assertEqual(target.requests, 1)
 
-    async def test_a_connection_closed_after_an_answer_is_not_used_again(self) -> None:
+    async def test_a_connection_closed_after_a_response_is_not_reused(self) -> None:
         target = ClosingTarget(answers=1)
         client = await self.start(target)
         for _ in range(2):
@@ -66,7 +66,7 @@
                 self.assertEqual(await response.read(), b"ok")
         self.assertEqual((target.requests, target.connections), (2, 2))
 
-    async def test_nobody_listening_is_told_apart_from_a_broken_answer(self) -> None:
+    async def test_a_refused_connection_differs_from_a_broken_response(self) -> None:
         server = await asyncio.start_server(ClosingTarget(0).serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         server.close()
--- a/libraries/agent/tests/test_weight_updater.py
+++ b/libraries/agent/tests/test_weight_updater.py
@@ -16,7 +16,7 @@
 from .order_builders import DURATION, Agent, Clock, Engine, Objects
 
 
-class WeightsTests(unittest.IsolatedAsyncioTestCase):
+class WeightUpdaterTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.clock = Clock()
         for module in ("lease", "load_slots"):
@@ -24,18 +24,18 @@
             self.enterContext(mock.patch(name, self.clock))
         poll = mock.patch("bamboopier_agent.weight_updater.READ_BACK_POLL_SECONDS", 0.001)
         self.enterContext(poll)
-        settle = mock.patch("bamboopier_agent.weight_updater.SETTLE_SECONDS", 0.0)
+        settle = mock.patch("bamboopier_agent.weight_updater.SLOT_HOLD_SECONDS", 0.0)
         self.enterContext(settle)
         self.objects = Objects()
 
     async def load(self, agent: Agent) -> LoadOutcome:
         """Let one load run to its end."""
         agent.engine.finish.set()
-        return await agent.weights.reconcile()
+        return await agent.weight_updater.reconcile()
 
     async def start_loading(self, agent: Agent) -> asyncio.Task[LoadOutcome]:
         """Return once the engine has the order."""
-        task = asyncio.create_task(agent.weights.reconcile())
+        task = asyncio.create_task(agent.weight_updater.reconcile())
         async with asyncio.timeout(10):
             await agent.engine.started.wait()
         return task
@@ -47,9 +47,9 @@
         """
         agents = [Agent(self.objects, Engine(), f"desk-{n}") for n in range(6)]
         for agent in agents:
-            await agent.take_lease()
+            await agent.acquire_lease()
         while any(agent.engine.version != "v2" for agent in agents):
-            tasks = [asyncio.create_task(a.weights.reconcile()) for a in agents]
+            tasks = [asyncio.create_task(a.weight_updater.reconcile()) for a in agents]
             for _ in range(100):
                 await asyncio.sleep(0)
             loading = [agent for agent in agents if agent.engine.loading]
@@ -65,13 +65,13 @@
             Agent(self.objects, Engine(), f"desk-{n}", targets=2) for n in range(2)
         ]
         for agent in agents:
-            await agent.take_lease()
+            await agent.acquire_lease()
         first = await self.start_loading(agents[0])
-        self.assertIs(await agents[1].weights.reconcile(), LoadOutcome.NO_SLOT)
+        self.assertIs(await agents[1].weight_updater.reconcile(), LoadOutcome.NO_SLOT)
         agents[0].engine.finish.set()
         await first
 
-    async def test_a_slot_of_a_killed_agent_comes_back_after_its_lease(self) -> None:
+    async def test_the_slot_of_a_killed_agent_is_free_after_its_lease(self) -> None:
         """An agent dies while its engine loads; the engine goes on loading.
 
         Given away at once, the slot would let one more load run beside it.
@@ -79,21 +79,21 @@
         killed = Agent(self.objects, Engine(), "desk-1", loads_at_once=1)
         other = Agent(self.objects, Engine(), "desk-2", loads_at_once=1)
         for agent in (killed, other):
-            await agent.take_lease()
+            await agent.acquire_lease()
         task = await self.start_loading(killed)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         self.assertIs(await self.load(other), LoadOutcome.NO_SLOT)
         started_anew = Agent(self.objects, Engine(), "desk-1", loads_at_once=1)
-        self.assertTrue(await started_anew.take_lease())
+        self.assertTrue(await started_anew.acquire_lease())
         self.assertIs(await self.load(started_anew), LoadOutcome.NO_SLOT)
         self.clock.now += SLOT_LEASE_SECONDS - 1
-        await other.take_lease()
+        await other.acquire_lease()
         self.assertIs(await self.load(other), LoadOutcome.NO_SLOT)
         self.clock.now += 1
         self.assertIs(await self.load(other), LoadOutcome.LOADED)
 
-    async def test_a_paused_holder_that_wakes_gives_no_order(self) -> None:
+    async def test_a_suspended_holder_that_resumes_sends_no_order(self) -> None:
         """An agent is frozen with a slot; another agent of the target takes over.
 
         It wakes and goes on where it was. Its order would put v1 back over v2.
@@ -103,26 +103,26 @@
             engine = Engine(checks_fencing, version="v0", reported="v0")
             paused = Agent(objects, engine, vm="old", version="v1")
             successor = Agent(objects, engine, vm="new", version="v2")
-            await paused.take_lease()
+            await paused.acquire_lease()
             await successor.lease.observe()
 
             async def pass_on(successor: Agent = successor) -> None:
                 self.clock.now += DURATION
-                await successor.take_lease()
+                await successor.acquire_lease()
                 await self.load(successor)
 
             objects.after_write["loads"] = pass_on
             self.assertIs(await self.load(paused), LoadOutcome.NO_LEASE)
             self.assertEqual([version for version, _ in engine.orders], ["v2"])
 
-    async def test_a_holder_frozen_just_before_the_order_notices(self) -> None:
+    async def test_a_holder_suspended_before_the_order_sends_none(self) -> None:
         """The machine stands still between the last renewal and the order.
 
         Its steady clock ran on, so the agent sees that its lease has passed.
         """
         engine = Engine(checks_fencing=False)
         agent = Agent(self.objects, engine)
-        await agent.take_lease()
+        await agent.acquire_lease()
 
         async def freeze() -> None:
             self.clock.now += DURATION
@@ -131,7 +131,7 @@
         self.assertIs(await self.load(agent), LoadOutcome.NO_LEASE)
         self.assertEqual(engine.orders, [])
 
-    async def test_a_renewal_shows_a_takeover_to_a_clock_that_stood_still(self) -> None:
+    async def test_a_renewal_detects_a_takeover_despite_a_stopped_clock(self) -> None:
         """The agent's machine is frozen, clocks and all, while it has a slot.
 
         Another agent waits the lease out and loads v2; awake, the first one's clock
@@ -140,13 +140,13 @@
         engine = Engine(checks_fencing=False, version="v0", reported="v0")
         frozen = Agent(self.objects, engine, vm="old", version="v1")
         successor = Agent(self.objects, engine, vm="new", version="v2")
-        await frozen.take_lease()
+        await frozen.acquire_lease()
         await successor.lease.observe()
 
         async def pass_on() -> None:
             before = self.clock.now
             self.clock.now += DURATION
-            await successor.take_lease()
+            await successor.acquire_lease()
             await self.load(successor)
             self.clock.now = before
 
@@ -154,34 +154,34 @@
         self.assertIs(await self.load(frozen), LoadOutcome.NO_LEASE)
         self.assertEqual([version for version, _ in engine.orders], ["v2"])
 
-    async def test_a_slot_that_lapsed_in_a_pause_is_not_used(self) -> None:
+    async def test_a_slot_that_expired_during_a_suspension_is_not_used(self) -> None:
         """The agent is paused after it took its slot; the slot may be another's now."""
         agent = Agent(self.objects, Engine())
-        await agent.take_lease()
-        close = agent.standing.set_loading
+        await agent.acquire_lease()
+        close = agent.availability_gate.set_loading
 
         def pause(loading: bool) -> None:
             self.clock.now += SLOT_LEASE_SECONDS
             close(loading)
 
-        with mock.patch.object(agent.standing, "set_loading", pause):
+        with mock.patch.object(agent.availability_gate, "set_loading", pause):
             self.assertIs(await self.load(agent), LoadOutcome.NO_LEASE)
         self.assertEqual(agent.engine.orders, [])
 
-    async def test_a_second_agent_waits_out_the_first(self) -> None:
+    async def test_a_second_agent_waits_until_the_lease_expires(self) -> None:
         """Two agents for one target whose engine ignores fencing numbers."""
         engine = Engine(checks_fencing=False)
         first = Agent(self.objects, engine, vm="first")
         second = Agent(self.objects, engine, vm="second")
-        self.assertTrue(await first.take_lease())
-        self.assertFalse(await second.take_lease())
+        self.assertTrue(await first.acquire_lease())
+        self.assertFalse(await second.acquire_lease())
         self.clock.now += DURATION - 1
-        self.assertFalse(await second.take_lease())
+        self.assertFalse(await second.acquire_lease())
         self.clock.now += 1
-        self.assertTrue(await second.take_lease())
+        self.assertTrue(await second.acquire_lease())
         self.assertGreater(second.lease.lease.fence, first.lease.lease.fence)
 
-    async def test_an_engine_that_checks_refuses_the_older_number(self) -> None:
+    async def test_an_engine_that_checks_refuses_the_older_token(self) -> None:
         """The older agent's machine stands still, clock and all, before its order.
 
         The newer agent takes over at once, as the engine checks numbers. The older one
@@ -190,48 +190,48 @@
         engine = Engine(version="v0", reported="v0")
         older = Agent(self.objects, engine, vm="older", version="v1")
         newer = Agent(self.objects, engine, vm="newer", version="v2")
-        await older.take_lease()
+        await older.acquire_lease()
 
         async def pass_on() -> None:
-            await newer.take_lease()
+            await newer.acquire_lease()
             await self.load(newer)
 
         self.objects.after_write["targets"] = pass_on
         self.assertIs(await self.load(older), LoadOutcome.REFUSED)
         self.assertEqual([version for version, _ in engine.orders], ["v2"])
 
-    async def test_without_the_platform_no_order_and_serving_goes_on(self) -> None:
+    async def test_without_the_platform_serving_continues_without_orders(self) -> None:
         agent = Agent(self.objects, Engine())
-        await agent.take_lease()
+        await agent.acquire_lease()
         self.objects.down = True
         self.clock.now += DURATION
         self.assertIs(await self.load(agent), LoadOutcome.NO_LEASE)
         self.assertEqual(agent.engine.orders, [])
         self.assertTrue(agent.gate.admission.accepting)
 
-    async def test_nothing_is_let_in_until_the_engine_reports_the_version(self) -> None:
+    async def test_no_request_is_admitted_until_the_version_is_reported(self) -> None:
         """The engine has v2 and reports v1 a few times more.
 
         A request made for v1 would be let in on that report and run on v2.
         """
         agent = Agent(self.objects, Engine(late_reports=3))
-        await agent.take_lease()
+        await agent.acquire_lease()
         task = await self.start_loading(agent)
-        self.assertIs(agent.standing.obstacle, UnavailableReason.LOADING)
+        self.assertIs(agent.availability_gate.unavailable_reason, UnavailableReason.LOADING)
         agent.engine.finish.set()
-        await agent.watch.refreshed.wait()
-        self.assertEqual((agent.engine.version, agent.watch.version), ("v2", "v1"))
+        await agent.monitor.refreshed.wait()
+        self.assertEqual((agent.engine.version, agent.monitor.version), ("v2", "v1"))
         self.assertFalse(agent.gate.admission.accepting)
         self.assertIs(await task, LoadOutcome.LOADED)
         self.assertTrue(agent.gate.admission.accepting)
 
-    async def test_a_load_that_failed_gives_slot_and_work_back(self) -> None:
+    async def test_a_failed_load_releases_the_slot_and_reopens_the_gate(self) -> None:
         failed = Agent(self.objects, Engine(failing=True), "desk-1", loads_at_once=1)
         other = Agent(self.objects, Engine(), "desk-2", loads_at_once=1)
         for agent in (failed, other):
-            await agent.take_lease()
+            await agent.acquire_lease()
         self.assertIs(await self.load(failed), LoadOutcome.FAILED)
         # The engine has answered; nobody has to wait for what it reports.
-        self.assertFalse(failed.watch.refreshed.is_set())
+        self.assertFalse(failed.monitor.refreshed.is_set())
         self.assertTrue(failed.gate.admission.accepting)
         self.assertIs(await self.load(other), LoadOutcome.LOADED)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -50,15 +50,15 @@
     Mutation(
         "a torn write is told by its length",
         "libraries/agent/src/bamboopier_agent/block_exporter.py",
-        "answer.ok_value == size",
-        "answer.ok_value >= 0",
+        "result.ok_value == size",
+        "result.ok_value >= 0",
         "libraries/agent",
-        "tests.test_context.BlockIntegrityTests.test_a_torn_write_is_not_taken_for_a_stored_block",
+        "tests.test_context.BlockIntegrityTests.test_a_torn_write_does_not_count_as_a_stored_block",
     ),
     Mutation(
         "a damaged block is written again",
         "libraries/agent/src/bamboopier_agent/block_exporter.py",
-        "        if name.key in self._damaged:\n            return False\n",
+        "        if name.key in self._damaged_keys:\n            return False\n",
         "",
         "libraries/agent",
         "tests.test_context.BlockIntegrityTests.test_a_block_damaged_in_the_store_is_written_again",
@@ -78,7 +78,7 @@
         "        if gap:\n            self._resident.clear()\n",
         "",
         "libraries/agent",
-        "tests.test_context.BlockIntegrityTests.test_wrong_beliefs_about_the_cache_cost_only_a_recomputation",
+        "tests.test_context.BlockIntegrityTests.test_a_stale_view_of_the_cache_costs_only_a_recomputation",
     ),
     Mutation(
         "a hung store VM is passed over",
@@ -86,20 +86,20 @@
         "self.health.record_failure(time.monotonic(), vm.name)",
         "pass",
         "libraries/agent",
-        "tests.test_context.StoreFailureTests.test_a_store_that_hangs_is_given_up_and_then_passed_over",
+        "tests.test_context.StoreFailureTests.test_a_hung_store_times_out_and_is_then_skipped",
     ),
     Mutation(
         "concurrent requests share a read",
         "libraries/agent/src/bamboopier_agent/block_fetcher.py",
-        "        flight = self._flights.get(name.key)\n        if flight is None:",
-        "        flight = None\n        if flight is None:",
+        "        pending_read = self._pending_reads.get(name.key)\n        if pending_read is None:",
+        "        pending_read = None\n        if pending_read is None:",
         "libraries/agent",
         "tests.test_context.LinkUseTests.test_concurrent_requests_fetch_a_block_once",
     ),
     Mutation(
         "a block is looked for before it is sent",
         "libraries/agent/src/bamboopier_agent/block_exporter.py",
-        "return isinstance(answer, Ok) and answer.ok_value == size",
+        "return isinstance(result, Ok) and result.ok_value == size",
         "return False",
         "libraries/agent",
         "tests.test_context.LinkUseTests.test_a_restarted_agent_does_not_send_stored_blocks_again",
@@ -131,7 +131,7 @@
     Mutation(
         "an agent reads a few blocks at a time",
         "libraries/agent/src/bamboopier_agent/store_link.py",
-        "asyncio.Semaphore(READS_AT_ONCE)",
+        "asyncio.Semaphore(MAX_CONCURRENT_READS)",
         "asyncio.Semaphore(1000)",
         "libraries/agent",
         "tests.test_context.LinkUseTests."
@@ -150,11 +150,11 @@
         "blocks behind a missing one are taken for lost",
         "libraries/agent/src/bamboopier_agent/context.py",
         "        for key in keys[1:]:\n"
-        "            self.exporter.note_lost(key, damaged=False)\n",
+        "            self.exporter.invalidate_stored(key, damaged=False)\n",
         "",
         "libraries/agent",
         "tests.test_context.LinkUseTests."
-        "test_evicted_blocks_are_written_again_at_one_return",
+        "test_evicted_blocks_are_written_again_by_one_request",
     ),
     Mutation(
         "the engine's cache is salted by workspace",
--- a/tools/safeguards/at_most_once.py
+++ b/tools/safeguards/at_most_once.py
@@ -8,7 +8,7 @@
     Mutation(
         "the HTTP client never sends a run again",
         "libraries/agent/src/bamboopier_agent/target.py",
-        "            middlewares=(_send_once,),\n",
+        "            middlewares=(_prevent_resend,),\n",
         "",
         "libraries/agent",
         "tests.test_target.TargetClientTests.test_no_method_is_sent_twice",
@@ -19,7 +19,7 @@
         "aiohttp.TCPConnector(limit=0, force_close=True)",
         "aiohttp.TCPConnector(limit=0)",
         "libraries/agent",
-        "tests.test_target.TargetClientTests.test_a_connection_closed_after_an_answer_is_not_used_again",
+        "tests.test_target.TargetClientTests.test_a_connection_closed_after_a_response_is_not_reused",
     ),
     Mutation(
         "an attempt that arrives twice runs once",
@@ -35,7 +35,7 @@
         "            if not stream.detached:\n                run.cancel()",
         "            run.cancel()",
         "libraries/agent",
-        "tests.test_service.ServeTests.test_a_run_goes_on_when_its_gateway_leaves",
+        "tests.test_service.ServeTests.test_a_run_continues_after_its_gateway_disconnects",
     ),
     Mutation(
         "an idempotent run is cut when its gateway leaves",
@@ -43,7 +43,7 @@
         "        stream.detached = not request.idempotent\n",
         "        stream.detached = True\n",
         "libraries/agent",
-        "tests.test_service.ServeTests.test_an_idempotent_run_is_cut_when_its_gateway_leaves",
+        "tests.test_service.ServeTests.test_an_idempotent_run_is_cancelled_with_its_gateway",
     ),
     Mutation(
         "an unused claim is released before not-run is said",
@@ -51,7 +51,7 @@
         "                        await self._claims.release(service, granted)\n",
         "",
         "libraries/agent",
-        "tests.test_service.ServeTests.test_an_unreachable_target_frees_the_key_before_it_is_said",
+        "tests.test_service.ServeTests.test_an_unreachable_target_frees_the_key_before_not_run",
     ),
     Mutation(
         "a key that cannot be freed yet is said not to have run",
@@ -61,7 +61,7 @@
         "            return pb.RecallReply(state=pb.RecallReply.NEVER_RAN)\n",
         "",
         "libraries/agent",
-        "tests.test_service.ServeTests.test_a_key_that_cannot_be_freed_yet_is_said_not_to_have_run",
+        "tests.test_service.ServeTests.test_a_key_that_cannot_be_freed_yet_is_reported_never_run",
     ),
     Mutation(
         "a holder that stands still for a moment is asked all the same",
@@ -78,16 +78,16 @@
         "            return pb.RecallReply(state=pb.RecallReply.RUNNING)\n",
         "",
         "libraries/agent",
-        "tests.test_service.ServeTests.test_a_claim_whose_answer_is_under_way_is_no_lost_one",
+        "tests.test_service.ServeTests.test_a_claim_with_its_write_in_flight_is_running",
     ),
     Mutation(
         "a granted claim is noted as a run before anything is awaited",
         "libraries/agent/src/bamboopier_agent/service.py",
-        "        kept = self._kept.begin(key, request.fingerprint)\n",
+        "        cached_response = self._response_cache.start(key, request.fingerprint)\n",
         "        await asyncio.sleep(0)\n"
-        "        kept = self._kept.begin(key, request.fingerprint)\n",
+        "        cached_response = self._response_cache.start(key, request.fingerprint)\n",
         "libraries/agent",
-        "tests.test_service.RecallTests.test_the_holder_knows_its_claim_at_every_step",
+        "tests.test_service.RecallTests.test_the_holder_reports_its_claim_at_every_step",
     ),
     Mutation(
         "a thawed process does not run after the deadline",
@@ -95,24 +95,24 @@
         "        if time.monotonic() >= stream.deadline:",
         "        if False:",
         "libraries/agent",
-        "tests.test_service.ServeTests.test_a_process_thawed_after_the_deadline_does_not_run",
+        "tests.test_service.ServeTests.test_a_process_resumed_after_the_deadline_does_not_run",
     ),
     Mutation(
         "a hung target does not hold its place for ever",
         "libraries/agent/src/bamboopier_agent/service.py",
-        "asyncio.timeout_at(stream.deadline + OVERTIME_SECONDS)",
+        "asyncio.timeout_at(stream.deadline + DEADLINE_GRACE_SECONDS)",
         "asyncio.timeout(None)",
         "libraries/agent",
-        "tests.test_service.ServeTests.test_a_hung_target_does_not_hold_its_place_for_ever",
+        "tests.test_service.ServeTests.test_a_hung_target_does_not_hold_its_slot_forever",
     ),
     Mutation(
         "answers kept while they run are bounded",
         "libraries/agent/src/bamboopier_agent/response_cache.py",
         "        if self._used > self._capacity:\n"
-        "            self._used -= len(answer.body)",
-        "        if False:\n            self._used -= len(answer.body)",
+        "            self._used -= len(response.body)",
+        "        if False:\n            self._used -= len(response.body)",
         "libraries/agent",
-        "tests.test_response_cache.KeptAnswersTests.test_running_answers_share_the_memory",
+        "tests.test_response_cache.ResponseCacheTests.test_running_responses_share_the_capacity",
     ),
     Mutation(
         "events of another attempt or out of order end it",
--- a/tools/safeguards/claims.py
+++ b/tools/safeguards/claims.py
@@ -73,7 +73,7 @@
         "            raise\n",
         "        except asyncio.CancelledError:\n            raise\n",
         "libraries/agent",
-        "tests.test_claims.ClaimTableTests.test_a_claim_left_while_it_is_written_is_released",
+        "tests.test_claims.ClaimTableTests.test_a_claim_cancelled_during_its_write_is_released",
     ),
     Mutation(
         "a stop waits for a claim left as its grant arrived",
@@ -82,7 +82,7 @@
         "        writer.abandon(claim)\n",
         "libraries/agent",
         "tests.test_claims.ClaimTableTests."
-        "test_a_stop_waits_for_a_claim_left_as_its_grant_arrived",
+        "test_a_stop_waits_for_a_claim_cancelled_as_it_is_granted",
     ),
     Mutation(
         "only an answered claim write grants",
@@ -90,7 +90,7 @@
         "                    self._partition.mark_uncertain(plan)\n"
         "                    last = error\n",
         "                    self._partition.mark_uncertain(plan)\n"
-        "                    self._tell_outcomes(waiting, plan.outcomes)\n"
+        "                    self._set_outcomes(pending, plan.outcomes)\n"
         "                    return Ok(None)\n",
         "libraries/agent",
         "tests.test_claims.ClaimTableTests.test_at_most_one_is_granted_and_no_key_is_lost",
@@ -106,7 +106,7 @@
     Mutation(
         "a slow platform is refused in time",
         "libraries/agent/src/bamboopier_agent/claims.py",
-        "            async with asyncio.timeout(CLAIM_SECONDS):",
+        "            async with asyncio.timeout(CLAIM_TIMEOUT_SECONDS):",
         "            async with asyncio.timeout(None):",
         "libraries/agent",
         "tests.test_claims.ClaimTableTests.test_a_slow_platform_is_refused_and_the_claim_released",
@@ -118,7 +118,7 @@
         "            self._abandoned",
         "        if True:\n            self._abandoned",
         "libraries/agent",
-        "tests.test_claims.ClaimTableTests.test_an_outage_leaves_no_work_behind",
+        "tests.test_claims.ClaimTableTests.test_an_outage_leaves_no_pending_work",
     ),
     Mutation(
         "each wish to run a key has an id of its own",
@@ -149,6 +149,6 @@
         "                case Err(PlatformOutcomeUnknownError() as error):\n",
         "libraries/agent",
         "tests.test_claims.ClaimTableTests."
-        "test_a_claim_left_while_its_write_is_resent_is_released",
+        "test_a_claim_cancelled_while_its_write_is_resent_is_released",
     ),
 )
--- a/tools/safeguards/orders.py
+++ b/tools/safeguards/orders.py
@@ -144,19 +144,19 @@
         "                return LoadOutcome.NO_LEASE\n",
         "",
         "libraries/agent",
-        "tests.test_weight_updater.WeightsTests."
-        "test_a_renewal_shows_a_takeover_to_a_clock_that_stood_still",
+        "tests.test_weight_updater.WeightUpdaterTests."
+        "test_a_renewal_detects_a_takeover_despite_a_stopped_clock",
     ),
     Mutation(
         "the slot is checked just before an order",
         "libraries/agent/src/bamboopier_agent/weight_updater.py",
         "            if not slot.held or not self._lease.held:\n"
         "                return LoadOutcome.NO_LEASE\n"
-        "            answer",
-        "            answer",
+        "            result",
+        "            result",
         "libraries/agent",
-        "tests.test_weight_updater.WeightsTests."
-        "test_a_slot_that_lapsed_in_a_pause_is_not_used",
+        "tests.test_weight_updater.WeightUpdaterTests."
+        "test_a_slot_that_expired_during_a_suspension_is_not_used",
     ),
     Mutation(
         "no order without a lease",
@@ -166,8 +166,8 @@
         "        count",
         "        count",
         "libraries/agent",
-        "tests.test_weight_updater.WeightsTests."
-        "test_without_the_platform_no_order_and_serving_goes_on",
+        "tests.test_weight_updater.WeightUpdaterTests."
+        "test_without_the_platform_serving_continues_without_orders",
     ),
     Mutation(
         "no more loads at once than allowed",
@@ -175,7 +175,7 @@
         "count_slots(service.loads_at_once, self._count_targets())",
         "99",
         "libraries/agent",
-        "tests.test_weight_updater.WeightsTests.test_no_more_loads_at_once_than_allowed",
+        "tests.test_weight_updater.WeightUpdaterTests.test_no_more_loads_at_once_than_allowed",
     ),
     Mutation(
         "the slot of a killed agent is waited out",
@@ -183,45 +183,45 @@
         "Lease(self._holder, self._holder, self._lease_seconds)",
         "Lease(self._holder, self._service, self._lease_seconds)",
         "libraries/agent",
-        "tests.test_weight_updater.WeightsTests."
-        "test_a_slot_of_a_killed_agent_comes_back_after_its_lease",
+        "tests.test_weight_updater.WeightUpdaterTests."
+        "test_the_slot_of_a_killed_agent_is_free_after_its_lease",
     ),
     Mutation(
         "no new work while weights are swapped",
         "libraries/agent/src/bamboopier_agent/weight_updater.py",
-        "        self._standing.set_loading(True)\n",
+        "        self._availability_gate.set_loading(True)\n",
         "",
         "libraries/agent",
-        "tests.test_weight_updater.WeightsTests."
-        "test_nothing_is_let_in_until_the_engine_reports_the_version",
+        "tests.test_weight_updater.WeightUpdaterTests."
+        "test_no_request_is_admitted_until_the_version_is_reported",
     ),
     Mutation(
         "the version that the engine reports is awaited",
         "libraries/agent/src/bamboopier_agent/weight_updater.py",
-        "            if self._watch.reachable and self._watch.version == wanted:\n",
-        "            if self._watch.reachable:\n",
+        "            if self._monitor.reachable and self._monitor.version == configured_version:\n",
+        "            if self._monitor.reachable:\n",
         "libraries/agent",
-        "tests.test_weight_updater.WeightsTests."
-        "test_nothing_is_let_in_until_the_engine_reports_the_version",
+        "tests.test_weight_updater.WeightUpdaterTests."
+        "test_no_request_is_admitted_until_the_version_is_reported",
     ),
     Mutation(
         "a failed load gives its slot back at once",
         "libraries/agent/src/bamboopier_agent/weight_updater.py",
-        "                if isinstance(answer.err_value, OrderFailedError):\n"
+        "                if isinstance(result.err_value, OrderFailedError):\n"
         "                    return LoadOutcome.FAILED\n",
         "",
         "libraries/agent",
-        "tests.test_weight_updater.WeightsTests."
-        "test_a_load_that_failed_gives_slot_and_work_back",
+        "tests.test_weight_updater.WeightUpdaterTests."
+        "test_a_failed_load_releases_the_slot_and_reopens_the_gate",
     ),
     Mutation(
         "orders carry the lease's fencing number",
         "libraries/agent/src/bamboopier_agent/weight_updater.py",
-        "self._target.load_weights(wanted, self._lease.lease.fence)",
-        "self._target.load_weights(wanted, 10**6)",
+        "self._target.load_weights(configured_version, self._lease.lease.fence)",
+        "self._target.load_weights(configured_version, 10**6)",
         "libraries/agent",
-        "tests.test_weight_updater.WeightsTests."
-        "test_an_engine_that_checks_refuses_the_older_number",
+        "tests.test_weight_updater.WeightUpdaterTests."
+        "test_an_engine_that_checks_refuses_the_older_token",
     ),
     Mutation(
         "a target that ignores fencing numbers is waited for",
@@ -229,7 +229,7 @@
         "            TakeoverPolicy.AT_ONCE if checks else TakeoverPolicy.AFTER_WAIT\n",
         "            TakeoverPolicy.AT_ONCE\n",
         "libraries/agent",
-        "tests.test_weight_updater.WeightsTests.test_a_second_agent_waits_out_the_first",
+        "tests.test_weight_updater.WeightUpdaterTests.test_a_second_agent_waits_until_the_lease_expires",
     ),
     Mutation(
         "closed targets do not count for a version",
@@ -261,7 +261,7 @@
     Mutation(
         "an agent refuses a request for another version",
         "libraries/agent/src/bamboopier_agent/service.py",
-        "        if wanted and wanted != self._watch.version:\n",
+        "        if requested and requested != self._monitor.version:\n",
         "        if False:\n",
         ".",
         "tests.test_weights.WeightsTests."
--- a/tools/safeguards/places.py
+++ b/tools/safeguards/places.py
@@ -76,7 +76,7 @@
         "a stopping agent waits for its streams",
         "libraries/agent/src/bamboopier_agent/daemon.py",
         "    await gate.wait_until_idle()\n"
-        "    await server.stop(grace=FLUSH_SECONDS)\n",
+        "    await server.stop(grace=FLUSH_TIMEOUT_SECONDS)\n",
         "    await server.stop(grace=0.0)\n",
         ".",
         "tests.test_shutdown.GracefulTests."
