--- a/libraries/agent/src/bamboopier_agent/daemon.py
+++ b/libraries/agent/src/bamboopier_agent/daemon.py
@@ -27,7 +27,7 @@
 from bamboopier_objects.follower import ConfigurationFollower
 from bamboopier_objects.http_platform import HttpPlatform
 from bamboopier_objects.peers import PeerClient, PeerService
-from bamboopier_objects.vm_board import VmBoard
+from bamboopier_objects.vm_inventory import VmInventory
 from bamboopier_protocol.agent_pb2_grpc import (
     add_AgentServicer_to_server,
     add_PeerServicer_to_server,
@@ -83,7 +83,7 @@
         watch = TargetWatch(target, gate, context)
         claims = ClaimTable(platform, str(settings.listen))
         standing = TargetStanding(settings, gate)
-        vms = VmBoard(generator)
+        vms = VmInventory(generator)
         vms.tell(standing.apply_vms)
         vms.tell(lambda _: apply_context())
         peers = PeerClient(settings.peers, vms, certificates.open_channel, generator)
@@ -204,7 +204,7 @@
 
 
 def _count_targets(
-    vms: VmBoard, follower: ConfigurationFollower, service_name: str
+    vms: VmInventory, follower: ConfigurationFollower, service_name: str
 ) -> int:
     """Return how many targets of the service may serve."""
     drains = follower.directory.configuration.drains
--- a/libraries/agent/src/bamboopier_agent/standing.py
+++ b/libraries/agent/src/bamboopier_agent/standing.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from bamboopier_configuration.directory import Directory
     from bamboopier_configuration.settings import AgentSettings
-    from bamboopier_objects.vm_board import VmBoard
+    from bamboopier_objects.vm_inventory import VmInventory
 
     from .gate import AdmissionGate
 
@@ -53,7 +53,7 @@
         )
         self._review()
 
-    def apply_vms(self, board: VmBoard) -> None:
+    def apply_vms(self, board: VmInventory) -> None:
         """Take this VM's own state from a VM list."""
         vm = board.find(self._settings.vm)
         listed = {vm.name: vm.state != "live"} if vm is not None else {}
--- a/libraries/gateway/src/bamboopier_gateway/daemon.py
+++ b/libraries/gateway/src/bamboopier_gateway/daemon.py
@@ -18,7 +18,7 @@
 from bamboopier_objects.follower import ConfigurationFollower
 from bamboopier_objects.http_platform import HttpPlatform
 from bamboopier_objects.peers import PeerClient
-from bamboopier_objects.vm_board import VmBoard
+from bamboopier_objects.vm_inventory import VmInventory
 
 from .agents import Agents
 from .application import GatewayApplication
@@ -51,7 +51,7 @@
         )
         agents = await stack.enter_async_context(Agents(certificates))
         router = Router(generator)
-        vms = VmBoard(generator)
+        vms = VmInventory(generator)
         fleet = Fleet(
             settings,
             vms,
--- a/libraries/gateway/src/bamboopier_gateway/fleet.py
+++ b/libraries/gateway/src/bamboopier_gateway/fleet.py
@@ -22,7 +22,7 @@
     from bamboopier_configuration.directory import Directory
     from bamboopier_configuration.model import Model, Service
     from bamboopier_configuration.settings import GatewaySettings
-    from bamboopier_objects.vm_board import VmBoard
+    from bamboopier_objects.vm_inventory import VmInventory
     from bamboopier_objects.vms import Vm
 
     from .agents import Agents
@@ -34,7 +34,7 @@
     def __init__(
         self,
         settings: GatewaySettings,
-        vms: VmBoard,
+        vms: VmInventory,
         agents: Agents,
         apply: Callable[[FleetChanged], None],
         random: random.Random,
--- a/libraries/gateway/tests/test_fleet.py
+++ b/libraries/gateway/tests/test_fleet.py
@@ -10,16 +10,16 @@
 from bamboopier_configuration.settings import Address, GatewaySettings
 from bamboopier_gateway.agents import Agents
 from bamboopier_gateway.fleet import Fleet
-from bamboopier_objects.vm_board import VmBoard
+from bamboopier_objects.vm_inventory import VmInventory
 from bamboopier_objects.vms import Vm
 from bamboopier_protocol import agent_pb2 as pb
 
 DESKS = ("desk-1", "desk-2", "desk-3", "desk-4")
 
 
-def build_board() -> VmBoard:
+def build_board() -> VmInventory:
     """Return a VM list with four targets."""
-    board = VmBoard(random.Random(1))
+    board = VmInventory(random.Random(1))
     board.vms = tuple(
         Vm(desk, "target", "dc-east", "midlands", "127.0.0.1:1", group="fault-desk")
         for desk in DESKS
--- a/libraries/objects/src/bamboopier_objects/peers.py
+++ b/libraries/objects/src/bamboopier_objects/peers.py
@@ -17,7 +17,7 @@
     from collections.abc import Callable, Sequence
 
     from .generations import Generation, GenerationStore
-    from .vm_board import VmBoard
+    from .vm_inventory import VmInventory
 
 # Peers asked in one round, drawn at random: one that is up suffices.
 PEERS_ASKED = 3
@@ -31,7 +31,7 @@
     checks parts against their digests and never goes back to a lower generation.
     """
 
-    def __init__(self, store: GenerationStore, vms: VmBoard) -> None:
+    def __init__(self, store: GenerationStore, vms: VmInventory) -> None:
         self._store = store
         self._vms = vms
 
@@ -55,7 +55,7 @@
     def __init__(
         self,
         seeds: Sequence[str],
-        vms: VmBoard,
+        vms: VmInventory,
         open_channel: Callable[[str], grpc.aio.Channel],
         random: random.Random,
     ) -> None:
--- a/libraries/objects/src/bamboopier_objects/vm_board.py
+++ b/libraries/objects/src/bamboopier_objects/vm_inventory.py
@@ -21,12 +21,12 @@
 TELL_SECONDS = 5.0
 
 
-class VmBoard:
+class VmInventory:
     """Shows the last list, from the platform or, before that, from a peer."""
 
     def __init__(self, random: random.Random) -> None:
         self._random = random
-        self._readers: list[Callable[[VmBoard], None]] = []
+        self._readers: list[Callable[[VmInventory], None]] = []
         self._read = False
         self.vms: tuple[Vm, ...] = ()
 
@@ -40,7 +40,7 @@
         """Return how many processes follow the configuration and this list."""
         return max(1, sum(vm.role != "store" for vm in self.vms))
 
-    def tell(self, reader: Callable[[VmBoard], None]) -> None:
+    def tell(self, reader: Callable[[VmInventory], None]) -> None:
         """Call ``reader`` with each list, and again while it stays the same."""
         self._readers.append(reader)
 
--- a/libraries/objects/tests/test_vm_board.py
+++ b/libraries/objects/tests/test_vm_inventory.py
@@ -8,18 +8,18 @@
 
 import msgspec
 
-from bamboopier_objects.vm_board import VmBoard
+from bamboopier_objects.vm_inventory import VmInventory
 
 from .builders import VmListFake, build_vm
 
 
-class VmBoardTests(unittest.IsolatedAsyncioTestCase):
+class VmInventoryTests(unittest.IsolatedAsyncioTestCase):
     async def test_a_peers_list_serves_until_the_platform_answers(self) -> None:
         """A gateway starts in an outage; a peer sends garbage, then an older list.
 
         Garbage must not end the process, and the platform's own list wins for good.
         """
-        board = VmBoard(random.Random(1))
+        board = VmInventory(random.Random(1))
         shown = asyncio.Event()
         board.tell(lambda _: shown.set())
         for garbage in (b"", b"{", b'[{"name": 3}]'):
