--- a/libraries/objects/src/bamboopier_objects/http_caller.py
+++ b/libraries/objects/src/bamboopier_objects/http_client.py
@@ -47,7 +47,7 @@
         self.headers = headers
 
 
-class HttpCaller:
+class HttpClient:
     """Makes calls below ``base_url``; close it by leaving the context."""
 
     def __init__(
--- a/libraries/objects/src/bamboopier_objects/http_platform.py
+++ b/libraries/objects/src/bamboopier_objects/http_platform.py
@@ -15,7 +15,7 @@
     VersionConflictError,
     WatchGapError,
 )
-from .http_caller import CALL_TIMEOUT_SECONDS, HttpCaller, Reply, decode_reply
+from .http_client import CALL_TIMEOUT_SECONDS, HttpClient, Reply, decode_reply
 from .objects import MAX_VALUE_BYTES, Change, StoredObject, WatchBatch
 from .vms import Vm, VmAnswer
 
@@ -40,7 +40,7 @@
     changes: list[_WatchedChange]
 
 
-class HttpPlatform(HttpCaller):
+class HttpPlatform(HttpClient):
     """Calls the platform at ``base_url``; close it by leaving the context."""
 
     async def read(self, key: str) -> Result[StoredObject | None, PlatformError]:
--- a/libraries/objects/tests/test_http_caller.py
+++ b/libraries/objects/tests/test_http_client.py
@@ -6,7 +6,7 @@
 import unittest
 
 from bamboopier_objects.errors import PlatformUnavailableError
-from bamboopier_objects.http_caller import HttpCaller
+from bamboopier_objects.http_client import HttpClient
 
 PATIENCE_SECONDS = 0.4
 PIECES = 8
@@ -15,7 +15,7 @@
 
 
 class SlowAnswerTests(unittest.IsolatedAsyncioTestCase):
-    async def serve(self, pieces: int, pause: float) -> HttpCaller:
+    async def serve(self, pieces: int, pause: float) -> HttpClient:
         """Return a caller of a server that sends so many pieces of its answer."""
 
         async def answer(
@@ -32,7 +32,7 @@
         server = await asyncio.start_server(answer, "127.0.0.1", 0)
         self.addCleanup(server.close)
         port = server.sockets[0].getsockname()[1]
-        return HttpCaller(f"http://127.0.0.1:{port}", call_timeout=PATIENCE_SECONDS)
+        return HttpClient(f"http://127.0.0.1:{port}", call_timeout=PATIENCE_SECONDS)
 
     async def test_an_answer_longer_than_the_patience_arrives_whole(self) -> None:
         # Guards against a limit on the whole call, which a large answer on a weak link
--- a/libraries/proxy/src/bamboopier_proxy/configuration_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_relay.py
@@ -24,7 +24,7 @@
     from types import TracebackType
     from typing import Self
 
-    from bamboopier_objects.http_caller import HttpCaller
+    from bamboopier_objects.http_client import HttpClient
 
     from .active_configuration import ActiveConfiguration
     from .configuration_loader import ConfigurationLoader
@@ -54,7 +54,7 @@
         self,
         loader: ConfigurationLoader,
         active_configuration: ActiveConfiguration,
-        caller: HttpCaller,
+        caller: HttpClient,
     ) -> None:
         self._loader = loader
         self._active_configuration = active_configuration
--- a/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
+++ b/libraries/proxy/src/bamboopier_proxy/gateway_peers.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from bamboopier_decisions.quarantine.quarantine import Quarantine
-from bamboopier_objects.http_caller import HttpCaller
+from bamboopier_objects.http_client import HttpClient
 
 from . import configuration_relay, part_relay
 from .configuration_relay import ConfigurationRelay
@@ -57,7 +57,7 @@
             state.pauses,
         )
         # Other gateways identify this one by its source address.
-        self._caller = HttpCaller("", source=settings.host)
+        self._caller = HttpClient("", source=settings.host)
         self._configuration_relay = ConfigurationRelay(
             state.loader, state.active_configuration, self._caller
         )
--- a/libraries/proxy/src/bamboopier_proxy/part_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_relay.py
@@ -24,7 +24,7 @@
         PartStore,
         PartStoreIndex,
     )
-    from bamboopier_objects.http_caller import HttpCaller
+    from bamboopier_objects.http_client import HttpClient
 
     from .settings import Endpoint
 
@@ -66,7 +66,7 @@
 class PartRelay:
     """Requests updates from other gateways, and answers their requests."""
 
-    def __init__(self, index: PartStoreIndex, caller: HttpCaller) -> None:
+    def __init__(self, index: PartStoreIndex, caller: HttpClient) -> None:
         self._index = index
         self._caller = caller
         # The other gateway's position for each store, by the store's address.
--- a/libraries/proxy/tests/test_part_follower.py
+++ b/libraries/proxy/tests/test_part_follower.py
@@ -17,7 +17,7 @@
     PartUpdate,
 )
 from bamboopier_decisions.forwarding.pause_tracker import PauseTracker
-from bamboopier_objects.http_caller import HttpCaller
+from bamboopier_objects.http_client import HttpClient
 from bamboopier_proxy.gateway_registry import GatewayRegistry
 from bamboopier_proxy.part_follower import (
     DIRECT_GATEWAYS,
@@ -58,7 +58,7 @@
     """Records requests to other gateways."""
 
     def __init__(self, index: PartStoreIndex) -> None:
-        super().__init__(index, HttpCaller(""))
+        super().__init__(index, HttpClient(""))
         self.requested: set[str] = set()
 
     async def request(self, gateway: Endpoint) -> Result[int, str]:
--- a/libraries/proxy/tests/test_part_relay.py
+++ b/libraries/proxy/tests/test_part_relay.py
@@ -17,7 +17,7 @@
     PartStoreIndex,
     PartUpdate,
 )
-from bamboopier_objects.http_caller import HttpCaller, Reply
+from bamboopier_objects.http_client import HttpClient, Reply
 from bamboopier_proxy.part_relay import PartRelay
 from bamboopier_proxy.settings import Endpoint
 
@@ -32,7 +32,7 @@
 SECOND = Endpoint("10.0.0.2", 7000)
 
 
-class DirectCaller(HttpCaller):
+class DirectCaller(HttpClient):
     """Passes each call to another gateway's relay, after a delay."""
 
     def __init__(self) -> None:
--- a/tools/safeguards/at_most_once.py
+++ b/tools/safeguards/at_most_once.py
@@ -277,7 +277,7 @@
     ),
     Mutation(
         "the platform client never sends a change again by itself",
-        "libraries/objects/src/bamboopier_objects/http_caller.py",
+        "libraries/objects/src/bamboopier_objects/http_client.py",
         "timeout=timeout, connector=connector, middlewares=(_send_once,)",
         "timeout=timeout, connector=connector",
         "libraries/objects",
--- a/tools/safeguards/bounds.py
+++ b/tools/safeguards/bounds.py
@@ -4,7 +4,7 @@
 
 from mutations import Mutation
 
-_CALLER = "libraries/objects/src/bamboopier_objects/http_caller.py"
+_CALLER = "libraries/objects/src/bamboopier_objects/http_client.py"
 _RATE = "libraries/decisions/src/bamboopier_decisions/forwarding/rate_limit.py"
 _POSITION = "libraries/decisions/src/bamboopier_decisions/forwarding/watch_position.py"
 _RATE_TEST = "tests.forwarding.test_rate_limit"
@@ -18,7 +18,7 @@
         "                received",
         "                received",
         "libraries/objects",
-        "tests.test_http_caller",
+        "tests.test_http_client",
     ),
     Mutation(
         "a call whose answer stops arriving is given up",
@@ -26,7 +26,7 @@
         "stall = min(STALL_SECONDS, patience)",
         "stall = longest = LONGEST_ANSWER_SECONDS",
         "libraries/objects",
-        "tests.test_http_caller",
+        "tests.test_http_client",
     ),
     Mutation(
         "an answer proves nothing of the second before it",
