--- a/libraries/cli/src/bamboopier_cli/survey.py
+++ b/libraries/cli/src/bamboopier_cli/survey.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from bamboopier_objects.vms import Vm, VmList
+    from bamboopier_objects.vms import Vm, VmListSource
 
 ASKED_AT_ONCE = 64
 ANSWER_SECONDS = 2.0
@@ -50,7 +50,7 @@
     limit: int = 0
 
 
-async def list_nodes(vms: VmList) -> list[Vm]:
+async def list_nodes(vms: VmListSource) -> list[Vm]:
     """Return the listed gateways and targets."""
     answer = await vms.list_vms()
     if isinstance(answer, Err):
--- a/libraries/objects/src/bamboopier_objects/http_platform.py
+++ b/libraries/objects/src/bamboopier_objects/http_platform.py
@@ -17,7 +17,7 @@
 )
 from .http_client import CALL_TIMEOUT_SECONDS, HttpClient, Reply, decode_reply
 from .objects import MAX_VALUE_BYTES, Change, StoredObject, WatchBatch
-from .vms import Vm, VmAnswer
+from .vms import Vm, VmListResponse
 
 # Replies name their headers in lower case.
 VERSION_HEADER = "object-version"
@@ -117,7 +117,7 @@
             return answer
         return Ok(list(answer.ok_value.vms or ()))
 
-    async def list_vms_since(self, tag: str) -> Result[VmAnswer, PlatformError]:
+    async def list_vms_since(self, tag: str) -> Result[VmListResponse, PlatformError]:
         """Return the VMs unless the list still has the entity tag ``tag``."""
         headers = {"If-None-Match": tag} if tag else None
         answer = await self.call("GET", "/v1/vms", headers=headers)
@@ -125,12 +125,12 @@
             return answer
         reply = answer.ok_value
         if reply.status == 304:
-            return Ok(VmAnswer(None, tag, 0))
+            return Ok(VmListResponse(None, tag, 0))
         decoded = decode_reply(reply, list[Vm])
         if isinstance(decoded, Err):
             return decoded
         return Ok(
-            VmAnswer(
+            VmListResponse(
                 tuple(decoded.ok_value), reply.headers.get("etag", ""), len(reply.body)
             )
         )
--- a/libraries/objects/src/bamboopier_objects/vm_follower.py
+++ b/libraries/objects/src/bamboopier_objects/vm_follower.py
@@ -19,7 +19,7 @@
     import random
     from collections.abc import Callable
 
-    from .vms import Vm, VmList
+    from .vms import Vm, VmListSource
 
 # A leaving VM should be known in a few seconds; at 1,070 nodes this is 360 reads a
 # second of the platform's two thousand, nearly all answered without a body.
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        vms: VmList,
+        vms: VmListSource,
         apply: Callable[[tuple[Vm, ...]], None],
         random: random.Random,
     ) -> None:
--- a/libraries/objects/src/bamboopier_objects/vm_inventory.py
+++ b/libraries/objects/src/bamboopier_objects/vm_inventory.py
@@ -14,7 +14,7 @@
     import random
     from collections.abc import Callable
 
-    from .vms import VmList
+    from .vms import VmListSource
 
 # Readers that weigh how long a VM has been listed in a state are told this often even
 # when the list has not changed.
@@ -69,7 +69,7 @@
             return
         self._show(tuple(vms))
 
-    async def run(self, source: VmList) -> None:
+    async def run(self, source: VmListSource) -> None:
         """Follow the platform's list until cancelled."""
         follower = VmListFollower(source, self._take, self._random)
         async with asyncio.TaskGroup() as group:
--- a/libraries/objects/src/bamboopier_objects/vms.py
+++ b/libraries/objects/src/bamboopier_objects/vms.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class VmAnswer:
+class VmListResponse:
     """An answer of the VM list; ``vms`` is None when nothing changed since ``tag``."""
 
     vms: tuple[Vm, ...] | None
@@ -38,13 +38,13 @@
     size: int
 
 
-class VmList(Protocol):
+class VmListSource(Protocol):
     """Names the VMs that may exist; it lags behind the truth."""
 
     async def list_vms(self) -> Result[list[Vm], PlatformError]:
         """Return all VMs the platform lists now."""
         ...
 
-    async def list_vms_since(self, tag: str) -> Result[VmAnswer, PlatformError]:
+    async def list_vms_since(self, tag: str) -> Result[VmListResponse, PlatformError]:
         """Return the VMs unless the list still has the entity tag ``tag``."""
         ...
--- a/libraries/objects/tests/builders.py
+++ b/libraries/objects/tests/builders.py
@@ -22,7 +22,7 @@
 from bamboopier_objects.objects import Change, StoredObject, WatchBatch
 from bamboopier_objects.parts import HEAD_KEY, Head
 from bamboopier_objects.publisher import Publisher
-from bamboopier_objects.vms import Vm, VmAnswer
+from bamboopier_objects.vms import Vm, VmListResponse
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Coroutine
@@ -217,7 +217,7 @@
     return Vm(name, "target", "dc-1", "north", "10.0.0.1:7001", state)  # type: ignore[arg-type]
 
 
-class VmListFake:
+class VmListSourceFake:
     """A list that can change, go away and withhold its entity tags."""
 
     def __init__(self, *vms: Vm) -> None:
@@ -229,7 +229,7 @@
     async def list_vms(self) -> Result[list[Vm], PlatformError]:
         return Ok(list(self.vms))
 
-    async def list_vms_since(self, tag: str) -> Result[VmAnswer, PlatformError]:
+    async def list_vms_since(self, tag: str) -> Result[VmListResponse, PlatformError]:
         if self.down:
             return Err(PlatformUnavailableError("down"))
         current = hashlib.sha256(repr(self.vms).encode()).hexdigest()
@@ -237,7 +237,7 @@
             current = ""
         if tag and tag == current:
             self.sizes.append(0)
-            return Ok(VmAnswer(None, tag, 0))
+            return Ok(VmListResponse(None, tag, 0))
         size = BYTES_PER_VM * len(self.vms)
         self.sizes.append(size)
-        return Ok(VmAnswer(self.vms, current, size))
+        return Ok(VmListResponse(self.vms, current, size))
--- a/libraries/objects/tests/test_vm_follower.py
+++ b/libraries/objects/tests/test_vm_follower.py
@@ -8,7 +8,7 @@
 
 from bamboopier_objects.vm_follower import BUDGET_BYTES, SPREAD, VmListFollower
 
-from .builders import VmListFake, build_vm
+from .builders import VmListSourceFake, build_vm
 
 if TYPE_CHECKING:
     from bamboopier_objects.vms import Vm
@@ -19,7 +19,7 @@
 class VmListFollowerTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.lists: list[tuple[Vm, ...]] = []
-        self.fake = VmListFake(*(build_vm(f"t-{n}") for n in range(DESIGN_SIZE)))
+        self.fake = VmListSourceFake(*(build_vm(f"t-{n}") for n in range(DESIGN_SIZE)))
         self.follower = VmListFollower(self.fake, self.lists.append, random.Random(1))
 
     async def test_an_unchanged_list_costs_nothing_and_is_told_once(self) -> None:
--- a/libraries/objects/tests/test_vm_inventory.py
+++ b/libraries/objects/tests/test_vm_inventory.py
@@ -10,7 +10,7 @@
 
 from bamboopier_objects.vm_inventory import VmInventory
 
-from .builders import VmListFake, build_vm
+from .builders import VmListSourceFake, build_vm
 
 
 class VmInventoryTests(unittest.IsolatedAsyncioTestCase):
@@ -28,7 +28,7 @@
         board.learn(msgspec.json.encode([build_vm("old")]))
         self.assertEqual(board.list_agents(), [build_vm("old").address])
         shown.clear()
-        task = asyncio.create_task(board.run(VmListFake(build_vm("new"))))
+        task = asyncio.create_task(board.run(VmListSourceFake(build_vm("new"))))
         await shown.wait()
         board.learn(msgspec.json.encode([build_vm("old")]))
         self.assertIsNotNone(board.find("new"))
