--- a/libraries/agent/src/bamboopier_agent/daemon.py
+++ b/libraries/agent/src/bamboopier_agent/daemon.py
@@ -21,7 +21,7 @@
 from bamboopier_daemon.listening import explain_listening
 from bamboopier_daemon.peer_check import PeerCheck
 from bamboopier_daemon.process_metrics import add_process_metrics
-from bamboopier_daemon.stopping import StopEnd, StopSignals
+from bamboopier_daemon.stopping import ShutdownOutcome, StopSignals
 from bamboopier_decisions.admission.controller import AdmissionController
 from bamboopier_decisions.membership.lease import Lease
 from bamboopier_objects.follower import ConfigurationFollower
@@ -173,7 +173,7 @@
             log.info("agent stopping", running=gate.admission.running)
             timeout = settings.shutdown_timeout_seconds
             end = await signals.wait_until(_finish(gate, server), timeout)
-            if end is not StopEnd.IDLE:
+            if end is not ShutdownOutcome.IDLE:
                 # Gateways see these streams break off and tell their callers that the
                 # outcome is unknown, which it is.
                 log.warning(
--- a/libraries/daemon/src/bamboopier_daemon/stopping.py
+++ b/libraries/daemon/src/bamboopier_daemon/stopping.py
@@ -14,7 +14,7 @@
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
-class StopEnd(StrEnum):
+class ShutdownOutcome(StrEnum):
     """Why a graceful shutdown stopped waiting."""
 
     IDLE = "idle"
@@ -54,7 +54,7 @@
 
     async def wait_until(
         self, idle: Coroutine[Any, Any, None], timeout: float
-    ) -> StopEnd:
+    ) -> ShutdownOutcome:
         """Wait for ``idle``, at most ``timeout`` seconds and until a second signal.
 
         Requests that are still open then are cut by the caller of this method, who has
@@ -67,8 +67,8 @@
                 {work, second}, timeout=timeout, return_when=asyncio.FIRST_COMPLETED
             )
             if work.done():
-                return StopEnd.IDLE
-            return StopEnd.SECOND_SIGNAL if second.done() else StopEnd.TIMEOUT
+                return ShutdownOutcome.IDLE
+            return ShutdownOutcome.SECOND_SIGNAL if second.done() else ShutdownOutcome.TIMEOUT
         finally:
             work.cancel()
             second.cancel()
--- a/libraries/gateway/src/bamboopier_gateway/daemon.py
+++ b/libraries/gateway/src/bamboopier_gateway/daemon.py
@@ -13,7 +13,7 @@
 from bamboopier_daemon.certificates import Certificates
 from bamboopier_daemon.daemon import keep_running, serve_administration
 from bamboopier_daemon.process_metrics import add_process_metrics
-from bamboopier_daemon.stopping import StopEnd, StopSignals
+from bamboopier_daemon.stopping import ShutdownOutcome, StopSignals
 from bamboopier_decisions.routing.router import Router
 from bamboopier_objects.follower import ConfigurationFollower
 from bamboopier_objects.http_platform import HttpPlatform
@@ -111,7 +111,7 @@
             await asyncio.sleep(STOP_DELAY_SECONDS)
             timeout = settings.shutdown_timeout_seconds
             end = await signals.wait_until(application.wait_until_idle(), timeout)
-            if end is not StopEnd.IDLE:
+            if end is not ShutdownOutcome.IDLE:
                 log.warning(
                     "requests cut",
                     reason=end.value,
