--- a/libraries/agent/src/bamboopier_agent/daemon.py
+++ b/libraries/agent/src/bamboopier_agent/daemon.py
@@ -18,7 +18,7 @@
     keep_running,
     serve_administration,
 )
-from bamboopier_daemon.listening import explain_listening
+from bamboopier_daemon.listening import convert_listen_errors
 from bamboopier_daemon.peer_check import PeerCheck
 from bamboopier_daemon.process_metrics import add_process_metrics
 from bamboopier_daemon.stopping import ShutdownOutcome, StopSignals
@@ -143,7 +143,7 @@
         stack.push_async_callback(server.stop, None)
         add_AgentServicer_to_server(service, server)
         add_PeerServicer_to_server(PeerService(follower.store, vms), server)
-        with explain_listening("listen", settings.listen):
+        with convert_listen_errors("listen", settings.listen):
             certificates.add_port(server, str(settings.listen))
         await server.start()
         # Only now is the place proved to be this process's own.
--- a/libraries/daemon/src/bamboopier_daemon/daemon.py
+++ b/libraries/daemon/src/bamboopier_daemon/daemon.py
@@ -16,7 +16,7 @@
 from aiohttp import web
 from prometheus_client import CONTENT_TYPE_LATEST, CollectorRegistry, generate_latest
 
-from .listening import explain_listening
+from .listening import convert_listen_errors
 from .log_sink import LogSink
 
 if TYPE_CHECKING:
@@ -137,7 +137,7 @@
     runner = web.AppRunner(application, access_log=None)
     await runner.setup()
     try:
-        with explain_listening("admin", address):
+        with convert_listen_errors("admin", address):
             await web.TCPSite(runner, address.host, address.port).start()
         yield runner.addresses[0][1]
     finally:
--- a/libraries/daemon/src/bamboopier_daemon/listening.py
+++ b/libraries/daemon/src/bamboopier_daemon/listening.py
@@ -15,7 +15,7 @@
 
 
 @contextmanager
-def explain_listening(setting: str, address: Address) -> Iterator[None]:
+def convert_listen_errors(setting: str, address: Address) -> Iterator[None]:
     """Turn what libraries raise for a port in use into a ``ListenError``.
 
     asyncio raises ``OSError`` and gRPC ``RuntimeError`` with a text of its own.
--- a/libraries/gateway/src/bamboopier_gateway/listener.py
+++ b/libraries/gateway/src/bamboopier_gateway/listener.py
@@ -7,7 +7,7 @@
 
 from aiohttp import web
 
-from bamboopier_daemon.listening import explain_listening
+from bamboopier_daemon.listening import convert_listen_errors
 
 from .connection import CallerConnection
 
@@ -53,7 +53,7 @@
         await self._runner.setup()
         listen = self._settings.listen
         loop = asyncio.get_running_loop()
-        with explain_listening("listen", listen):
+        with convert_listen_errors("listen", listen):
             self._server = await loop.create_server(
                 self._make_connection,
                 listen.host,
