--- a/libraries/cli/src/bamboopier_cli/credentials.py
+++ b/libraries/cli/src/bamboopier_cli/credentials.py
@@ -8,7 +8,7 @@
 
 from result import Err
 
-from bamboopier_configuration.certificate_check import find_certificate_fault
+from bamboopier_configuration.certificate_check import find_certificate_error
 from bamboopier_configuration.reader import read_file
 from bamboopier_configuration.settings import Tls
 from bamboopier_daemon.certificates import Certificates
@@ -30,7 +30,7 @@
     answer = read_file(Path(name), Tls)
     if isinstance(answer, Err):
         fail_configuration(answer.err_value)
-    fault = find_certificate_fault(answer.ok_value, "$", name)
+    fault = find_certificate_error(answer.ok_value, "$", name)
     if fault is not None:
         fail_configuration(fault)
     return Certificates(answer.ok_value)
--- a/libraries/configuration/src/bamboopier_configuration/certificate_check.py
+++ b/libraries/configuration/src/bamboopier_configuration/certificate_check.py
@@ -12,7 +12,7 @@
     from .settings import CallerTls, Tls
 
 
-def find_certificate_fault(
+def find_certificate_error(
     tls: CallerTls | Tls | None, path: str, file: str
 ) -> ConfigurationError | None:
     """Return what is wrong with the files that the settings name at ``path``."""
--- a/libraries/configuration/src/bamboopier_configuration/settings_reader.py
+++ b/libraries/configuration/src/bamboopier_configuration/settings_reader.py
@@ -8,7 +8,7 @@
 
 from result import Err, Result
 
-from .certificate_check import find_certificate_fault
+from .certificate_check import find_certificate_error
 from .errors import ConfigurationError
 from .reader import read_file, show
 from .settings import AgentSettings, GatewaySettings
@@ -33,10 +33,10 @@
         or _find_host_fault(settings.admin, "$.admin.host", str(path))
         or _find_port_fault(settings, str(path))
         or _find_plain_fault(settings, str(path))
-        or find_certificate_fault(settings.tls, "$.tls", str(path))
+        or find_certificate_error(settings.tls, "$.tls", str(path))
     )
     if fault is None and isinstance(settings, GatewaySettings):
-        fault = find_certificate_fault(settings.caller_tls, "$.caller_tls", str(path))
+        fault = find_certificate_error(settings.caller_tls, "$.caller_tls", str(path))
     return Err(fault) if fault is not None else answer
 
 
