--- a/libraries/cli/src/bamboopier_cli/survey.py
+++ b/libraries/cli/src/bamboopier_cli/survey.py
@@ -109,7 +109,7 @@
 async def _ask_gateway(session: aiohttp.ClientSession, vm: Vm) -> NodeStatus:
     status = _start_status(vm)
     try:
-        scheme = "https" if read_certificates().are_used else "http"
+        scheme = "https" if read_certificates().is_enabled else "http"
         async with session.get(f"{scheme}://{vm.address}/v1/status") as response:
             found = msgspec.json.decode(await response.read(), type=GatewayStatus)
     except (aiohttp.ClientError, TimeoutError, msgspec.MsgspecError):
--- a/libraries/daemon/src/bamboopier_daemon/certificates.py
+++ b/libraries/daemon/src/bamboopier_daemon/certificates.py
@@ -46,7 +46,7 @@
         self._stamps: dict[str, _Stamp] = {}
 
     @property
-    def are_used(self) -> bool:
+    def is_enabled(self) -> bool:
         """Say whether connections are made with certificates."""
         return self._tls is not None
 
