--- a/libraries/agent/src/bamboopier_agent/service.py
+++ b/libraries/agent/src/bamboopier_agent/service.py
@@ -85,7 +85,7 @@
 
         Cancelling it cancels the target, unless a non-idempotent call has started.
         """
-        self._follower.hear(request.generation)
+        self._follower.record_announced(request.generation)
         answer = Answer(request.attempt_id, self.report)
         if not self._seen.add(request.attempt_id):
             # The first copy may run: "not run" would be false, and so no refusal.
@@ -159,7 +159,7 @@
         self, request: pb.ReportRequest, context: Any
     ) -> pb.LoadReport:
         """Return the load now."""
-        self._follower.hear(request.generation)
+        self._follower.record_announced(request.generation)
         return self.report()
 
     def report(self) -> pb.LoadReport:
--- a/libraries/agent/tests/service_builders.py
+++ b/libraries/agent/tests/service_builders.py
@@ -65,7 +65,7 @@
         name, name, "dispatch", "dc", "region", address, address, "", "", "5a" * 32
     )
     directory = Directory(1, Configuration(services=[DISPATCH]))
-    follower: Any = SimpleNamespace(directory=directory, hear=lambda _: None)
+    follower: Any = SimpleNamespace(directory=directory, record_announced=lambda _: None)
     watch: Any = SimpleNamespace(reachable=True, start_id="s", version="")
     untyped_target: Any = target
     context: Any = SimpleNamespace(find_block_tokens=lambda _: 0)
--- a/libraries/gateway/src/bamboopier_gateway/forwarder.py
+++ b/libraries/gateway/src/bamboopier_gateway/forwarder.py
@@ -136,7 +136,7 @@
         )
         result = await attempt.run(delivery)
         if result.load is not None:
-            self._follower.hear(result.load.generation)
+            self._follower.record_announced(result.load.generation)
             self._fleet.reports.note(send.target, result.load)
             load = read_load(result.load)
             self._router.handle(TargetReported(time.monotonic(), send.target, load))
--- a/libraries/gateway/src/bamboopier_gateway/target_poll.py
+++ b/libraries/gateway/src/bamboopier_gateway/target_poll.py
@@ -67,7 +67,7 @@
         except grpc.aio.AioRpcError:
             self._fleet.reports.note(target, None)
             return
-        self._follower.hear(report.generation)
+        self._follower.record_announced(report.generation)
         self._fleet.reports.note(target, report)
         load = read_load(report)
         self._router.handle(TargetReported(time.monotonic(), target, load))
--- a/libraries/gateway/tests/test_forwarder.py
+++ b/libraries/gateway/tests/test_forwarder.py
@@ -86,7 +86,7 @@
             reports=SimpleNamespace(note=lambda *_: None),
         )
         follower = SimpleNamespace(directory=SimpleNamespace(generation=1))
-        follower.hear = lambda _: None
+        follower.record_announced = lambda _: None
         quarantine = SimpleNamespace(
             find_wait=lambda _: 0.0, record_crash=lambda *_: None
         )
--- a/libraries/objects/src/bamboopier_objects/follower.py
+++ b/libraries/objects/src/bamboopier_objects/follower.py
@@ -79,7 +79,7 @@
         """Say whether a higher generation than the one in force is known of."""
         return self.highest_heard > self.directory.generation
 
-    def hear(self, generation: int) -> None:
+    def record_announced(self, generation: int) -> None:
         """Note a generation that a peer's message named; read again if it is newer."""
         if generation > self.highest_heard:
             self.highest_heard = generation
--- a/libraries/objects/tests/test_follower.py
+++ b/libraries/objects/tests/test_follower.py
@@ -41,7 +41,7 @@
             answer = await original(key)
             self.objects.read = original  # type: ignore[method-assign]
             self.publish(2)
-            self.node.follower.hear(2)
+            self.node.follower.record_announced(2)
             return answer
 
         self.objects.read = read_slowly  # type: ignore[method-assign,assignment]
@@ -90,7 +90,7 @@
         await peer.follower.refresh()
         self.objects.down = True
         self.node.peers = [peer]
-        self.node.follower.hear(2)
+        self.node.follower.record_announced(2)
         await self.node.follow_until(2)
 
     async def test_a_fresh_node_asks_a_peer_in_an_outage(self) -> None:
--- a/libraries/objects/tests/test_generations.py
+++ b/libraries/objects/tests/test_generations.py
@@ -123,7 +123,7 @@
         """A message names the peer's generation, which the peer holds."""
         heard = self.nodes[peer].generation
         self.objects.down = down
-        self.nodes[node].follower.hear(heard)
+        self.nodes[node].follower.record_announced(heard)
         finish(self.nodes[node].follower.refresh())
         assert self.nodes[node].generation >= heard
 
