--- a/libraries/agent/src/bamboopier_agent/daemon.py
+++ b/libraries/agent/src/bamboopier_agent/daemon.py
@@ -84,8 +84,8 @@
         claims = ClaimTable(platform, str(settings.listen))
         standing = TargetStanding(settings, gate)
         vms = VmInventory(generator)
-        vms.tell(standing.apply_vms)
-        vms.tell(lambda _: apply_context())
+        vms.subscribe(standing.apply_vms)
+        vms.subscribe(lambda _: apply_context())
         peers = PeerClient(settings.peers, vms, certificates.open_channel, generator)
 
         def apply_context() -> None:
--- a/libraries/daemon/src/bamboopier_daemon/certificates.py
+++ b/libraries/daemon/src/bamboopier_daemon/certificates.py
@@ -50,7 +50,7 @@
         """Say whether connections are made with certificates."""
         return self._tls is not None
 
-    def tell(self, listener: Callable[[], None]) -> None:
+    def subscribe(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` after files were replaced."""
         self._listeners.append(listener)
 
--- a/libraries/daemon/tests/test_certificates.py
+++ b/libraries/daemon/tests/test_certificates.py
@@ -63,7 +63,7 @@
     async def test_replaced_files_are_used_and_broken_ones_left(self) -> None:
         own = Certificates(self.tls)
         told: list[int] = []
-        own.tell(lambda: told.append(1))
+        own.subscribe(lambda: told.append(1))
         context = own.make_client_context()
         (self.folder / "own.key").write_text("half written")
         own.reload()
--- a/libraries/gateway/src/bamboopier_gateway/agents.py
+++ b/libraries/gateway/src/bamboopier_gateway/agents.py
@@ -45,7 +45,7 @@
 
     def __init__(self, certificates: Certificates | None = None) -> None:
         self._certificates = certificates or Certificates(None)
-        self._certificates.tell(self._renew)
+        self._certificates.subscribe(self._renew)
         self._channels: dict[str, grpc.aio.Channel] = {}
         self._closing: set[asyncio.Task[None]] = set()
 
--- a/libraries/gateway/src/bamboopier_gateway/fleet.py
+++ b/libraries/gateway/src/bamboopier_gateway/fleet.py
@@ -50,7 +50,7 @@
         self._random = random
         self._versions: dict[str, ModelVersions] = {}
         self.reports = TargetReports()
-        vms.tell(lambda _: self._update())
+        vms.subscribe(lambda _: self._update())
 
     def find_address(self, target: str) -> str:
         """Return the address of the agent beside ``target``."""
--- a/libraries/objects/src/bamboopier_objects/vm_inventory.py
+++ b/libraries/objects/src/bamboopier_objects/vm_inventory.py
@@ -40,7 +40,7 @@
         """Return how many processes follow the configuration and this list."""
         return max(1, sum(vm.role != "store" for vm in self.vms))
 
-    def tell(self, reader: Callable[[VmInventory], None]) -> None:
+    def subscribe(self, reader: Callable[[VmInventory], None]) -> None:
         """Call ``reader`` with each list, and again while it stays the same."""
         self._readers.append(reader)
 
--- a/libraries/objects/tests/test_vm_inventory.py
+++ b/libraries/objects/tests/test_vm_inventory.py
@@ -21,7 +21,7 @@
         """
         board = VmInventory(random.Random(1))
         shown = asyncio.Event()
-        board.tell(lambda _: shown.set())
+        board.subscribe(lambda _: shown.set())
         for garbage in (b"", b"{", b'[{"name": 3}]'):
             board.learn(garbage)
         self.assertEqual((board.vms, shown.is_set()), ((), False))
