--- a/libraries/agent/src/bamboopier_agent/daemon.py
+++ b/libraries/agent/src/bamboopier_agent/daemon.py
@@ -98,7 +98,7 @@
             apply_context()
 
         follower = ConfigurationFollower(
-            platform, apply_configuration, generator, peers, lambda: vms.nodes
+            platform, apply_configuration, generator, peers, lambda: vms.node_count
         )
         holder = f"{settings.vm}:{uuid.uuid4().hex}"
         place = f"{settings.vm}:{settings.listen}"
@@ -153,7 +153,7 @@
         def is_ready() -> bool:
             # Without services and stores this agent would refuse or forget what the
             # first requests bring.
-            informed = follower.directory.generation > 0 and vms.is_known
+            informed = follower.directory.generation > 0 and vms.has_list
             return informed and watch.reachable and gate.admission.accepting
 
         add_process_metrics(
--- a/libraries/agent/src/bamboopier_agent/standing.py
+++ b/libraries/agent/src/bamboopier_agent/standing.py
@@ -53,9 +53,9 @@
         )
         self._review()
 
-    def apply_vms(self, board: VmInventory) -> None:
+    def apply_vms(self, inventory: VmInventory) -> None:
         """Take this VM's own state from a VM list."""
-        vm = board.find(self._settings.vm)
+        vm = inventory.find(self._settings.vm)
         listed = {vm.name: vm.state != "live"} if vm is not None else {}
         if listed:
             self._leaving = bool(self._leaving_vms.update(time.monotonic(), listed))
--- a/libraries/gateway/src/bamboopier_gateway/daemon.py
+++ b/libraries/gateway/src/bamboopier_gateway/daemon.py
@@ -65,7 +65,7 @@
             fleet.apply_configuration,
             generator,
             peers,
-            lambda: vms.nodes,
+            lambda: vms.node_count,
         )
         metrics = GatewayMetrics()
         prompts = PromptReader(
@@ -91,7 +91,7 @@
         def is_ready() -> bool:
             # With the configuration alone there is no target to send to: callers that
             # the balancer sent here would all be refused.
-            return application.ready and vms.is_known
+            return application.ready and vms.has_list
 
         add_process_metrics(
             metrics.registry,
--- a/libraries/gateway/tests/test_fleet.py
+++ b/libraries/gateway/tests/test_fleet.py
@@ -17,14 +17,14 @@
 DESKS = ("desk-1", "desk-2", "desk-3", "desk-4")
 
 
-def build_board() -> VmInventory:
+def build_inventory() -> VmInventory:
     """Return a VM list with four targets."""
-    board = VmInventory(random.Random(1))
-    board.vms = tuple(
+    inventory = VmInventory(random.Random(1))
+    inventory.vms = tuple(
         Vm(desk, "target", "dc-east", "midlands", "127.0.0.1:1", group="fault-desk")
         for desk in DESKS
     )
-    return board
+    return inventory
 
 
 def build_directory(generation: int, version: str) -> Directory:
@@ -53,7 +53,7 @@
             block_secret="5a" * 32,
         )
         self.fleet = Fleet(
-            settings, build_board(), self.agents, lambda _: None, random.Random(1)
+            settings, build_inventory(), self.agents, lambda _: None, random.Random(1)
         )
 
     def publish(self, generation: int, version: str) -> None:
--- a/libraries/objects/src/bamboopier_objects/peers.py
+++ b/libraries/objects/src/bamboopier_objects/peers.py
@@ -68,7 +68,7 @@
         self, generation: int, store: GenerationStore
     ) -> Result[Generation | None, PlatformError]:
         """Return the first higher generation that a peer has, or None."""
-        known = sorted({*self._seeds, *self._vms.list_agents()})
+        known = sorted({*self._seeds, *self._vms.list_agent_addresses()})
         failure: PlatformError | None = None
         for address in self._random.sample(known, min(PEERS_ASKED, len(known))):
             answer = await self._ask(address, generation, store)
@@ -86,7 +86,7 @@
             reply = await source.call([])
             if isinstance(reply, Err):
                 return reply
-            self._vms.learn(reply.ok_value.vms)
+            self._vms.apply_peer_list(reply.ok_value.vms)
             if not reply.ok_value.head:
                 return Ok(None)
             return await store.assemble(reply.ok_value.head, ABSENT, source)
--- a/libraries/objects/src/bamboopier_objects/vm_inventory.py
+++ b/libraries/objects/src/bamboopier_objects/vm_inventory.py
@@ -31,12 +31,12 @@
         self.vms: tuple[Vm, ...] = ()
 
     @property
-    def is_known(self) -> bool:
+    def has_list(self) -> bool:
         """Say whether any list has been seen; before that no VM can be used."""
         return bool(self.vms)
 
     @property
-    def nodes(self) -> int:
+    def node_count(self) -> int:
         """Return how many processes follow the configuration and this list."""
         return max(1, sum(vm.role != "store" for vm in self.vms))
 
@@ -48,7 +48,7 @@
         """Return the VM of this name, or None when it is not listed."""
         return next((vm for vm in self.vms if vm.name == name), None)
 
-    def list_agents(self) -> list[str]:
+    def list_agent_addresses(self) -> list[str]:
         """Return the addresses of the agents listed."""
         return [vm.address for vm in self.vms if vm.role == "target"]
 
@@ -56,7 +56,7 @@
         """Return the list for a peer, empty when none was seen."""
         return msgspec.json.encode(self.vms) if self.vms else b""
 
-    def learn(self, encoded: bytes) -> None:
+    def apply_peer_list(self, encoded: bytes) -> None:
         """Take a peer's list while the platform has not answered this process yet.
 
         A list that cannot be read is dropped: an odd peer must not end this process.
--- a/libraries/objects/tests/test_vm_inventory.py
+++ b/libraries/objects/tests/test_vm_inventory.py
@@ -19,18 +19,18 @@
 
         Garbage must not end the process, and the platform's own list wins for good.
         """
-        board = VmInventory(random.Random(1))
+        inventory = VmInventory(random.Random(1))
         shown = asyncio.Event()
-        board.subscribe(lambda _: shown.set())
+        inventory.subscribe(lambda _: shown.set())
         for garbage in (b"", b"{", b'[{"name": 3}]'):
-            board.learn(garbage)
-        self.assertEqual((board.vms, shown.is_set()), ((), False))
-        board.learn(msgspec.json.encode([build_vm("old")]))
-        self.assertEqual(board.list_agents(), [build_vm("old").address])
+            inventory.apply_peer_list(garbage)
+        self.assertEqual((inventory.vms, shown.is_set()), ((), False))
+        inventory.apply_peer_list(msgspec.json.encode([build_vm("old")]))
+        self.assertEqual(inventory.list_agent_addresses(), [build_vm("old").address])
         shown.clear()
-        task = asyncio.create_task(board.run(VmListSourceFake(build_vm("new"))))
+        task = asyncio.create_task(inventory.run(VmListSourceFake(build_vm("new"))))
         await shown.wait()
-        board.learn(msgspec.json.encode([build_vm("old")]))
-        self.assertIsNotNone(board.find("new"))
-        self.assertIsNone(board.find("old"))
+        inventory.apply_peer_list(msgspec.json.encode([build_vm("old")]))
+        self.assertIsNotNone(inventory.find("new"))
+        self.assertIsNone(inventory.find("old"))
         task.cancel()
--- a/tools/safeguards/configuration.py
+++ b/tools/safeguards/configuration.py
@@ -128,7 +128,7 @@
     Mutation(
         "a gateway that slept takes the generation from an agent",
         "libraries/objects/src/bamboopier_objects/peers.py",
-        "        known = sorted({*self._seeds, *self._vms.list_agents()})\n",
+        "        known = sorted({*self._seeds, *self._vms.list_agent_addresses()})\n",
         "        known: list[str] = []\n",
         ".",
         "tests.test_drain.DrainTests."
@@ -137,7 +137,7 @@
     Mutation(
         "a fresh gateway learns the VM list from a peer",
         "libraries/objects/src/bamboopier_objects/peers.py",
-        "            self._vms.learn(reply.ok_value.vms)\n",
+        "            self._vms.apply_peer_list(reply.ok_value.vms)\n",
         "",
         ".",
         "tests.test_configuration.ConfigurationTests."
