--- a/libraries/objects/src/bamboopier_objects/http_client.py
+++ b/libraries/objects/src/bamboopier_objects/http_client.py
@@ -90,18 +90,18 @@
         path: str,
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
-        patience: float | None = None,
+        first_byte_timeout: float | None = None,
     ) -> Result[Reply, PlatformError]:
         """Make one call; a change whose answer is lost is reported as unknown.
 
-        ``patience`` are the seconds until the answer begins; None stands for the
+        ``first_byte_timeout`` are the seconds until the answer begins; None stands for the
         caller's usual.
         """
         if self._session is None:
             return Err(PlatformUnavailableError("the platform client is not open"))
-        patience = patience or self.call_timeout
-        stall = min(STALL_SECONDS, patience)
-        longest = patience + LONGEST_ANSWER_SECONDS
+        first_byte_timeout = first_byte_timeout or self.call_timeout
+        stall = min(STALL_SECONDS, first_byte_timeout)
+        longest = first_byte_timeout + LONGEST_ANSWER_SECONDS
         timeout = aiohttp.ClientTimeout(total=longest)
         read_time = asyncio.get_running_loop().time
         url = self._base_url + path
@@ -109,7 +109,7 @@
         length: int | None = None
         try:
             async with (
-                asyncio.timeout(patience) as limit,
+                asyncio.timeout(first_byte_timeout) as limit,
                 self._session.request(
                     method, url, data=body, headers=headers, timeout=timeout
                 ) as response,
--- a/libraries/objects/src/bamboopier_objects/http_platform.py
+++ b/libraries/objects/src/bamboopier_objects/http_platform.py
@@ -97,8 +97,8 @@
         """Wait up to ``timeout`` seconds for changes later than revision ``after``."""
         query = f"prefix={quote(prefix)}&after={after}&timeout={timeout}"
         url = f"/v1/watch?{query}"
-        patience = timeout + CALL_TIMEOUT_SECONDS
-        answer = await self.call("GET", url, patience=patience)
+        first_byte_timeout = timeout + CALL_TIMEOUT_SECONDS
+        answer = await self.call("GET", url, first_byte_timeout=first_byte_timeout)
         if isinstance(answer, Err):
             return answer
         if answer.ok_value.status == 410:
--- a/libraries/proxy/src/bamboopier_proxy/configuration_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_relay.py
@@ -89,7 +89,7 @@
     async def _fetch(self, gateway: Endpoint) -> None:
         sent_at = read_clock()
         url = f"http://{gateway}{PATH}"
-        response = await self._caller.call("GET", url, patience=CALL_SECONDS)
+        response = await self._caller.call("GET", url, first_byte_timeout=CALL_SECONDS)
         if isinstance(response, Err) or response.ok_value.status != 200:
             reason = (
                 str(response.err_value)
--- a/libraries/proxy/src/bamboopier_proxy/part_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/part_relay.py
@@ -103,7 +103,7 @@
             "POST",
             f"http://{gateway}{PATH}",
             msgspec.msgpack.encode(positions),
-            patience=CALL_SECONDS,
+            first_byte_timeout=CALL_SECONDS,
         )
         if isinstance(response, Err):
             return Err(str(response.err_value))
--- a/libraries/proxy/tests/test_part_relay.py
+++ b/libraries/proxy/tests/test_part_relay.py
@@ -48,7 +48,7 @@
         path: str,
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
-        patience: float | None = None,
+        first_byte_timeout: float | None = None,
     ) -> Result[Reply, PlatformError]:
         assert self.other is not None
         self.travel()
--- a/tools/safeguards/bounds.py
+++ b/tools/safeguards/bounds.py
@@ -23,7 +23,7 @@
     Mutation(
         "a call whose answer stops arriving is given up",
         _CALLER,
-        "stall = min(STALL_SECONDS, patience)",
+        "stall = min(STALL_SECONDS, first_byte_timeout)",
         "stall = longest = LONGEST_ANSWER_SECONDS",
         "libraries/objects",
         "tests.test_http_client",
