--- a/libraries/objects/src/bamboopier_objects/vm_inventory.py
+++ b/libraries/objects/src/bamboopier_objects/vm_inventory.py
@@ -18,7 +18,7 @@
 
 # Readers that weigh how long a VM has been listed in a state are told this often even
 # when the list has not changed.
-TELL_SECONDS = 5.0
+NOTIFY_SECONDS = 5.0
 
 
 class VmInventory:
@@ -26,8 +26,8 @@
 
     def __init__(self, random: random.Random) -> None:
         self._random = random
-        self._readers: list[Callable[[VmInventory], None]] = []
-        self._read = False
+        self._subscribers: list[Callable[[VmInventory], None]] = []
+        self._has_platform_list = False
         self.vms: tuple[Vm, ...] = ()
 
     @property
@@ -40,9 +40,9 @@
         """Return how many processes follow the configuration and this list."""
         return max(1, sum(vm.role != "store" for vm in self.vms))
 
-    def subscribe(self, reader: Callable[[VmInventory], None]) -> None:
-        """Call ``reader`` with each list, and again while it stays the same."""
-        self._readers.append(reader)
+    def subscribe(self, subscriber: Callable[[VmInventory], None]) -> None:
+        """Call ``subscriber`` with each list, and again while it stays the same."""
+        self._subscribers.append(subscriber)
 
     def find(self, name: str) -> Vm | None:
         """Return the VM of this name, or None when it is not listed."""
@@ -61,28 +61,28 @@
 
         A list that cannot be read is dropped: an odd peer must not end this process.
         """
-        if not encoded or self._read:
+        if not encoded or self._has_platform_list:
             return
         try:
             vms = msgspec.json.decode(encoded, type=list[Vm])
         except msgspec.MsgspecError:
             return
-        self._show(tuple(vms))
+        self._set_list(tuple(vms))
 
     async def run(self, source: VmListSource) -> None:
         """Follow the platform's list until cancelled."""
-        follower = VmListFollower(source, self._take, self._random)
+        follower = VmListFollower(source, self._apply_platform_list, self._random)
         async with asyncio.TaskGroup() as group:
             group.create_task(follower.run())
             while True:
-                await asyncio.sleep(TELL_SECONDS)
-                self._show(self.vms)
+                await asyncio.sleep(NOTIFY_SECONDS)
+                self._set_list(self.vms)
 
-    def _take(self, vms: tuple[Vm, ...]) -> None:
-        self._read = True
-        self._show(vms)
+    def _apply_platform_list(self, vms: tuple[Vm, ...]) -> None:
+        self._has_platform_list = True
+        self._set_list(vms)
 
-    def _show(self, vms: tuple[Vm, ...]) -> None:
+    def _set_list(self, vms: tuple[Vm, ...]) -> None:
         self.vms = vms
-        for reader in self._readers:
-            reader(self)
+        for subscriber in self._subscribers:
+            subscriber(self)
