--- a/libraries/objects/src/bamboopier_objects/follower.py
+++ b/libraries/objects/src/bamboopier_objects/follower.py
@@ -26,7 +26,7 @@
 WATCH_SECONDS = 15.0
 # Waits after a failed read, doubled up to the maximum; drawn between half and all, so
 # that 1,070 nodes return after an outage at some 180 reads a second, not in one wave.
-FIRST_RETRY_SECONDS = 0.25
+INITIAL_RETRY_SECONDS = 0.25
 MAX_RETRY_SECONDS = 8.0
 # A change makes every node read the head and a part and watch again. They spread over
 # as long as keeps that below this many calls a second, half of what the platform gives.
@@ -66,24 +66,24 @@
         self._apply = apply
         self._random = random
         self._peers = peers
-        self._hinted = asyncio.Event()
+        self._newer_announced = asyncio.Event()
         self._awaited_version = 0
         self.directory = Directory(0, Configuration())
         self.loaded = asyncio.Event()
-        self.highest_heard = 0
+        self.highest_announced = 0
         # Processes that follow the same head; sets how far their reads spread.
         self._count_nodes = count_nodes
 
     @property
     def is_behind(self) -> bool:
         """Say whether a higher generation than the one in force is known of."""
-        return self.highest_heard > self.directory.generation
+        return self.highest_announced > self.directory.generation
 
     def record_announced(self, generation: int) -> None:
         """Note a generation that a peer's message named; read again if it is newer."""
-        if generation > self.highest_heard:
-            self.highest_heard = generation
-            self._hinted.set()
+        if generation > self.highest_announced:
+            self.highest_announced = generation
+            self._newer_announced.set()
 
     async def run(self) -> None:
         """Follow until cancelled."""
@@ -94,7 +94,7 @@
                 failures = 0
                 revision = await self._wait_for_change(revision)
                 continue
-            await asyncio.sleep(self._draw_retry(failures))
+            await asyncio.sleep(self._draw_retry_delay(failures))
             failures += 1
 
     async def refresh(self) -> bool:
@@ -103,59 +103,59 @@
         current = False
         if isinstance(answer, Ok):
             found = answer.ok_value
-            self._take(found)
+            self._apply_newer(found)
             self.loaded.set()
             # A notice told of a version that this replica did not show yet.
             current = found.head_version >= self._awaited_version
         elif self._peers is not None and self.directory.generation == 0:
-            await self._ask_peers(self._peers)
+            await self._read_from_peers(self._peers)
         if self.is_behind and self._peers is not None:
-            await self._ask_peers(self._peers)
+            await self._read_from_peers(self._peers)
         return current and not self.is_behind
 
-    def _take(self, found: Generation) -> None:
+    def _apply_newer(self, found: Generation) -> None:
         if found.number <= self.directory.generation:
             return
         self.directory = Directory(found.number, found.configuration)
-        self.highest_heard = max(self.highest_heard, found.number)
+        self.highest_announced = max(self.highest_announced, found.number)
         self._apply(self.directory)
 
-    async def _ask_peers(self, peers: ConfigurationPeers) -> None:
+    async def _read_from_peers(self, peers: ConfigurationPeers) -> None:
         answer = await peers.read_above(self.directory.generation, self.store)
         if isinstance(answer, Ok) and answer.ok_value is not None:
-            self._take(answer.ok_value)
+            self._apply_newer(answer.ok_value)
             self.loaded.set()
 
     async def _wait_for_change(self, revision: int) -> int:
         """Wait for a watched change or a peer's hint; return the revision reached."""
-        self._hinted.clear()
+        self._newer_announced.clear()
         watch = asyncio.ensure_future(
             self._objects.watch(HEAD_KEY, revision, WATCH_SECONDS)
         )
-        hint = asyncio.ensure_future(self._hinted.wait())
+        announced = asyncio.ensure_future(self._newer_announced.wait())
         try:
-            await asyncio.wait({watch, hint}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({watch, announced}, return_when=asyncio.FIRST_COMPLETED)
             if not watch.done():
-                await self._spread()
+                await self._sleep_jitter()
                 return revision
             match watch.result():
                 case Ok(batch):
                     versions = [c.version for c in batch.changes if c.key == HEAD_KEY]
                     self._awaited_version = max(self._awaited_version, *versions, 0)
                     if versions and revision:
-                        await self._spread()
+                        await self._sleep_jitter()
                     return batch.revision
                 case Err(_):
-                    await asyncio.sleep(self._draw_retry(0))
+                    await asyncio.sleep(self._draw_retry_delay(0))
                     return 0
         finally:
             watch.cancel()
-            hint.cancel()
+            announced.cancel()
 
-    async def _spread(self) -> None:
+    async def _sleep_jitter(self) -> None:
         seconds = self._count_nodes() * CALLS_PER_CHANGE / CALLS_PER_SECOND
         await asyncio.sleep(self._random.uniform(0, seconds))
 
-    def _draw_retry(self, failures: int) -> float:
-        longest = min(MAX_RETRY_SECONDS, FIRST_RETRY_SECONDS * 2.0 ** min(failures, 8))
+    def _draw_retry_delay(self, failures: int) -> float:
+        longest = min(MAX_RETRY_SECONDS, INITIAL_RETRY_SECONDS * 2.0 ** min(failures, 8))
         return self._random.uniform(longest / 2, longest)
--- a/libraries/objects/src/bamboopier_objects/object_follower.py
+++ b/libraries/objects/src/bamboopier_objects/object_follower.py
@@ -24,7 +24,7 @@
 
 # Waits after a failed call, doubled up to the longest and drawn between half and all
 # of it. A store that returns is to be read within a second.
-FIRST_RETRY_SECONDS = 0.05
+INITIAL_RETRY_SECONDS = 0.05
 LONGEST_RETRY_SECONDS = 0.6
 _MAX_DOUBLINGS = 8
 # Seconds after its end in which a watch is answered by a store that nothing holds up.
@@ -153,5 +153,5 @@
 
     def _draw_retry(self) -> float:
         doublings = min(self._failures - 1, _MAX_DOUBLINGS)
-        longest = min(LONGEST_RETRY_SECONDS, FIRST_RETRY_SECONDS * 2.0**doublings)
+        longest = min(LONGEST_RETRY_SECONDS, INITIAL_RETRY_SECONDS * 2.0**doublings)
         return self._random.uniform(longest / 2, longest)
--- a/libraries/objects/tests/test_follower.py
+++ b/libraries/objects/tests/test_follower.py
@@ -19,7 +19,7 @@
     def setUp(self) -> None:
         self.objects = MemoryObjects()
         self.node = Node(self.objects)
-        quick = mock.patch("bamboopier_objects.follower.FIRST_RETRY_SECONDS", 0.001)
+        quick = mock.patch("bamboopier_objects.follower.INITIAL_RETRY_SECONDS", 0.001)
         self.enterContext(quick)
         self.publish(1)
 
