--- a/libraries/objects/src/bamboopier_objects/object_follower.py
+++ b/libraries/objects/src/bamboopier_objects/object_follower.py
@@ -25,10 +25,10 @@
 # Waits after a failed call, doubled up to the longest and drawn between half and all
 # of it. A store that returns is to be read within a second.
 INITIAL_RETRY_SECONDS = 0.05
-LONGEST_RETRY_SECONDS = 0.6
+MAX_RETRY_SECONDS = 0.6
 _MAX_DOUBLINGS = 8
 # Seconds after its end in which a watch is answered by a store that nothing holds up.
-ANSWER_SECONDS = 0.1
+RESPONSE_GRACE_SECONDS = 0.1
 
 log = structlog.get_logger()
 
@@ -87,23 +87,23 @@
         """Follow until cancelled."""
         while True:
             if not await self._load():
-                await asyncio.sleep(self._draw_retry())
+                await asyncio.sleep(self._draw_retry_delay())
                 continue
             await self._follow()
 
     async def _load(self) -> bool:
-        asked = self._read_clock()
+        sent_at = self._read_clock()
         answer = await self._store.list(self._prefix)
         if isinstance(answer, Err):
-            self._note_failure(asked, str(answer.err_value))
+            self._record_failure(sent_at, str(answer.err_value))
             return False
         listing = answer.ok_value
         if listing.revision < self._revision:
-            self._note_failure(asked, f"revision {listing.revision} is an older one")
+            self._record_failure(sent_at, f"revision {listing.revision} is an older one")
             return False
-        away = self._note_answer()
-        self._observer.apply_listing(listing, away, self._known_until)
-        self._known_until = asked
+        outage_seconds = self._record_success()
+        self._observer.apply_listing(listing, outage_seconds, self._known_until)
+        self._known_until = sent_at
         self._revision = listing.revision
         self.loaded.set()
         return True
@@ -111,7 +111,7 @@
     async def _follow(self) -> None:
         """Watch until something fails."""
         while True:
-            asked = self._read_clock()
+            sent_at = self._read_clock()
             answer = await self._store.watch_values(
                 self._prefix, self._revision, self._wait_seconds
             )
@@ -120,38 +120,38 @@
                 if isinstance(fault, WatchGapError):
                     log.info("watch gap", prefix=self._prefix, revision=self._revision)
                     return
-                self._note_failure(asked, str(fault))
-                await asyncio.sleep(self._draw_retry())
+                self._record_failure(sent_at, str(fault))
+                await asyncio.sleep(self._draw_retry_delay())
                 return
-            self._note_answer()
+            self._record_success()
             batch = answer.ok_value
             now = self._read_clock()
-            late = now - asked > self._wait_seconds + ANSWER_SECONDS
+            late = now - sent_at > self._wait_seconds + RESPONSE_GRACE_SECONDS
             for change in batch.changes:
                 self._observer.apply_change(change, self._known_until, late=late)
             # An answer that is read late says nothing of what changed after the store
             # made it: at once when there are changes, else at the end of the wait.
-            made = asked if batch.changes else asked + self._wait_seconds
-            self._known_until = min(made, now)
+            created_at = sent_at if batch.changes else sent_at + self._wait_seconds
+            self._known_until = min(created_at, now)
             self._revision = max(self._revision, batch.revision)
 
-    def _note_failure(self, asked: float, reason: str) -> None:
+    def _record_failure(self, sent_at: float, reason: str) -> None:
         self._failures += 1
         if self._failing_since is None:
-            self._failing_since = asked
+            self._failing_since = sent_at
             log.warning("store lost", prefix=self._prefix, reason=reason)
 
-    def _note_answer(self) -> float:
+    def _record_success(self) -> float:
         """Return for how long the store had not answered."""
         self._failures = 0
         if self._failing_since is None:
             return 0.0
-        away = self._read_clock() - self._failing_since
+        outage_seconds = self._read_clock() - self._failing_since
         self._failing_since = None
-        log.info("store regained", prefix=self._prefix, away_seconds=round(away, 3))
-        return away
+        log.info("store regained", prefix=self._prefix, away_seconds=round(outage_seconds, 3))
+        return outage_seconds
 
-    def _draw_retry(self) -> float:
+    def _draw_retry_delay(self) -> float:
         doublings = min(self._failures - 1, _MAX_DOUBLINGS)
-        longest = min(LONGEST_RETRY_SECONDS, INITIAL_RETRY_SECONDS * 2.0**doublings)
+        longest = min(MAX_RETRY_SECONDS, INITIAL_RETRY_SECONDS * 2.0**doublings)
         return self._random.uniform(longest / 2, longest)
