--- a/libraries/objects/src/bamboopier_objects/http_client.py
+++ b/libraries/objects/src/bamboopier_objects/http_client.py
@@ -32,7 +32,7 @@
 STALL_SECONDS = 1.5
 # Seconds for a whole answer beyond its patience: a megabyte on a link that carries a
 # tenth of what the weakest one does.
-LONGEST_ANSWER_SECONDS = 16.0
+MAX_RESPONSE_SECONDS = 16.0
 
 
 class Reply:
@@ -101,8 +101,8 @@
             return Err(PlatformUnavailableError("the platform client is not open"))
         first_byte_timeout = first_byte_timeout or self.call_timeout
         stall = min(STALL_SECONDS, first_byte_timeout)
-        longest = first_byte_timeout + LONGEST_ANSWER_SECONDS
-        timeout = aiohttp.ClientTimeout(total=longest)
+        total_timeout = first_byte_timeout + MAX_RESPONSE_SECONDS
+        timeout = aiohttp.ClientTimeout(total=total_timeout)
         read_time = asyncio.get_running_loop().time
         url = self._base_url + path
         content = bytearray()
--- a/libraries/objects/src/bamboopier_objects/http_platform.py
+++ b/libraries/objects/src/bamboopier_objects/http_platform.py
@@ -21,7 +21,7 @@
 
 # Replies name their headers in lower case.
 VERSION_HEADER = "object-version"
-EXPECTED_HEADER = "Expected-Version"
+EXPECTED_VERSION_HEADER = "Expected-Version"
 
 
 class _ListedObject(msgspec.Struct):
@@ -35,7 +35,7 @@
     version: int
 
 
-class _WatchAnswer(msgspec.Struct):
+class _WatchResponse(msgspec.Struct):
     revision: int
     changes: list[_WatchedChange]
 
@@ -61,24 +61,24 @@
         """Replace the object if it still has ``expected_version``."""
         if len(value) > MAX_VALUE_BYTES:
             return Err(ValueTooLargeError(f"{key}: {len(value)} bytes"))
-        headers = {EXPECTED_HEADER: str(expected_version)}
+        headers = {EXPECTED_VERSION_HEADER: str(expected_version)}
         answer = await self.call("PUT", self._object_url(key), value, headers)
         if isinstance(answer, Err):
             return answer
         reply = answer.ok_value
-        fault = _find_write_fault(key, expected_version, reply)
-        return Err(fault) if fault is not None else Ok(_read_version(reply))
+        error = _find_write_error(key, expected_version, reply)
+        return Err(error) if error is not None else Ok(_read_version(reply))
 
     async def delete(
         self, key: str, expected_version: int
     ) -> Result[None, PlatformError]:
         """Remove the object if it still has ``expected_version``."""
-        headers = {EXPECTED_HEADER: str(expected_version)}
+        headers = {EXPECTED_VERSION_HEADER: str(expected_version)}
         answer = await self.call("DELETE", self._object_url(key), b"", headers)
         if isinstance(answer, Err):
             return answer
-        fault = _find_write_fault(key, expected_version, answer.ok_value)
-        return Err(fault) if fault is not None else Ok(None)
+        error = _find_write_error(key, expected_version, answer.ok_value)
+        return Err(error) if error is not None else Ok(None)
 
     async def scan(self, prefix: str) -> Result[list[StoredObject], PlatformError]:
         """Return all objects whose key starts with ``prefix``, ordered by key."""
@@ -103,7 +103,7 @@
             return answer
         if answer.ok_value.status == 410:
             return Err(WatchGapError(f"watch {prefix} after {after}"))
-        decoded = decode_reply(answer.ok_value, _WatchAnswer)
+        decoded = decode_reply(answer.ok_value, _WatchResponse)
         if isinstance(decoded, Err):
             return decoded
         batch = decoded.ok_value
@@ -139,7 +139,7 @@
         return f"/v1/objects/{quote(key)}"
 
 
-def _find_write_fault(key: str, expected: int, reply: Reply) -> PlatformError | None:
+def _find_write_error(key: str, expected: int, reply: Reply) -> PlatformError | None:
     if reply.status == 200:
         return None
     if reply.status == 412:
--- a/libraries/objects/src/bamboopier_objects/vm_follower.py
+++ b/libraries/objects/src/bamboopier_objects/vm_follower.py
@@ -27,7 +27,7 @@
 # Bytes a second that whole answers may cost on average: a third of a node's 22 KB/s.
 BUDGET_BYTES = 7000.0
 # Polls are spread by this share, so that a fleet started together drifts apart.
-SPREAD = 0.2
+JITTER_SHARE = 0.2
 
 
 class VmListFollower:
@@ -52,7 +52,7 @@
         """Follow until cancelled."""
         while True:
             size = await self.refresh()
-            await asyncio.sleep(self.compute_pause(size))
+            await asyncio.sleep(self.compute_delay(size))
 
     async def refresh(self) -> int:
         """Ask once; return the bytes that came."""
@@ -66,7 +66,7 @@
             self._apply(found.vms)
         return found.size
 
-    def compute_pause(self, size: int) -> float:
+    def compute_delay(self, size: int) -> float:
         """Return the seconds until the next poll after an answer of ``size`` bytes."""
         pause = max(POLL_SECONDS, size / BUDGET_BYTES)
-        return pause * self._random.uniform(1 - SPREAD, 1 + SPREAD)
+        return pause * self._random.uniform(1 - JITTER_SHARE, 1 + JITTER_SHARE)
--- a/libraries/objects/tests/test_vm_follower.py
+++ b/libraries/objects/tests/test_vm_follower.py
@@ -6,7 +6,7 @@
 import unittest
 from typing import TYPE_CHECKING
 
-from bamboopier_objects.vm_follower import BUDGET_BYTES, SPREAD, VmListFollower
+from bamboopier_objects.vm_follower import BUDGET_BYTES, JITTER_SHARE, VmListFollower
 
 from .builders import VmListSourceFake, build_vm
 
@@ -35,9 +35,9 @@
         pauses = []
         for _ in range(200):
             size = await self.follower.refresh()
-            pauses.append(self.follower.compute_pause(size))
+            pauses.append(self.follower.compute_delay(size))
         rate = sum(self.fake.sizes) / sum(pauses)
-        self.assertLessEqual(rate, BUDGET_BYTES * (1 + SPREAD))
+        self.assertLessEqual(rate, BUDGET_BYTES * (1 + JITTER_SHARE))
 
     async def test_an_outage_keeps_the_last_list(self) -> None:
         # The platform goes down for a while. Taken for an empty fleet, that would
