--- a/libraries/objects/src/bamboopier_objects/publisher.py
+++ b/libraries/objects/src/bamboopier_objects/publisher.py
@@ -39,12 +39,12 @@
 # A part stays for readers that hold a head up to this many generations old.
 KEPT_GENERATIONS = 32
 # Removing a part costs two reads and a delete; a publish removes no more than this.
-REMOVED_AT_ONCE = 64
+MAX_REMOVED_PARTS = 64
 # Attempts to settle a lost answer, with pauses that double: about half a minute.
-SETTLE_ATTEMPTS = 12
-FIRST_PAUSE_SECONDS = 0.05
-MAX_PAUSE_SECONDS = 4.0
-PART_ATTEMPTS = 8
+MAX_HEAD_ATTEMPTS = 12
+INITIAL_RETRY_SECONDS = 0.05
+MAX_RETRY_SECONDS = 4.0
+MAX_PART_ATTEMPTS = 8
 
 
 class Publisher:
@@ -53,12 +53,12 @@
     def __init__(
         self,
         objects: ObjectStore,
-        pause: Callable[[float], Awaitable[None]] = asyncio.sleep,
+        sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
         kept_generations: int = KEPT_GENERATIONS,
     ) -> None:
         self._objects = objects
         self._store = GenerationStore(objects)
-        self._pause = pause
+        self._sleep = sleep
         self._kept_generations = kept_generations
 
     async def read(self) -> Result[Generation, PlatformError]:
@@ -77,8 +77,8 @@
         values = split_configuration(configuration)
         parts = {name: digest_part(value) for name, value in values.items()}
         expired = await self._find_expired(base, set(parts.values()))
-        gone = {digest for digest, version in expired.items() if version == ABSENT}
-        head = self._make_head(base, parts, publish_id, gone)
+        absent = {digest for digest, version in expired.items() if version == ABSENT}
+        head = self._make_head(base, parts, publish_id, absent)
         for name, value in values.items():
             written = await self._write_part(base, parts[name], value)
             if isinstance(written, Err):
@@ -95,11 +95,11 @@
         base: Generation,
         parts: dict[str, str],
         publish_id: str,
-        gone: set[str],
+        absent: set[str],
     ) -> Head:
         number = base.number + 1
         named = set(parts.values())
-        retired = [p for p in base.head.retired if p.digest not in named | gone]
+        retired = [p for p in base.head.retired if p.digest not in named | absent]
         dropped = set(base.head.parts.values()) - named
         retired += [RetiredPart(digest, number) for digest in sorted(dropped)]
         earlier = list(base.head.earlier)
@@ -119,27 +119,27 @@
         effect.
         """
         value = msgspec.json.encode(head)
-        seconds = FIRST_PAUSE_SECONDS
-        lost = False
-        for _ in range(SETTLE_ATTEMPTS):
+        seconds = INITIAL_RETRY_SECONDS
+        is_unknown = False
+        for _ in range(MAX_HEAD_ATTEMPTS):
             answer = await self._objects.write(HEAD_KEY, value, base.head_version)
             if isinstance(answer, Ok):
                 return Ok((head.generation, answer.ok_value))
             error = answer.err_value
             if isinstance(error, VersionConflictError):
-                settled = await self._look_back(base, head)
-                if settled is not None:
-                    return settled
+                outcome = await self._find_publish(base, head)
+                if outcome is not None:
+                    return outcome
             elif isinstance(error, PlatformOutcomeUnknownError):
-                lost = True
-            elif not lost:
+                is_unknown = True
+            elif not is_unknown:
                 return answer
-            await self._pause(seconds)
-            seconds = min(MAX_PAUSE_SECONDS, seconds * 2)
+            await self._sleep(seconds)
+            seconds = min(MAX_RETRY_SECONDS, seconds * 2)
         text = f"publish {head.publish_id}: the platform did not settle it"
         return Err(PlatformOutcomeUnknownError(text))
 
-    async def _look_back(
+    async def _find_publish(
         self, base: Generation, head: Head
     ) -> Result[tuple[int, int], PlatformError] | None:
         """Find this publish among those that moved the head; None to look again."""
@@ -171,7 +171,7 @@
         key = PART_PREFIX + digest
         expected = ABSENT
         error: PlatformError = PlatformUnavailableError(key)
-        for _ in range(PART_ATTEMPTS):
+        for _ in range(MAX_PART_ATTEMPTS):
             answer = await self._objects.write(key, value, expected)
             if isinstance(answer, Ok):
                 return Ok(None)
@@ -199,7 +199,7 @@
             if part.generation <= limit and part.digest not in named
         ]
         versions: dict[str, int] = {}
-        for digest in expired[:REMOVED_AT_ONCE]:
+        for digest in expired[:MAX_REMOVED_PARTS]:
             answer = await self._objects.read(PART_PREFIX + digest)
             if isinstance(answer, Ok):
                 stored = answer.ok_value
--- a/libraries/objects/tests/test_generations.py
+++ b/libraries/objects/tests/test_generations.py
@@ -41,7 +41,7 @@
         super().__init__()
         self.objects = MemoryObjects()
         self.operators = [
-            Publisher(self.objects, self._pause, KEPT_GENERATIONS)
+            Publisher(self.objects, self._sleep, KEPT_GENERATIONS)
             for _ in range(OPERATORS)
         ]
         self.bases = [finish(o.read()).ok_value for o in self.operators]
@@ -95,7 +95,7 @@
             assert not isinstance(answer.err_value, PlatformOutcomeUnknownError)
             self.refused.append(publish_id)
 
-    async def _pause(self, _: float) -> None:
+    async def _sleep(self, _: float) -> None:
         self.objects.stale = max(0, self.objects.stale - 1)
         if len(self.objects.held) > 1:
             self.objects.land()
@@ -253,7 +253,7 @@
 
         self.objects.before_head_write = [pass_by]
         publisher = build_publisher(self.objects)
-        publisher._pause = lambda _: go_down()
+        publisher._sleep = lambda _: go_down()
         answer = finish(publisher.publish(base, build_configuration(1), "first"))
         self.assertIsInstance(answer, Err)
         self.assertIsInstance(answer.err_value, PlatformOutcomeUnknownError)
