--- a/libraries/objects/src/bamboopier_objects/peers.py
+++ b/libraries/objects/src/bamboopier_objects/peers.py
@@ -20,7 +20,7 @@
     from .vm_inventory import VmInventory
 
 # Peers asked in one round, drawn at random: one that is up suffices.
-PEERS_ASKED = 3
+PEERS_PER_READ = 3
 PEER_TIMEOUT_SECONDS = 2.0
 
 
@@ -70,15 +70,15 @@
         """Return the first higher generation that a peer has, or None."""
         known = sorted({*self._seeds, *self._vms.list_agent_addresses()})
         failure: PlatformError | None = None
-        for address in self._random.sample(known, min(PEERS_ASKED, len(known))):
-            answer = await self._ask(address, generation, store)
+        for address in self._random.sample(known, min(PEERS_PER_READ, len(known))):
+            answer = await self._read_from(address, generation, store)
             if isinstance(answer, Ok) and answer.ok_value is not None:
                 return answer
             if isinstance(answer, Err):
                 failure = answer.err_value
         return Ok(None) if failure is None else Err(failure)
 
-    async def _ask(
+    async def _read_from(
         self, address: str, generation: int, store: GenerationStore
     ) -> Result[Generation | None, PlatformError]:
         async with self._open_channel(address) as channel:
--- a/libraries/objects/tests/builders.py
+++ b/libraries/objects/tests/builders.py
@@ -39,7 +39,7 @@
 
     ``faults`` are taken one by one by the writes of the head and ``part_faults`` by
     those of other objects: ``lose`` carries a write out and loses its answer, ``drop``
-    does neither, ``hold`` keeps it on its way until ``land`` is called.
+    does neither, ``hold`` keeps it on its way until ``deliver_held`` is called.
     """
 
     def __init__(self) -> None:
@@ -92,7 +92,7 @@
                 return answer
         return Err(PlatformOutcomeUnknownError(key))
 
-    def land(self) -> None:
+    def deliver_held(self) -> None:
         """Let the writes that were held arrive."""
         for write in self.held:
             self._apply(*write)
@@ -185,13 +185,13 @@
         return Ok(self.follower.store.part_values.get(digest))
 
 
-async def skip_pause(_: float) -> None:
+async def skip_sleep(_: float) -> None:
     """Take no time between attempts."""
 
 
 def build_publisher(objects: MemoryObjects) -> Publisher:
     """Return a publisher that does not wait and keeps few generations."""
-    return Publisher(objects, skip_pause, KEPT_GENERATIONS)
+    return Publisher(objects, skip_sleep, KEPT_GENERATIONS)
 
 
 def build_configuration(number: int) -> Configuration:
--- a/libraries/objects/tests/test_generations.py
+++ b/libraries/objects/tests/test_generations.py
@@ -98,11 +98,11 @@
     async def _sleep(self, _: float) -> None:
         self.objects.stale = max(0, self.objects.stale - 1)
         if len(self.objects.held) > 1:
-            self.objects.land()
+            self.objects.deliver_held()
 
     @rule()
     def land_delayed_writes(self) -> None:
-        self.objects.land()
+        self.objects.deliver_held()
 
     @rule(down=st.booleans())
     def change_outage(self, down: bool) -> None:
@@ -119,13 +119,13 @@
         peer=st.integers(0, NODES - 1),
         down=st.booleans(),
     )
-    def hear_of_peer(self, node: int, peer: int, down: bool) -> None:
+    def receive_peer_generation(self, node: int, peer: int, down: bool) -> None:
         """A message names the peer's generation, which the peer holds."""
-        heard = self.nodes[peer].generation
+        announced = self.nodes[peer].generation
         self.objects.down = down
-        self.nodes[node].follower.record_announced(heard)
+        self.nodes[node].follower.record_announced(announced)
         finish(self.nodes[node].follower.refresh())
-        assert self.nodes[node].generation >= heard
+        assert self.nodes[node].generation >= announced
 
     @rule(node=st.integers(0, NODES - 1))
     def restart_node(self, node: int) -> None:
@@ -167,7 +167,7 @@
     def teardown(self) -> None:
         """Once the platform is back the last accepted generation is in force."""
         self.objects.down = False
-        self.objects.land()
+        self.objects.deliver_held()
         self.publishers_were_told_the_truth()
         for node in self.nodes:
             finish(node.follower.refresh())
--- a/libraries/objects/tests/test_http_client.py
+++ b/libraries/objects/tests/test_http_client.py
@@ -8,7 +8,7 @@
 from bamboopier_objects.errors import PlatformUnavailableError
 from bamboopier_objects.http_client import HttpClient
 
-PATIENCE_SECONDS = 0.4
+CALL_TIMEOUT_SECONDS = 0.4
 PIECES = 8
 PIECE = b"x" * 100
 HEAD = f"HTTP/1.1 200 OK\r\nContent-Length: {PIECES * len(PIECE)}\r\n\r\n".encode()
@@ -32,19 +32,19 @@
         server = await asyncio.start_server(answer, "127.0.0.1", 0)
         self.addCleanup(server.close)
         port = server.sockets[0].getsockname()[1]
-        return HttpClient(f"http://127.0.0.1:{port}", call_timeout=PATIENCE_SECONDS)
+        return HttpClient(f"http://127.0.0.1:{port}", call_timeout=CALL_TIMEOUT_SECONDS)
 
     async def test_an_answer_longer_than_the_patience_arrives_whole(self) -> None:
         # Guards against a limit on the whole call, which a large answer on a weak link
         # exceeds each time, however often it is asked for.
-        async with await self.serve(PIECES, PATIENCE_SECONDS / 2) as caller:
+        async with await self.serve(PIECES, CALL_TIMEOUT_SECONDS / 2) as caller:
             answer = await caller.call("GET", "/large")
         self.assertEqual(len(answer.unwrap().body), PIECES * len(PIECE))
 
     async def test_an_answer_that_stops_on_its_way_is_given_up(self) -> None:
         # Guards against waiting for ever on a connection that went silent.
         async with await self.serve(PIECES // 2, 0.0) as caller:
-            async with asyncio.timeout(PATIENCE_SECONDS * 10):
+            async with asyncio.timeout(CALL_TIMEOUT_SECONDS * 10):
                 answer = await caller.call("GET", "/silent")
         self.assertIsInstance(answer.err(), PlatformUnavailableError)
         self.assertIn("400 of 800 bytes arrived", str(answer.err()))
--- a/libraries/objects/tests/test_object_follower.py
+++ b/libraries/objects/tests/test_object_follower.py
@@ -65,14 +65,14 @@
         # One watch ends as it should after two seconds. The next gets no answer for
         # three and a half, though something changed right after it was asked.
         failed = Err(PlatformUnavailableError("no answer"))
-        told = await self.follow((2.0, NOTHING), (3.5, failed))
-        self.assertEqual(told[1], 102.0)
+        reported = await self.follow((2.0, NOTHING), (3.5, failed))
+        self.assertEqual(reported[1], 102.0)
 
     async def test_a_history_that_is_gone_may_hide_all_since_the_watch_was_asked(
         self,
     ) -> None:
-        told = await self.follow((2.0, NOTHING), (1.0, Err(WatchGapError("gone"))))
-        self.assertEqual(told[1], 102.0)
+        reported = await self.follow((2.0, NOTHING), (1.0, Err(WatchGapError("gone"))))
+        self.assertEqual(reported[1], 102.0)
 
     async def test_what_changed_between_two_watches_may_be_hidden_as_well(self) -> None:
         # A gateway stands still for four seconds. Its watch ends empty at the store in
@@ -81,8 +81,8 @@
         # seconds. The list then shows the new weights, taken for two seconds younger
         # than they may be, and older ones serve callers for as much too long.
         failed = Err(PlatformUnavailableError("no answer"))
-        told = await self.follow((4.0, NOTHING), (6.0, failed))
-        self.assertLessEqual(told[1], 102.0)
+        reported = await self.follow((4.0, NOTHING), (6.0, failed))
+        self.assertLessEqual(reported[1], 102.0)
 
 
 if __name__ == "__main__":
