--- a/libraries/configuration/src/bamboopier_configuration/certificate_check.py
+++ b/libraries/configuration/src/bamboopier_configuration/certificate_check.py
@@ -19,7 +19,7 @@
     if tls is None:
         return None
     for field in tls.__struct_fields__:
-        fault = _find_read_fault(getattr(tls, field))
+        fault = _find_read_error(getattr(tls, field))
         if fault:
             allowed = "a readable PEM file"
             return ConfigurationError(file, f"{path}.{field}", fault, allowed)
@@ -41,7 +41,7 @@
     return None
 
 
-def _find_read_fault(name: str) -> str:
+def _find_read_error(name: str) -> str:
     try:
         Path(name).read_bytes()
     except OSError as error:
--- a/libraries/configuration/src/bamboopier_configuration/collection.py
+++ b/libraries/configuration/src/bamboopier_configuration/collection.py
@@ -8,7 +8,7 @@
 
 from .errors import ConfigurationError
 from .model import Configuration, ConfigurationFile, Drains
-from .reader import read_file, show
+from .reader import read_file, format_value
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -42,11 +42,11 @@
         answer = read_file(file, ConfigurationFile)
         if isinstance(answer, Err):
             return answer
-        fault = collection.add(answer.ok_value, str(file))
-        if fault is not None:
-            return Err(fault)
-    fault = collection.find_dangling()
-    return Err(fault) if fault is not None else Ok(collection.joined)
+        error = collection.add(answer.ok_value, str(file))
+        if error is not None:
+            return Err(error)
+    error = collection.find_dangling_reference()
+    return Err(error) if error is not None else Ok(collection.joined)
 
 
 class _Collection:
@@ -68,7 +68,7 @@
                 known = self._names.setdefault((section, item.name), (file, path))
                 if known != (file, path):
                     found = f"duplicate name '{item.name}'"
-                    return _duplicate(file, f"{path}.name", found, "name", known)
+                    return _make_duplicate_error(file, f"{path}.name", found, "name", known)
                 getattr(self.joined, section).append(item)
         return (
             self._check_kinds(part.services)
@@ -76,7 +76,7 @@
             or self._check_digests(part.workspaces)
         )
 
-    def find_dangling(self) -> ConfigurationError | None:
+    def find_dangling_reference(self) -> ConfigurationError | None:
         """Return the first reference to a name that no file defines."""
         joined = self.joined
         services = {service.name for service in joined.services}
@@ -86,14 +86,14 @@
             place = self._names["services", service.name]
             for index, model in enumerate(service.models):
                 if model not in models:
-                    return _dangling(place, f"models[{index}]", model, models)
+                    return _make_dangling_error(place, f"models[{index}]", model, models)
             if service.store is not None and service.store not in stores:
-                return _dangling(place, "store", service.store, stores)
+                return _make_dangling_error(place, "store", service.store, stores)
         for workspace in joined.workspaces:
             place = self._names["workspaces", workspace.name]
             for index, name in enumerate(workspace.services):
                 if name not in services:
-                    return _dangling(place, f"services[{index}]", name, services)
+                    return _make_dangling_error(place, f"services[{index}]", name, services)
         return None
 
     def _check_kinds(self, services: list[Service]) -> ConfigurationError | None:
@@ -105,7 +105,7 @@
                 return ConfigurationError(file, f"{place}.models", "none", allowed)
             if service.kind == "plain" and (service.models or service.store):
                 field = "models" if service.models else "store"
-                found = show(getattr(service, field))
+                found = format_value(getattr(service, field))
                 allowed = 'nothing for a service of kind "plain"'
                 return ConfigurationError(file, f"{place}.{field}", found, allowed)
         return None
@@ -126,7 +126,7 @@
                 known = seen.setdefault(key, (file, path))
                 if known != (file, path):
                     found = f"second route for {route.method} {route.path}"
-                    return _duplicate(file, path, found, "route", known)
+                    return _make_duplicate_error(file, path, found, "route", known)
         return None
 
     def _check_digests(self, workspaces: list[Workspace]) -> ConfigurationError | None:
@@ -142,18 +142,18 @@
                 known = self._digests.setdefault(digest, (file, path))
                 if known != (file, path):
                     found = "a digest that is already in use"
-                    return _duplicate(file, path, found, "digest", known)
+                    return _make_duplicate_error(file, path, found, "digest", known)
         return None
 
 
-def _duplicate(
+def _make_duplicate_error(
     file: str, path: str, found: str, kind: str, known: tuple[str, str]
 ) -> ConfigurationError:
     allowed = f"a {kind} not yet used (first used in {known[0]} at {known[1]})"
     return ConfigurationError(file, path, found, allowed)
 
 
-def _dangling(
+def _make_dangling_error(
     place: tuple[str, str], field: str, name: str, known: set[str]
 ) -> ConfigurationError:
     file, path = place
--- a/libraries/configuration/src/bamboopier_configuration/directory.py
+++ b/libraries/configuration/src/bamboopier_configuration/directory.py
@@ -13,7 +13,7 @@
     """Indexes one generation of the configuration by the names in it."""
 
     __slots__ = (
-        "_by_key",
+        "_workspaces_by_digest",
         "configuration",
         "generation",
         "models",
@@ -31,7 +31,7 @@
         self.workspaces: dict[str, Workspace] = {
             w.name: w for w in configuration.workspaces
         }
-        self._by_key: dict[str, Workspace] = {
+        self._workspaces_by_digest: dict[str, Workspace] = {
             digest: workspace
             for workspace in configuration.workspaces
             for digest in workspace.api_key_digests
@@ -43,7 +43,7 @@
         The look-up is by SHA-256 of the key: its timing depends on the digest, which
         tells a guesser nothing about how many characters of a key were right.
         """
-        return self._by_key.get(digest_api_key(api_key))
+        return self._workspaces_by_digest.get(digest_api_key(api_key))
 
 
 def digest_api_key(api_key: str) -> str:
--- a/libraries/configuration/src/bamboopier_configuration/reader.py
+++ b/libraries/configuration/src/bamboopier_configuration/reader.py
@@ -20,7 +20,7 @@
 
 MAX_FILE_BYTES = 16 * 1024 * 1024
 # Longest piece of a faulty value that an error repeats.
-MAX_SHOWN = 60
+MAX_VALUE_CHARACTERS = 60
 # Values of these fields stay out of errors: errors end up in logs and tickets. A
 # digest counts too, for the usual slip is to put the API key itself in its place.
 SECRET_FIELDS = re.compile(r"\.(block_secret|api_key_digests)\b")
@@ -61,22 +61,22 @@
         # lost without a word, so a second, stricter look is taken.
         json.loads(content, object_pairs_hook=_refuse_duplicates)
     except msgspec.ValidationError as error:
-        return Err(_explain(error, content, kind, file))
+        return Err(_make_error(error, content, kind, file))
     except _DuplicateKeyError as error:
-        found = f"duplicate key '{_cut(error.key)}'"
+        found = f"duplicate key '{_truncate(error.key)}'"
         return Err(ConfigurationError(file, "$", found, "each key once an object"))
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-        found = _cut(str(error)) or "invalid JSON"
+        found = _truncate(str(error)) or "invalid JSON"
         return Err(ConfigurationError(file, "$", found, "valid JSON in UTF-8"))
     return Ok(checked)
 
 
-def show(value: Any) -> str:
+def format_value(value: Any) -> str:
     """Return a value as JSON, cut to a length that fits an error line."""
-    return _cut(json.dumps(value, ensure_ascii=False))
+    return _truncate(json.dumps(value, ensure_ascii=False))
 
 
-def _explain(
+def _make_error(
     error: msgspec.ValidationError, content: bytes, kind: Any, file: str
 ) -> ConfigurationError:
     message, _, quoted = str(error).rpartition(" - at ")
@@ -84,7 +84,7 @@
         message, quoted = str(error), "`$`"
     path = quoted.strip("`")
     if unknown := _UNKNOWN_FIELD.match(message):
-        return _explain_unknown(unknown[1], kind, path, file)
+        return _make_unknown_key_error(unknown[1], kind, path, file)
     if missing := _MISSING_FIELD.match(message):
         found = f"no '{missing[1]}'"
         return ConfigurationError(file, path, found, f"'{missing[1]}' is required")
@@ -92,11 +92,11 @@
         value = find_value(json.loads(content), path)
     except (ValueError, RecursionError):
         return ConfigurationError(file, path, "an invalid value", message)
-    found = f"a hidden {_name_kind(value)}" if _is_secret(path) else show(value)
+    found = f"a hidden {_describe_type(value)}" if _is_secret(path) else format_value(value)
     return ConfigurationError(file, path, found, _list_allowed(message, kind, path))
 
 
-def _explain_unknown(name: str, kind: Any, path: str, file: str) -> ConfigurationError:
+def _make_unknown_key_error(name: str, kind: Any, path: str, file: str) -> ConfigurationError:
     fields = find_fields(kind, path)
     elsewhere = getattr(find_class(kind, path), "elsewhere", {})
     allowed = ", ".join(fields)
@@ -105,7 +105,7 @@
         allowed = f"{allowed} ({elsewhere[name]})"
     elif near:
         allowed = f"{allowed} (did you mean '{near[0]}'?)"
-    return ConfigurationError(file, path, f"unknown key '{_cut(name)}'", allowed)
+    return ConfigurationError(file, path, f"unknown key '{_truncate(name)}'", allowed)
 
 
 def _list_allowed(message: str, kind: Any, path: str) -> str:
@@ -123,7 +123,7 @@
     return SECRET_FIELDS.search(path) is not None
 
 
-def _name_kind(value: Any) -> str:
+def _describe_type(value: Any) -> str:
     if isinstance(value, str):
         return f"text of {len(value)} characters"
     return "value of another type"
@@ -138,5 +138,5 @@
     return found
 
 
-def _cut(text: str) -> str:
-    return text if len(text) <= MAX_SHOWN else text[:MAX_SHOWN] + "..."
+def _truncate(text: str) -> str:
+    return text if len(text) <= MAX_VALUE_CHARACTERS else text[:MAX_VALUE_CHARACTERS] + "..."
--- a/libraries/configuration/src/bamboopier_configuration/settings_reader.py
+++ b/libraries/configuration/src/bamboopier_configuration/settings_reader.py
@@ -10,7 +10,7 @@
 
 from .certificate_check import find_certificate_error
 from .errors import ConfigurationError
-from .reader import read_file, show
+from .reader import read_file, format_value
 from .settings import AgentSettings, GatewaySettings
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
 
     from .settings import Address
 
-_IN_WORDS = '"allow_plain": true'
+_ALLOW_PLAIN_ENTRY = '"allow_plain": true'
 S = TypeVar("S", GatewaySettings, AgentSettings)
 
 
@@ -28,30 +28,30 @@
     if isinstance(answer, Err):
         return answer
     settings = answer.ok_value
-    fault = (
-        _find_host_fault(settings.listen, "$.listen.host", str(path))
-        or _find_host_fault(settings.admin, "$.admin.host", str(path))
-        or _find_port_fault(settings, str(path))
-        or _find_plain_fault(settings, str(path))
+    error = (
+        _find_host_error(settings.listen, "$.listen.host", str(path))
+        or _find_host_error(settings.admin, "$.admin.host", str(path))
+        or _find_port_error(settings, str(path))
+        or _find_plain_error(settings, str(path))
         or find_certificate_error(settings.tls, "$.tls", str(path))
     )
-    if fault is None and isinstance(settings, GatewaySettings):
-        fault = find_certificate_error(settings.caller_tls, "$.caller_tls", str(path))
-    return Err(fault) if fault is not None else answer
+    if error is None and isinstance(settings, GatewaySettings):
+        error = find_certificate_error(settings.caller_tls, "$.caller_tls", str(path))
+    return Err(error) if error is not None else answer
 
 
-def _find_host_fault(
+def _find_host_error(
     address: Address, path: str, file: str
 ) -> ConfigurationError | None:
     try:
         ip_address(address.host)
     except ValueError:
         allowed = "an IP number such as 127.0.0.1"
-        return ConfigurationError(file, path, show(address.host), allowed)
+        return ConfigurationError(file, path, format_value(address.host), allowed)
     return None
 
 
-def _find_port_fault(
+def _find_port_error(
     settings: GatewaySettings | AgentSettings, file: str
 ) -> ConfigurationError | None:
     """Refuse two uses of one port, which would only show when the second one fails."""
@@ -65,7 +65,7 @@
     return None
 
 
-def _find_plain_fault(
+def _find_plain_error(
     settings: GatewaySettings | AgentSettings, file: str
 ) -> ConfigurationError | None:
     """Refuse unprotected traffic between machines unless it is asked for in words."""
@@ -78,12 +78,12 @@
         section, listens_plain = "tls", settings.tls is None
         urls["$.target_url"] = settings.target_url
     if listens_plain and not settings.listen.is_loopback:
-        cure = f'a loopback address, certificates in "{section}", or {_IN_WORDS}'
+        cure = f'a loopback address, certificates in "{section}", or {_ALLOW_PLAIN_ENTRY}'
         return ConfigurationError(file, "$.listen", str(settings.listen), cure)
     for path, url in urls.items():
         if url.startswith("http:") and not _is_loopback_url(url):
-            cure = f"https, a loopback address, or {_IN_WORDS}"
-            return ConfigurationError(file, path, show(url), cure)
+            cure = f"https, a loopback address, or {_ALLOW_PLAIN_ENTRY}"
+            return ConfigurationError(file, path, format_value(url), cure)
     return None
 
 
--- a/libraries/configuration/tests/test_reader.py
+++ b/libraries/configuration/tests/test_reader.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from bamboopier_configuration.model import ConfigurationFile
-from bamboopier_configuration.reader import MAX_SHOWN, decode, read_file
+from bamboopier_configuration.reader import MAX_VALUE_CHARACTERS, decode, read_file
 
 from .builders import make_service, make_workspace
 
@@ -79,7 +79,7 @@
     def test_a_long_value_is_cut(self) -> None:
         content = json.dumps({"services": [make_service(kind="x" * 5000)]}).encode()
         error = decode(content, ConfigurationFile, "f").unwrap_err()
-        self.assertLess(len(error.found), MAX_SHOWN + 10)
+        self.assertLess(len(error.found), MAX_VALUE_CHARACTERS + 10)
 
     def test_a_missing_file_and_a_folder_are_named(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
