--- a/libraries/daemon/src/bamboopier_daemon/certificates.py
+++ b/libraries/daemon/src/bamboopier_daemon/certificates.py
@@ -43,7 +43,7 @@
         self._pem = _Pem.read(tls) if tls is not None else None
         self._contexts: list[tuple[ssl.SSLContext, CallerTls | Tls]] = []
         self._listeners: list[Callable[[], None]] = []
-        self._stamps: dict[str, _Stamp] = {}
+        self._file_states: dict[str, _FileState] = {}
 
     @property
     def is_enabled(self) -> bool:
@@ -121,7 +121,7 @@
             if self._tls is not None:
                 self._pem = _Pem.read(self._tls)
         except (OSError, ssl.SSLError) as error:
-            self._stamps.clear()
+            self._file_states.clear()
             log.error("certificates not replaced", error=str(error))
             return
         log.info("certificates replaced")
@@ -141,9 +141,9 @@
 
     def _find_changes(self) -> bool:
         """Note the files' stamps; True when one differs from the last look."""
-        found = {name: _Stamp.read(name) for name in self._list_files()}
-        changed = found != self._stamps
-        self._stamps = found
+        found = {name: _FileState.read(name) for name in self._list_files()}
+        changed = found != self._file_states
+        self._file_states = found
         return changed
 
     def _list_files(self) -> list[str]:
@@ -184,13 +184,13 @@
         )
 
 
-class _Stamp(tuple[int, int]):
+class _FileState(tuple[int, int]):
     """Change time and size of a file; equal stamps mean an unchanged file."""
 
     __slots__ = ()
 
     @classmethod
-    def read(cls, name: str) -> _Stamp:
+    def read(cls, name: str) -> _FileState:
         """Return the stamp of a file; a missing one has a stamp of its own."""
         try:
             status = Path(name).stat()
--- a/libraries/daemon/src/bamboopier_daemon/log_sink.py
+++ b/libraries/daemon/src/bamboopier_daemon/log_sink.py
@@ -21,7 +21,7 @@
 # Lines a second in the long run, and at once: two lines for each of 400 requests a
 # second, which is more than one process serves, and a burst of start-up lines.
 LINES_PER_SECOND = 800.0
-LINES_AT_ONCE = 2000.0
+BURST_LINES = 2000.0
 # A pipe that is writable has room for this much; a longer write could block.
 SAFE_BYTES = 4096
 
@@ -38,21 +38,21 @@
         self._read_clock = read_clock
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
-        self._tokens = LINES_AT_ONCE
+        self._tokens = BURST_LINES
         self._filled_at = read_clock()
         # The rest of a line of which the beginning is written.
-        self._rest = b""
+        self._unwritten = b""
         self.dropped = 0
-        self._untold = 0
+        self._unreported = 0
 
     def write(self, text: str) -> int:
         """Write one line, or drop it."""
-        if not self._take() or not self._finish_line():
+        if not self._acquire_token() or not self._finish_line():
             self._drop()
             return len(text)
-        if self._untold:
-            line = {"event": "log lines dropped", "count": self._untold}
-            self._untold = 0
+        if self._unreported:
+            line = {"event": "log lines dropped", "count": self._unreported}
+            self._unreported = 0
             self._send(msgspec.json.encode(line) + b"\n")
         self._send(text.encode("utf-8", "backslashreplace"))
         return len(text)
@@ -60,10 +60,10 @@
     def flush(self) -> None:
         """Do nothing: lines are not held back."""
 
-    def _take(self) -> bool:
+    def _acquire_token(self) -> bool:
         now = self._read_clock()
         gained = (now - self._filled_at) * LINES_PER_SECOND
-        self._tokens = min(LINES_AT_ONCE, self._tokens + gained)
+        self._tokens = min(BURST_LINES, self._tokens + gained)
         self._filled_at = now
         if self._tokens < 1:
             return False
@@ -72,20 +72,20 @@
 
     def _finish_line(self) -> bool:
         """Write what is left of the last line; False while the pipe is full."""
-        if self._rest:
-            rest, self._rest = self._rest, b""
+        if self._unwritten:
+            rest, self._unwritten = self._unwritten, b""
             self._send(rest)
-        return not self._rest and self._is_writable()
+        return not self._unwritten and self._is_writable()
 
     def _send(self, data: bytes) -> None:
         while data:
             if not self._is_writable():
-                self._rest += data
+                self._unwritten += data
                 return
             try:
                 written = os.write(self._descriptor, data[:SAFE_BYTES])
             except BlockingIOError:
-                self._rest += data
+                self._unwritten += data
                 return
             except OSError:
                 # Nobody reads any more; there is no one left to tell.
@@ -98,4 +98,4 @@
 
     def _drop(self) -> None:
         self.dropped += 1
-        self._untold += 1
+        self._unreported += 1
--- a/libraries/daemon/src/bamboopier_daemon/peer_check.py
+++ b/libraries/daemon/src/bamboopier_daemon/peer_check.py
@@ -13,7 +13,7 @@
 SAN_FIELD = "x509_subject_alternative_name"
 # What orders work or reads an answer. Load and configuration may be asked for by every
 # peer with a certificate of the authority: operators and other agents do.
-GUARDED = frozenset({"/bamboopier.v1.Agent/Serve", "/bamboopier.v1.Agent/Recall"})
+GATEWAY_METHODS = frozenset({"/bamboopier.v1.Agent/Serve", "/bamboopier.v1.Agent/Recall"})
 
 log = structlog.get_logger()
 
@@ -35,7 +35,7 @@
     ) -> Any:
         """Wrap the handlers of the guarded calls."""
         handler = await continuation(handler_call_details)
-        if handler is None or handler_call_details.method not in GUARDED:
+        if handler is None or handler_call_details.method not in GATEWAY_METHODS:
             return handler
         if handler.unary_stream is not None:
             return grpc.unary_stream_rpc_method_handler(
--- a/libraries/daemon/src/bamboopier_daemon/process_metrics.py
+++ b/libraries/daemon/src/bamboopier_daemon/process_metrics.py
@@ -12,7 +12,7 @@
     from prometheus_client import CollectorRegistry
 
 
-class Place(Protocol):
+class ProcessIdentity(Protocol):
     """The part of a process's settings that says who and where it is."""
 
     @property
@@ -34,7 +34,7 @@
 def add_process_metrics(
     registry: CollectorRegistry,
     role: str,
-    place: Place,
+    identity: ProcessIdentity,
     is_ready: Callable[[], bool],
     read_generation: Callable[[], int],
 ) -> None:
@@ -45,7 +45,7 @@
         ["role", "vm", "data_centre", "region"],
         registry=registry,
     )
-    process.labels(role, place.vm, place.data_centre, place.region).set(1)
+    process.labels(role, identity.vm, identity.data_centre, identity.region).set(1)
     ready = Gauge(
         "bamboopier_ready",
         "1 while new work may be sent here, as /readyz says",
--- a/libraries/daemon/tests/test_certificates.py
+++ b/libraries/daemon/tests/test_certificates.py
@@ -62,15 +62,15 @@
 
     async def test_replaced_files_are_used_and_broken_ones_left(self) -> None:
         own = Certificates(self.tls)
-        told: list[int] = []
-        own.subscribe(lambda: told.append(1))
+        reported: list[int] = []
+        own.subscribe(lambda: reported.append(1))
         context = own.make_client_context()
         (self.folder / "own.key").write_text("half written")
         own.reload()
-        self.assertEqual((await self.reach(context), told), (b"x", []))
+        self.assertEqual((await self.reach(context), reported), (b"x", []))
         self.issue(trustme.CA())
         own.reload()
-        self.assertEqual(told, [1])
+        self.assertEqual(reported, [1])
         # With TLS 1.3 the server's refusal comes after the client's handshake.
         received = b""
         with suppress(ssl.SSLError, ConnectionError):
--- a/libraries/daemon/tests/test_log_sink.py
+++ b/libraries/daemon/tests/test_log_sink.py
@@ -5,7 +5,7 @@
 import os
 import unittest
 
-from bamboopier_daemon.log_sink import LINES_AT_ONCE, LINES_PER_SECOND, LogSink
+from bamboopier_daemon.log_sink import BURST_LINES, LINES_PER_SECOND, LogSink
 
 
 class LogSinkTests(unittest.TestCase):
@@ -50,7 +50,7 @@
         self.assertEqual(len(whole) + self.sink.dropped, 400)
 
     def test_a_flood_is_cut_to_its_rate(self) -> None:
-        for _ in range(int(LINES_AT_ONCE) + 500):
+        for _ in range(int(BURST_LINES) + 500):
             self.sink.write("a\n")
             self.read()
         self.assertEqual(self.sink.dropped, 500)
