--- a/libraries/configuration/src/bamboopier_configuration/collection.py
+++ b/libraries/configuration/src/bamboopier_configuration/collection.py
@@ -39,10 +39,10 @@
     """
     collection = _Collection()
     for file in files:
-        answer = read_file(file, ConfigurationFile)
-        if isinstance(answer, Err):
-            return answer
-        error = collection.add(answer.ok_value, str(file))
+        result = read_file(file, ConfigurationFile)
+        if isinstance(result, Err):
+            return result
+        error = collection.add(result.ok_value, str(file))
         if error is not None:
             return Err(error)
     error = collection.find_dangling_reference()
--- a/libraries/configuration/src/bamboopier_configuration/settings_reader.py
+++ b/libraries/configuration/src/bamboopier_configuration/settings_reader.py
@@ -24,10 +24,10 @@
 
 def read_settings(path: Path, kind: type[S]) -> Result[S, ConfigurationError]:
     """Read the settings file of a process."""
-    answer = read_file(path, kind)
-    if isinstance(answer, Err):
-        return answer
-    settings = answer.ok_value
+    result = read_file(path, kind)
+    if isinstance(result, Err):
+        return result
+    settings = result.ok_value
     error = (
         _find_host_error(settings.listen, "$.listen.host", str(path))
         or _find_host_error(settings.admin, "$.admin.host", str(path))
@@ -37,7 +37,7 @@
     )
     if error is None and isinstance(settings, GatewaySettings):
         error = find_certificate_error(settings.caller_tls, "$.caller_tls", str(path))
-    return Err(error) if error is not None else answer
+    return Err(error) if error is not None else result
 
 
 def _find_host_error(
--- a/libraries/configuration/tests/test_reader.py
+++ b/libraries/configuration/tests/test_reader.py
@@ -54,8 +54,8 @@
     def test_each_fault_names_path_value_and_what_is_allowed(self) -> None:
         for content, path, found, allowed in FAULTS:
             with self.subTest(content):
-                answer = decode(json.dumps(content).encode(), ConfigurationFile, "f")
-                error = answer.unwrap_err()
+                result = decode(json.dumps(content).encode(), ConfigurationFile, "f")
+                error = result.unwrap_err()
                 self.assertEqual(error.path, path)
                 self.assertIn(found, error.found)
                 self.assertIn(allowed, error.allowed)
--- a/libraries/daemon/src/bamboopier_daemon/peer_check.py
+++ b/libraries/daemon/src/bamboopier_daemon/peer_check.py
@@ -52,8 +52,8 @@
     def _guard_stream(self, serve: Any) -> Any:
         async def guarded(request: Any, context: Any) -> AsyncIterator[Any]:
             await self._check(context)
-            async for answer in serve(request, context):
-                yield answer
+            async for response in serve(request, context):
+                yield response
 
         return guarded
 
--- a/libraries/objects/src/bamboopier_objects/follower.py
+++ b/libraries/objects/src/bamboopier_objects/follower.py
@@ -99,10 +99,10 @@
 
     async def refresh(self) -> bool:
         """Read the head once and apply it if newer; False when to be asked again."""
-        answer = await self.store.read()
+        response = await self.store.read()
         current = False
-        if isinstance(answer, Ok):
-            found = answer.ok_value
+        if isinstance(response, Ok):
+            found = response.ok_value
             self._apply_newer(found)
             self.loaded.set()
             # A notice told of a version that this replica did not show yet.
@@ -121,9 +121,9 @@
         self._apply(self.directory)
 
     async def _read_from_peers(self, peers: ConfigurationPeers) -> None:
-        answer = await peers.read_above(self.directory.generation, self.store)
-        if isinstance(answer, Ok) and answer.ok_value is not None:
-            self._apply_newer(answer.ok_value)
+        response = await peers.read_above(self.directory.generation, self.store)
+        if isinstance(response, Ok) and response.ok_value is not None:
+            self._apply_newer(response.ok_value)
             self.loaded.set()
 
     async def _wait_for_change(self, revision: int) -> int:
--- a/libraries/objects/src/bamboopier_objects/generations.py
+++ b/libraries/objects/src/bamboopier_objects/generations.py
@@ -61,20 +61,20 @@
 
     async def read(self) -> Result[Generation, PlatformError]:
         """Return the generation the platform answers with (it may be an old one)."""
-        answer = await self._objects.read(HEAD_KEY)
-        if isinstance(answer, Err):
-            return answer
-        stored = answer.ok_value
+        response = await self._objects.read(HEAD_KEY)
+        if isinstance(response, Err):
+            return response
+        stored = response.ok_value
         if stored is None:
             return Ok(EMPTY_GENERATION)
         return await self.assemble(stored.value, stored.version, self)
 
     async def read_part(self, digest: str) -> Result[bytes | None, PlatformError]:
         """Return a part's stored bytes from the platform."""
-        answer = await self._objects.read(PART_PREFIX + digest)
-        if isinstance(answer, Err):
-            return answer
-        stored = answer.ok_value
+        response = await self._objects.read(PART_PREFIX + digest)
+        if isinstance(response, Err):
+            return response
+        stored = response.ok_value
         return Ok(stored.value if stored is not None else None)
 
     async def assemble(
@@ -87,10 +87,10 @@
             return Err(MalformedObjectError(f"{HEAD_KEY}: {error}"))
         parts: list[Part] = []
         for digest in head.parts.values():
-            answer = await self._find_part(digest, source)
-            if isinstance(answer, Err):
-                return answer
-            parts.append(answer.ok_value)
+            response = await self._find_part(digest, source)
+            if isinstance(response, Err):
+                return response
+            parts.append(response.ok_value)
         self._keep(head, head_value)
         found = join_parts(parts)
         return Ok(
@@ -113,10 +113,10 @@
         known = self._parts.get(digest)
         if known is not None:
             return Ok(known)
-        answer = await source.read_part(digest)
-        if isinstance(answer, Err):
-            return answer
-        value = answer.ok_value
+        response = await source.read_part(digest)
+        if isinstance(response, Err):
+            return response
+        value = response.ok_value
         # A part that is torn or not yet at this replica would put a half written
         # configuration in force; its digest shows that, and the reader asks again.
         if value is None or digest_part(value) != digest:
--- a/libraries/objects/src/bamboopier_objects/http_platform.py
+++ b/libraries/objects/src/bamboopier_objects/http_platform.py
@@ -45,10 +45,10 @@
 
     async def read(self, key: str) -> Result[StoredObject | None, PlatformError]:
         """Return the object, or None when there is none."""
-        answer = await self.call("GET", self._object_url(key))
-        if isinstance(answer, Err):
-            return answer
-        reply = answer.ok_value
+        response = await self.call("GET", self._object_url(key))
+        if isinstance(response, Err):
+            return response
+        reply = response.ok_value
         if reply.status == 404:
             return Ok(None)
         if reply.status != 200:
@@ -62,10 +62,10 @@
         if len(value) > MAX_VALUE_BYTES:
             return Err(ValueTooLargeError(f"{key}: {len(value)} bytes"))
         headers = {EXPECTED_VERSION_HEADER: str(expected_version)}
-        answer = await self.call("PUT", self._object_url(key), value, headers)
-        if isinstance(answer, Err):
-            return answer
-        reply = answer.ok_value
+        response = await self.call("PUT", self._object_url(key), value, headers)
+        if isinstance(response, Err):
+            return response
+        reply = response.ok_value
         error = _find_write_error(key, expected_version, reply)
         return Err(error) if error is not None else Ok(_read_version(reply))
 
@@ -74,19 +74,19 @@
     ) -> Result[None, PlatformError]:
         """Remove the object if it still has ``expected_version``."""
         headers = {EXPECTED_VERSION_HEADER: str(expected_version)}
-        answer = await self.call("DELETE", self._object_url(key), b"", headers)
-        if isinstance(answer, Err):
-            return answer
-        error = _find_write_error(key, expected_version, answer.ok_value)
+        response = await self.call("DELETE", self._object_url(key), b"", headers)
+        if isinstance(response, Err):
+            return response
+        error = _find_write_error(key, expected_version, response.ok_value)
         return Err(error) if error is not None else Ok(None)
 
     async def scan(self, prefix: str) -> Result[list[StoredObject], PlatformError]:
         """Return all objects whose key starts with ``prefix``, ordered by key."""
         url = f"/v1/list?prefix={quote(prefix)}"
-        answer = await self.call("GET", url)
-        if isinstance(answer, Err):
-            return answer
-        decoded = decode_reply(answer.ok_value, list[_ListedObject])
+        response = await self.call("GET", url)
+        if isinstance(response, Err):
+            return response
+        decoded = decode_reply(response.ok_value, list[_ListedObject])
         if isinstance(decoded, Err):
             return decoded
         return Ok([StoredObject(o.key, o.version, o.value) for o in decoded.ok_value])
@@ -98,12 +98,12 @@
         query = f"prefix={quote(prefix)}&after={after}&timeout={timeout}"
         url = f"/v1/watch?{query}"
         first_byte_timeout = timeout + CALL_TIMEOUT_SECONDS
-        answer = await self.call("GET", url, first_byte_timeout=first_byte_timeout)
-        if isinstance(answer, Err):
-            return answer
-        if answer.ok_value.status == 410:
+        response = await self.call("GET", url, first_byte_timeout=first_byte_timeout)
+        if isinstance(response, Err):
+            return response
+        if response.ok_value.status == 410:
             return Err(WatchGapError(f"watch {prefix} after {after}"))
-        decoded = decode_reply(answer.ok_value, _WatchResponse)
+        decoded = decode_reply(response.ok_value, _WatchResponse)
         if isinstance(decoded, Err):
             return decoded
         batch = decoded.ok_value
@@ -112,18 +112,18 @@
 
     async def list_vms(self) -> Result[list[Vm], PlatformError]:
         """Return all VMs the platform lists now."""
-        answer = await self.list_vms_since("")
-        if isinstance(answer, Err):
-            return answer
-        return Ok(list(answer.ok_value.vms or ()))
+        response = await self.list_vms_since("")
+        if isinstance(response, Err):
+            return response
+        return Ok(list(response.ok_value.vms or ()))
 
     async def list_vms_since(self, tag: str) -> Result[VmListResponse, PlatformError]:
         """Return the VMs unless the list still has the entity tag ``tag``."""
         headers = {"If-None-Match": tag} if tag else None
-        answer = await self.call("GET", "/v1/vms", headers=headers)
-        if isinstance(answer, Err):
-            return answer
-        reply = answer.ok_value
+        response = await self.call("GET", "/v1/vms", headers=headers)
+        if isinstance(response, Err):
+            return response
+        reply = response.ok_value
         if reply.status == 304:
             return Ok(VmListResponse(None, tag, 0))
         decoded = decode_reply(reply, list[Vm])
--- a/libraries/objects/src/bamboopier_objects/object_follower.py
+++ b/libraries/objects/src/bamboopier_objects/object_follower.py
@@ -93,11 +93,11 @@
 
     async def _load(self) -> bool:
         sent_at = self._read_clock()
-        answer = await self._store.list(self._prefix)
-        if isinstance(answer, Err):
-            self._record_failure(sent_at, str(answer.err_value))
+        response = await self._store.list(self._prefix)
+        if isinstance(response, Err):
+            self._record_failure(sent_at, str(response.err_value))
             return False
-        listing = answer.ok_value
+        listing = response.ok_value
         if listing.revision < self._revision:
             self._record_failure(sent_at, f"revision {listing.revision} is an older one")
             return False
@@ -112,11 +112,11 @@
         """Watch until something fails."""
         while True:
             sent_at = self._read_clock()
-            answer = await self._store.watch_values(
+            response = await self._store.watch_values(
                 self._prefix, self._revision, self._wait_seconds
             )
-            if isinstance(answer, Err):
-                fault = answer.err_value
+            if isinstance(response, Err):
+                fault = response.err_value
                 if isinstance(fault, WatchGapError):
                     log.info("watch gap", prefix=self._prefix, revision=self._revision)
                     return
@@ -124,7 +124,7 @@
                 await asyncio.sleep(self._draw_retry_delay())
                 return
             self._record_success()
-            batch = answer.ok_value
+            batch = response.ok_value
             now = self._read_clock()
             late = now - sent_at > self._wait_seconds + RESPONSE_GRACE_SECONDS
             for change in batch.changes:
--- a/libraries/objects/src/bamboopier_objects/peers.py
+++ b/libraries/objects/src/bamboopier_objects/peers.py
@@ -71,11 +71,11 @@
         known = sorted({*self._seeds, *self._vms.list_agent_addresses()})
         failure: PlatformError | None = None
         for address in self._random.sample(known, min(PEERS_PER_READ, len(known))):
-            answer = await self._read_from(address, generation, store)
-            if isinstance(answer, Ok) and answer.ok_value is not None:
-                return answer
-            if isinstance(answer, Err):
-                failure = answer.err_value
+            response = await self._read_from(address, generation, store)
+            if isinstance(response, Ok) and response.ok_value is not None:
+                return response
+            if isinstance(response, Err):
+                failure = response.err_value
         return Ok(None) if failure is None else Err(failure)
 
     async def _read_from(
--- a/libraries/objects/src/bamboopier_objects/publisher.py
+++ b/libraries/objects/src/bamboopier_objects/publisher.py
@@ -83,11 +83,11 @@
             written = await self._write_part(base, parts[name], value)
             if isinstance(written, Err):
                 return written
-        answer = await self._write_head(base, head)
-        if isinstance(answer, Err):
-            return answer
+        response = await self._write_head(base, head)
+        if isinstance(response, Err):
+            return response
         await self._remove(expired)
-        number, version = answer.ok_value
+        number, version = response.ok_value
         return Ok(Generation(number, publish_id, configuration, version, head))
 
     def _make_head(
@@ -122,10 +122,10 @@
         seconds = INITIAL_RETRY_SECONDS
         is_unknown = False
         for _ in range(MAX_HEAD_ATTEMPTS):
-            answer = await self._objects.write(HEAD_KEY, value, base.head_version)
-            if isinstance(answer, Ok):
-                return Ok((head.generation, answer.ok_value))
-            error = answer.err_value
+            response = await self._objects.write(HEAD_KEY, value, base.head_version)
+            if isinstance(response, Ok):
+                return Ok((head.generation, response.ok_value))
+            error = response.err_value
             if isinstance(error, VersionConflictError):
                 outcome = await self._find_publish(base, head)
                 if outcome is not None:
@@ -133,7 +133,7 @@
             elif isinstance(error, PlatformOutcomeUnknownError):
                 is_unknown = True
             elif not is_unknown:
-                return answer
+                return response
             await self._sleep(seconds)
             seconds = min(MAX_RETRY_SECONDS, seconds * 2)
         text = f"publish {head.publish_id}: the platform did not settle it"
@@ -143,10 +143,10 @@
         self, base: Generation, head: Head
     ) -> Result[tuple[int, int], PlatformError] | None:
         """Find this publish among those that moved the head; None to look again."""
-        answer = await self._objects.read(HEAD_KEY)
-        if isinstance(answer, Err) or answer.ok_value is None:
+        response = await self._objects.read(HEAD_KEY)
+        if isinstance(response, Err) or response.ok_value is None:
             return None
-        stored = answer.ok_value
+        stored = response.ok_value
         if stored.version <= base.head_version:
             return None  # A replica that lags: it does not show the change yet.
         try:
@@ -172,10 +172,10 @@
         expected = ABSENT
         error: PlatformError = PlatformUnavailableError(key)
         for _ in range(MAX_PART_ATTEMPTS):
-            answer = await self._objects.write(key, value, expected)
-            if isinstance(answer, Ok):
+            response = await self._objects.write(key, value, expected)
+            if isinstance(response, Ok):
                 return Ok(None)
-            error = answer.err_value
+            error = response.err_value
             if isinstance(error, VersionConflictError):
                 # Another publisher may be about to remove it as no longer named. A new
                 # version makes that conditional delete fail; without it the head that
@@ -200,9 +200,9 @@
         ]
         versions: dict[str, int] = {}
         for digest in expired[:MAX_REMOVED_PARTS]:
-            answer = await self._objects.read(PART_PREFIX + digest)
-            if isinstance(answer, Ok):
-                stored = answer.ok_value
+            response = await self._objects.read(PART_PREFIX + digest)
+            if isinstance(response, Ok):
+                stored = response.ok_value
                 versions[digest] = stored.version if stored is not None else ABSENT
         return versions
 
--- a/libraries/objects/src/bamboopier_objects/vm_follower.py
+++ b/libraries/objects/src/bamboopier_objects/vm_follower.py
@@ -56,10 +56,10 @@
 
     async def refresh(self) -> int:
         """Ask once; return the bytes that came."""
-        answer = await self._vms.list_vms_since(self._tag)
-        if not isinstance(answer, Ok):
+        response = await self._vms.list_vms_since(self._tag)
+        if not isinstance(response, Ok):
             return 0
-        found = answer.ok_value
+        found = response.ok_value
         self._tag = found.tag
         if found.vms is not None and found.vms != self._listed:
             self._listed = found.vms
--- a/libraries/objects/tests/builders.py
+++ b/libraries/objects/tests/builders.py
@@ -87,9 +87,9 @@
         if fault == "hold":
             self.held.append((key, value, expected_version))
         elif fault != "drop":
-            answer = self._apply(key, value, expected_version)
+            response = self._apply(key, value, expected_version)
             if not fault:
-                return answer
+                return response
         return Err(PlatformOutcomeUnknownError(key))
 
     def deliver_held(self) -> None:
--- a/libraries/objects/tests/test_follower.py
+++ b/libraries/objects/tests/test_follower.py
@@ -38,11 +38,11 @@
         original = self.objects.read
 
         async def read_slowly(key: str) -> object:
-            answer = await original(key)
+            response = await original(key)
             self.objects.read = original  # type: ignore[method-assign]
             self.publish(2)
             self.node.follower.record_announced(2)
-            return answer
+            return response
 
         self.objects.read = read_slowly  # type: ignore[method-assign,assignment]
         await self.node.follow_until(2)
--- a/libraries/objects/tests/test_generations.py
+++ b/libraries/objects/tests/test_generations.py
@@ -54,9 +54,9 @@
 
     @rule(operator=st.integers(0, OPERATORS - 1))
     def read_base(self, operator: int) -> None:
-        answer = finish(self.operators[operator].read())
-        if isinstance(answer, Ok):
-            self.bases[operator] = answer.ok_value
+        response = finish(self.operators[operator].read())
+        if isinstance(response, Ok):
+            self.bases[operator] = response.ok_value
 
     @rule(
         operator=st.integers(0, OPERATORS - 1),
@@ -79,20 +79,20 @@
         base = self.bases[operator]
         # The replica lags until the publisher has paused.
         self.objects.stale = stale
-        answer = finish(
+        response = finish(
             self.operators[operator].publish(
                 base, self.contents[publish_id], publish_id
             )
         )
         self.objects.stale = 0
         self.objects.faults, self.objects.part_faults = [], []
-        if isinstance(answer, Ok):
+        if isinstance(response, Ok):
             self.accepted.append(publish_id)
-            self.bases[operator] = answer.ok_value
-        elif isinstance(answer.err_value, VersionConflictError):
+            self.bases[operator] = response.ok_value
+        elif isinstance(response.err_value, VersionConflictError):
             self.refused.append(publish_id)
         else:
-            assert not isinstance(answer.err_value, PlatformOutcomeUnknownError)
+            assert not isinstance(response.err_value, PlatformOutcomeUnknownError)
             self.refused.append(publish_id)
 
     async def _sleep(self, _: float) -> None:
@@ -211,10 +211,10 @@
 
     def publish(self, number: int, publish_id: str) -> None:
         base = finish(self.publisher.read()).ok_value
-        answer = finish(
+        response = finish(
             self.publisher.publish(base, build_configuration(number), publish_id)
         )
-        self.assertIsInstance(answer, Ok)
+        self.assertIsInstance(response, Ok)
 
     def test_a_lost_publish_that_was_overtaken_is_found(self) -> None:
         """The operator's answer is lost, then another operator publishes on top.
@@ -234,11 +234,11 @@
             pass
 
         self.objects.before_head_write = [pass_by, overtake]
-        answer = finish(self.publisher.publish(base, build_configuration(1), "first"))
+        response = finish(self.publisher.publish(base, build_configuration(1), "first"))
         self.assertEqual(
             [h.publish_id for h in self.objects.heads], ["first", "second"]
         )
-        self.assertEqual(answer.ok_value.number, 1)
+        self.assertEqual(response.ok_value.number, 1)
 
     def test_unknown_only_when_the_platform_stays_away(self) -> None:
         """The write is lost and the platform stays down: nobody can know."""
@@ -254,9 +254,9 @@
         self.objects.before_head_write = [pass_by]
         publisher = build_publisher(self.objects)
         publisher._sleep = lambda _: go_down()
-        answer = finish(publisher.publish(base, build_configuration(1), "first"))
-        self.assertIsInstance(answer, Err)
-        self.assertIsInstance(answer.err_value, PlatformOutcomeUnknownError)
+        response = finish(publisher.publish(base, build_configuration(1), "first"))
+        self.assertIsInstance(response, Err)
+        self.assertIsInstance(response.err_value, PlatformOutcomeUnknownError)
 
     def test_old_parts_are_removed(self) -> None:
         """Without removal each of 2,300 changes a day would leave a part for ever."""
--- a/libraries/objects/tests/test_http_platform.py
+++ b/libraries/objects/tests/test_http_platform.py
@@ -31,6 +31,6 @@
         self.addCleanup(server.close)
         port = server.sockets[0].getsockname()[1]
         async with HttpPlatform(f"http://127.0.0.1:{port}") as platform:
-            answer = await platform.write("claims/1", b"value", 0)
-        self.assertIsInstance(answer.err(), PlatformOutcomeUnknownError)
+            response = await platform.write("claims/1", b"value", 0)
+        self.assertIsInstance(response.err(), PlatformOutcomeUnknownError)
         self.assertEqual(len(requests), 1)
--- a/libraries/objects/tests/test_object_follower.py
+++ b/libraries/objects/tests/test_object_follower.py
@@ -31,23 +31,23 @@
         self.store.list.return_value = LISTING
 
     async def follow(
-        self, *answers: tuple[float, Result[ChangeBatch, PlatformError]]
+        self, *responses: tuple[float, Result[ChangeBatch, PlatformError]]
     ) -> list[float]:
         """Answer watches after the given seconds; return what the lists were told."""
-        left = list(answers)
+        left = list(responses)
 
         async def watch(*_: object) -> Result[ChangeBatch, PlatformError]:
             if not left:
                 await asyncio.sleep(3600)
-            seconds, answer = left.pop(0)
+            seconds, response = left.pop(0)
             self.now += seconds
-            return answer
+            return response
 
         self.store.watch_values.side_effect = watch
         follower = ObjectFollower(
             self.store, "k/", self.observer, 2.0, random.Random(1), lambda: self.now
         )
-        expected = 1 + sum(isinstance(answer, Err) for _, answer in answers)
+        expected = 1 + sum(isinstance(response, Err) for _, response in responses)
         with mock.patch("bamboopier_objects.object_follower.log"):
             task = asyncio.create_task(follower.run())
             async with asyncio.timeout(10):
