--- a/tools/safeguards/bounds.py
+++ b/tools/safeguards/bounds.py
@@ -24,7 +24,7 @@
         "a call whose answer stops arriving is given up",
         _CALLER,
         "stall = min(STALL_SECONDS, first_byte_timeout)",
-        "stall = longest = LONGEST_ANSWER_SECONDS",
+        "stall = total_timeout = MAX_RESPONSE_SECONDS",
         "libraries/objects",
         "tests.test_http_client",
     ),
--- a/tools/safeguards/configuration.py
+++ b/tools/safeguards/configuration.py
@@ -16,16 +16,16 @@
     Mutation(
         "a lost answer to a publish is settled",
         "libraries/objects/src/bamboopier_objects/publisher.py",
-        "                lost = True\n",
-        "                return answer\n",
+        "                is_unknown = True\n",
+        "                return response\n",
         "libraries/objects",
         "tests.test_generations.ConfigurationTests",
     ),
     Mutation(
         "a conflict is checked for one's own publish",
         "libraries/objects/src/bamboopier_objects/publisher.py",
-        "                settled = await self._look_back(base, head)\n",
-        "                settled = Err(error)\n",
+        "                outcome = await self._find_publish(base, head)\n",
+        "                outcome = Err(error)\n",
         "libraries/objects",
         "tests.test_generations.ConfigurationTests",
     ),
@@ -110,7 +110,7 @@
         "a fresh node asks peers in an outage",
         "libraries/objects/src/bamboopier_objects/follower.py",
         "        elif self._peers is not None and self.directory.generation == 0:\n"
-        "            await self._ask_peers(self._peers)\n",
+        "            await self._read_from_peers(self._peers)\n",
         "",
         "libraries/objects",
         "tests.test_follower.FollowerTests.test_a_fresh_node_asks_a_peer_in_an_outage",
@@ -119,7 +119,7 @@
         "a node that is behind asks peers in an outage",
         "libraries/objects/src/bamboopier_objects/follower.py",
         "        if self.is_behind and self._peers is not None:\n"
-        "            await self._ask_peers(self._peers)\n",
+        "            await self._read_from_peers(self._peers)\n",
         "",
         "libraries/objects",
         "tests.test_follower.FollowerTests."
