--- a/libraries/configuration/tests/test_settings_reader.py
+++ b/libraries/configuration/tests/test_settings_reader.py
@@ -44,7 +44,7 @@
                 self.assertIn(allowed, error.allowed)
                 self.assertNotIn("short", error.found)
 
-    def test_plain_traffic_is_allowed_in_words(self) -> None:
+    def test_plain_traffic_is_allowed_by_a_setting(self) -> None:
         admin = {"host": "127.0.0.1", "port": 9080}
         settings = make_settings(listen=ANYWHERE, admin=admin, allow_plain=True)
         self.path.write_text(json.dumps(settings))
--- a/libraries/daemon/tests/test_certificates.py
+++ b/libraries/daemon/tests/test_certificates.py
@@ -60,7 +60,7 @@
         with self.assertRaises(ssl.SSLCertVerificationError):
             await self.reach(Certificates(self.tls).make_client_context())
 
-    async def test_replaced_files_are_used_and_broken_ones_left(self) -> None:
+    async def test_replaced_files_are_used_and_invalid_ones_ignored(self) -> None:
         own = Certificates(self.tls)
         reported: list[int] = []
         own.subscribe(lambda: reported.append(1))
--- a/libraries/daemon/tests/test_log_sink.py
+++ b/libraries/daemon/tests/test_log_sink.py
@@ -33,7 +33,7 @@
         self.sink.write("two\n")
         self.assertEqual(self.read(), b"one\ntwo\n")
 
-    def test_a_pipe_that_nobody_reads_stops_nobody(self) -> None:
+    def test_a_pipe_that_is_not_read_does_not_block(self) -> None:
         # The collector hangs. The process writes on without waiting; what does not
         # fit is dropped whole, and counted in a line once the collector reads again.
         line = "x" * 500 + "\n"
@@ -49,7 +49,7 @@
         whole = [found for found in lines if found == b"x" * 500]
         self.assertEqual(len(whole) + self.sink.dropped, 400)
 
-    def test_a_flood_is_cut_to_its_rate(self) -> None:
+    def test_lines_beyond_the_rate_are_dropped(self) -> None:
         for _ in range(int(BURST_LINES) + 500):
             self.sink.write("a\n")
             self.read()
@@ -60,7 +60,7 @@
             self.read()
         self.assertEqual(self.sink.dropped, 500)
 
-    def test_a_reader_that_is_gone_is_no_fault(self) -> None:
+    def test_a_closed_pipe_raises_no_error(self) -> None:
         reader, writer = os.pipe()
         sink = LogSink(writer)
         os.close(reader)
--- a/libraries/objects/tests/test_follower.py
+++ b/libraries/objects/tests/test_follower.py
@@ -28,7 +28,7 @@
         base = finish(publisher.read()).ok_value
         finish(publisher.publish(base, build_configuration(number), f"id-{number}"))
 
-    async def test_a_hint_that_arrives_during_a_read_is_not_lost(self) -> None:
+    async def test_an_announcement_during_a_read_is_not_lost(self) -> None:
         """A gateway's message names generation 2 while the head is being read.
 
         The read still shows generation 1. A follower that cleared the hint before it
@@ -57,7 +57,7 @@
         self.publish(3)
         await task
 
-    async def test_a_replica_behind_the_notice_is_asked_again(self) -> None:
+    async def test_a_replica_behind_the_watch_is_read_again(self) -> None:
         """The watch tells of a change, and the reads right after it show the old head.
 
         Taken as current, the node would wait for a further change.
@@ -76,7 +76,7 @@
         self.objects.read = count_reads  # type: ignore[method-assign,assignment]
         await self.node.follow_until(2)
 
-    async def test_a_node_that_wakes_in_an_outage_takes_a_peers_generation(
+    async def test_a_node_resumed_in_an_outage_applies_a_peers_generation(
         self,
     ) -> None:
         """A gateway was paused while the fleet went on, and the platform is down now.
@@ -93,7 +93,7 @@
         self.node.follower.record_announced(2)
         await self.node.follow_until(2)
 
-    async def test_a_fresh_node_asks_a_peer_in_an_outage(self) -> None:
+    async def test_a_node_started_in_an_outage_reads_from_a_peer(self) -> None:
         """A gateway starts while the platform is down; callers' keys must work."""
         peer = Node(self.objects)
         await peer.follower.refresh()
--- a/libraries/objects/tests/test_generations.py
+++ b/libraries/objects/tests/test_generations.py
@@ -136,7 +136,7 @@
         self.nodes[node] = fresh
 
     @invariant()
-    def no_node_goes_back_or_applies_what_was_not_accepted(self) -> None:
+    def no_node_reverts_or_applies_an_unaccepted_generation(self) -> None:
         heads = {head.generation: head for head in self.objects.heads}
         assert sorted(heads) == list(range(1, len(self.objects.heads) + 1))
         for node in self.nodes:
@@ -147,7 +147,7 @@
                 assert directory.configuration == self.contents[publish_id]
 
     @invariant()
-    def publishers_were_told_the_truth(self) -> None:
+    def publish_results_match_the_stored_heads(self) -> None:
         ids = [head.publish_id for head in self.objects.heads]
         assert len(ids) == len(set(ids))
         assert set(self.accepted) <= set(ids)
@@ -168,7 +168,7 @@
         """Once the platform is back the last accepted generation is in force."""
         self.objects.down = False
         self.objects.deliver_held()
-        self.publishers_were_told_the_truth()
+        self.publish_results_match_the_stored_heads()
         for node in self.nodes:
             finish(node.follower.refresh())
             assert node.generation == len(self.objects.heads)
@@ -181,7 +181,7 @@
 
 
 class GenerationStoreTests(unittest.TestCase):
-    def test_torn_missing_and_swapped_parts_are_never_applied(self) -> None:
+    def test_truncated_missing_and_swapped_parts_are_never_applied(self) -> None:
         """A replica answers with half a part, none, or another part's content.
 
         Applied, workspaces would vanish: their callers would all be turned away.
@@ -216,7 +216,7 @@
         )
         self.assertIsInstance(response, Ok)
 
-    def test_a_lost_publish_that_was_overtaken_is_found(self) -> None:
+    def test_a_publish_with_a_lost_response_is_found_after_a_later_one(self) -> None:
         """The operator's answer is lost, then another operator publishes on top.
 
         Without the record of earlier publishes the first one would be told "unknown"
@@ -240,7 +240,7 @@
         )
         self.assertEqual(response.ok_value.number, 1)
 
-    def test_unknown_only_when_the_platform_stays_away(self) -> None:
+    def test_unknown_only_when_the_platform_stays_down(self) -> None:
         """The write is lost and the platform stays down: nobody can know."""
         base = finish(self.publisher.read()).ok_value
         self.objects.faults = ["lose"]
--- a/libraries/objects/tests/test_http_client.py
+++ b/libraries/objects/tests/test_http_client.py
@@ -14,7 +14,7 @@
 HEAD = f"HTTP/1.1 200 OK\r\nContent-Length: {PIECES * len(PIECE)}\r\n\r\n".encode()
 
 
-class SlowAnswerTests(unittest.IsolatedAsyncioTestCase):
+class SlowResponseTests(unittest.IsolatedAsyncioTestCase):
     async def serve(self, pieces: int, pause: float) -> HttpClient:
         """Return a caller of a server that sends so many pieces of its answer."""
 
@@ -34,14 +34,14 @@
         port = server.sockets[0].getsockname()[1]
         return HttpClient(f"http://127.0.0.1:{port}", call_timeout=CALL_TIMEOUT_SECONDS)
 
-    async def test_an_answer_longer_than_the_patience_arrives_whole(self) -> None:
+    async def test_a_response_longer_than_the_timeout_arrives_complete(self) -> None:
         # Guards against a limit on the whole call, which a large answer on a weak link
         # exceeds each time, however often it is asked for.
         async with await self.serve(PIECES, CALL_TIMEOUT_SECONDS / 2) as caller:
             answer = await caller.call("GET", "/large")
         self.assertEqual(len(answer.unwrap().body), PIECES * len(PIECE))
 
-    async def test_an_answer_that_stops_on_its_way_is_given_up(self) -> None:
+    async def test_a_response_that_stalls_is_abandoned(self) -> None:
         # Guards against waiting for ever on a connection that went silent.
         async with await self.serve(PIECES // 2, 0.0) as caller:
             async with asyncio.timeout(CALL_TIMEOUT_SECONDS * 10):
--- a/libraries/objects/tests/test_http_platform.py
+++ b/libraries/objects/tests/test_http_platform.py
@@ -15,8 +15,8 @@
 CONFLICT = b"HTTP/1.1 412 Conflict\r\nObject-Version: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-class LostAnswerTests(unittest.IsolatedAsyncioTestCase):
-    async def test_a_change_whose_answer_is_lost_is_sent_once(self) -> None:
+class LostResponseTests(unittest.IsolatedAsyncioTestCase):
+    async def test_a_change_whose_response_is_lost_is_sent_once(self) -> None:
         requests: list[bytes] = []
 
         async def serve(
--- a/libraries/objects/tests/test_object_follower.py
+++ b/libraries/objects/tests/test_object_follower.py
@@ -23,7 +23,7 @@
 NOTHING = Ok(ChangeBatch(7, ()))
 
 
-class UnseenTests(unittest.IsolatedAsyncioTestCase):
+class UnreportedChangeTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.now = 100.0
         self.observer = mock.Mock()
@@ -56,10 +56,10 @@
             task.cancel()
         return [call.args[2] for call in self.observer.apply_listing.call_args_list]
 
-    async def test_the_first_list_says_nothing_of_when(self) -> None:
+    async def test_the_first_listing_states_no_time(self) -> None:
         self.assertEqual(await self.follow(), [float("-inf")])
 
-    async def test_a_watch_that_went_silent_may_hide_all_since_it_was_asked(
+    async def test_a_watch_without_response_may_hide_changes_since_it_was_sent(
         self,
     ) -> None:
         # One watch ends as it should after two seconds. The next gets no answer for
@@ -68,13 +68,13 @@
         reported = await self.follow((2.0, NOTHING), (3.5, failed))
         self.assertEqual(reported[1], 102.0)
 
-    async def test_a_history_that_is_gone_may_hide_all_since_the_watch_was_asked(
+    async def test_a_watch_gap_may_hide_changes_since_the_watch_was_sent(
         self,
     ) -> None:
         reported = await self.follow((2.0, NOTHING), (1.0, Err(WatchGapError("gone"))))
         self.assertEqual(reported[1], 102.0)
 
-    async def test_what_changed_between_two_watches_may_be_hidden_as_well(self) -> None:
+    async def test_changes_between_two_watches_may_be_hidden(self) -> None:
         # A gateway stands still for four seconds. Its watch ends empty at the store in
         # the middle, as it should after two, and new weights are named after that. It
         # reads the empty answer when it runs again; its next watch fails after six
--- a/libraries/objects/tests/test_vm_follower.py
+++ b/libraries/objects/tests/test_vm_follower.py
@@ -22,7 +22,7 @@
         self.fake = VmListSourceFake(*(build_vm(f"t-{n}") for n in range(DESIGN_SIZE)))
         self.follower = VmListFollower(self.fake, self.lists.append, random.Random(1))
 
-    async def test_an_unchanged_list_costs_nothing_and_is_told_once(self) -> None:
+    async def test_an_unchanged_list_has_no_body_and_is_applied_once(self) -> None:
         for _ in range(5):
             await self.follower.refresh()
         self.assertEqual(len(self.lists), 1)
--- a/libraries/objects/tests/test_vm_inventory.py
+++ b/libraries/objects/tests/test_vm_inventory.py
@@ -14,7 +14,7 @@
 
 
 class VmInventoryTests(unittest.IsolatedAsyncioTestCase):
-    async def test_a_peers_list_serves_until_the_platform_answers(self) -> None:
+    async def test_a_peers_list_is_used_until_the_platform_responds(self) -> None:
         """A gateway starts in an outage; a peer sends garbage, then an older list.
 
         Garbage must not end the process, and the platform's own list wins for good.
--- a/tools/safeguards/configuration.py
+++ b/tools/safeguards/configuration.py
@@ -44,7 +44,7 @@
         "        if False:\n",
         "libraries/objects",
         "tests.test_generations.PublisherTests."
-        "test_a_lost_publish_that_was_overtaken_is_found",
+        "test_a_publish_with_a_lost_response_is_found_after_a_later_one",
     ),
     Mutation(
         "a part named again escapes its removal",
@@ -86,7 +86,7 @@
         "        return current\n",
         "libraries/objects",
         "tests.test_follower.FollowerTests."
-        "test_a_hint_that_arrives_during_a_read_is_not_lost",
+        "test_an_announcement_during_a_read_is_not_lost",
     ),
     Mutation(
         "a watch gap is followed by a watch from the present",
@@ -104,7 +104,7 @@
         "            current = True\n",
         "libraries/objects",
         "tests.test_follower.FollowerTests."
-        "test_a_replica_behind_the_notice_is_asked_again",
+        "test_a_replica_behind_the_watch_is_read_again",
     ),
     Mutation(
         "a fresh node asks peers in an outage",
@@ -113,7 +113,7 @@
         "            await self._read_from_peers(self._peers)\n",
         "",
         "libraries/objects",
-        "tests.test_follower.FollowerTests.test_a_fresh_node_asks_a_peer_in_an_outage",
+        "tests.test_follower.FollowerTests.test_a_node_started_in_an_outage_reads_from_a_peer",
     ),
     Mutation(
         "a node that is behind asks peers in an outage",
@@ -123,7 +123,7 @@
         "",
         "libraries/objects",
         "tests.test_follower.FollowerTests."
-        "test_a_node_that_wakes_in_an_outage_takes_a_peers_generation",
+        "test_a_node_resumed_in_an_outage_applies_a_peers_generation",
     ),
     Mutation(
         "a gateway that slept takes the generation from an agent",
