--- a/libraries/agent/src/bamboopier_agent/daemon.py
+++ b/libraries/agent/src/bamboopier_agent/daemon.py
@@ -18,16 +18,16 @@
     keep_running,
     serve_administration,
 )
-from bamboopier_daemon.listening import explain_listening
+from bamboopier_daemon.listening import convert_listen_errors
 from bamboopier_daemon.peer_check import PeerCheck
 from bamboopier_daemon.process_metrics import add_process_metrics
-from bamboopier_daemon.stopping import StopEnd, StopSignals
+from bamboopier_daemon.stopping import ShutdownOutcome, StopSignals
 from bamboopier_decisions.admission.controller import AdmissionController
 from bamboopier_decisions.membership.lease import Lease
 from bamboopier_objects.follower import ConfigurationFollower
 from bamboopier_objects.http_platform import HttpPlatform
 from bamboopier_objects.peers import PeerClient, PeerService
-from bamboopier_objects.vm_board import VmBoard
+from bamboopier_objects.vm_inventory import VmInventory
 from bamboopier_protocol.agent_pb2_grpc import (
     add_AgentServicer_to_server,
     add_PeerServicer_to_server,
@@ -83,9 +83,9 @@
         monitor = TargetMonitor(target, gate, context)
         claims = ClaimTable(platform, str(settings.listen))
         availability_gate = AvailabilityGate(settings, gate)
-        vms = VmBoard(generator)
-        vms.tell(availability_gate.apply_vms)
-        vms.tell(lambda _: apply_context())
+        vms = VmInventory(generator)
+        vms.subscribe(availability_gate.apply_vms)
+        vms.subscribe(lambda _: apply_context())
         peers = PeerClient(settings.peers, vms, certificates.open_channel, generator)
 
         def apply_context() -> None:
@@ -98,7 +98,7 @@
             apply_context()
 
         follower = ConfigurationFollower(
-            platform, apply_configuration, generator, peers, lambda: vms.nodes
+            platform, apply_configuration, generator, peers, lambda: vms.node_count
         )
         holder = f"{settings.vm}:{uuid.uuid4().hex}"
         agent_address = f"{settings.vm}:{settings.listen}"
@@ -143,7 +143,7 @@
         stack.push_async_callback(server.stop, None)
         add_AgentServicer_to_server(service, server)
         add_PeerServicer_to_server(PeerService(follower.store, vms), server)
-        with explain_listening("listen", settings.listen):
+        with convert_listen_errors("listen", settings.listen):
             certificates.add_port(server, str(settings.listen))
         await server.start()
         # Only now is the place proved to be this process's own.
@@ -153,7 +153,7 @@
         def is_ready() -> bool:
             # Without services and stores this agent would refuse or forget what the
             # first requests bring.
-            has_configuration = follower.directory.generation > 0 and vms.is_known
+            has_configuration = follower.directory.generation > 0 and vms.has_list
             return has_configuration and monitor.reachable and gate.admission.accepting
 
         add_process_metrics(
@@ -173,7 +173,7 @@
             log.info("agent stopping", running=gate.admission.running)
             timeout = settings.shutdown_timeout_seconds
             end = await signals.wait_until(_finish_requests(gate, server), timeout)
-            if end is not StopEnd.IDLE:
+            if end is not ShutdownOutcome.IDLE:
                 # Gateways see these streams break off and tell their callers that the
                 # outcome is unknown, which it is.
                 log.warning(
@@ -204,7 +204,7 @@
 
 
 def _count_targets(
-    vms: VmBoard, follower: ConfigurationFollower, service_name: str
+    vms: VmInventory, follower: ConfigurationFollower, service_name: str
 ) -> int:
     """Return how many targets of the service may serve."""
     drains = follower.directory.configuration.drains
--- a/libraries/cli/src/bamboopier_cli/survey.py
+++ b/libraries/cli/src/bamboopier_cli/survey.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from bamboopier_objects.vms import Vm, VmList
+    from bamboopier_objects.vms import Vm, VmListSource
 
 ASKED_AT_ONCE = 64
 ANSWER_SECONDS = 2.0
@@ -50,7 +50,7 @@
     limit: int = 0
 
 
-async def list_nodes(vms: VmList) -> list[Vm]:
+async def list_nodes(vms: VmListSource) -> list[Vm]:
     """Return the listed gateways and targets."""
     answer = await vms.list_vms()
     if isinstance(answer, Err):
@@ -109,7 +109,7 @@
 async def _ask_gateway(session: aiohttp.ClientSession, vm: Vm) -> NodeStatus:
     status = _start_status(vm)
     try:
-        scheme = "https" if read_certificates().are_used else "http"
+        scheme = "https" if read_certificates().is_enabled else "http"
         async with session.get(f"{scheme}://{vm.address}/v1/status") as response:
             found = msgspec.json.decode(await response.read(), type=GatewayStatus)
     except (aiohttp.ClientError, TimeoutError, msgspec.MsgspecError):
--- a/libraries/configuration/src/bamboopier_configuration/certificate_check.py
+++ b/libraries/configuration/src/bamboopier_configuration/certificate_check.py
@@ -12,14 +12,14 @@
     from .settings import CallerTls, Tls
 
 
-def find_certificate_fault(
+def find_certificate_error(
     tls: CallerTls | Tls | None, path: str, file: str
 ) -> ConfigurationError | None:
     """Return what is wrong with the files that the settings name at ``path``."""
     if tls is None:
         return None
     for field in tls.__struct_fields__:
-        fault = _find_read_fault(getattr(tls, field))
+        fault = _find_read_error(getattr(tls, field))
         if fault:
             allowed = "a readable PEM file"
             return ConfigurationError(file, f"{path}.{field}", fault, allowed)
@@ -41,7 +41,7 @@
     return None
 
 
-def _find_read_fault(name: str) -> str:
+def _find_read_error(name: str) -> str:
     try:
         Path(name).read_bytes()
     except OSError as error:
--- a/libraries/gateway/src/bamboopier_gateway/agent_connections.py
+++ b/libraries/gateway/src/bamboopier_gateway/agent_connections.py
@@ -45,7 +45,7 @@
 
     def __init__(self, certificates: Certificates | None = None) -> None:
         self._certificates = certificates or Certificates(None)
-        self._certificates.tell(self._replace_channels)
+        self._certificates.subscribe(self._replace_channels)
         self._channels: dict[str, grpc.aio.Channel] = {}
         self._closing: set[asyncio.Task[None]] = set()
 
--- a/libraries/gateway/src/bamboopier_gateway/daemon.py
+++ b/libraries/gateway/src/bamboopier_gateway/daemon.py
@@ -13,12 +13,12 @@
 from bamboopier_daemon.certificates import Certificates
 from bamboopier_daemon.daemon import keep_running, serve_administration
 from bamboopier_daemon.process_metrics import add_process_metrics
-from bamboopier_daemon.stopping import StopEnd, StopSignals
+from bamboopier_daemon.stopping import ShutdownOutcome, StopSignals
 from bamboopier_decisions.routing.router import Router
 from bamboopier_objects.follower import ConfigurationFollower
 from bamboopier_objects.http_platform import HttpPlatform
 from bamboopier_objects.peers import PeerClient
-from bamboopier_objects.vm_board import VmBoard
+from bamboopier_objects.vm_inventory import VmInventory
 
 from .agent_connections import AgentConnections
 from .application import GatewayApplication
@@ -51,7 +51,7 @@
         )
         agents = await stack.enter_async_context(AgentConnections(certificates))
         router = Router(generator)
-        vms = VmBoard(generator)
+        vms = VmInventory(generator)
         fleet = Fleet(
             settings,
             vms,
@@ -65,7 +65,7 @@
             fleet.apply_configuration,
             generator,
             peers,
-            lambda: vms.nodes,
+            lambda: vms.node_count,
         )
         metrics = GatewayMetrics()
         prompts = PromptReader(
@@ -91,7 +91,7 @@
         def is_ready() -> bool:
             # With the configuration alone there is no target to send to: callers that
             # the balancer sent here would all be refused.
-            return application.ready and vms.is_known
+            return application.ready and vms.has_list
 
         add_process_metrics(
             metrics.registry,
@@ -111,7 +111,7 @@
             await asyncio.sleep(STOP_DELAY_SECONDS)
             timeout = settings.shutdown_timeout_seconds
             end = await signals.wait_until(application.wait_until_idle(), timeout)
-            if end is not StopEnd.IDLE:
+            if end is not ShutdownOutcome.IDLE:
                 log.warning(
                     "requests cut",
                     reason=end.value,
--- a/libraries/gateway/src/bamboopier_gateway/fleet.py
+++ b/libraries/gateway/src/bamboopier_gateway/fleet.py
@@ -22,7 +22,7 @@
     from bamboopier_configuration.directory import Directory
     from bamboopier_configuration.model import Model, Service
     from bamboopier_configuration.settings import GatewaySettings
-    from bamboopier_objects.vm_board import VmBoard
+    from bamboopier_objects.vm_inventory import VmInventory
     from bamboopier_objects.vms import Vm
 
     from .agent_connections import AgentConnections
@@ -34,7 +34,7 @@
     def __init__(
         self,
         settings: GatewaySettings,
-        vms: VmBoard,
+        vms: VmInventory,
         agents: AgentConnections,
         handle_change: Callable[[FleetChanged], None],
         random: random.Random,
@@ -50,7 +50,7 @@
         self._random = random
         self._versions: dict[str, ModelVersions] = {}
         self.reports = TargetReports()
-        vms.tell(lambda _: self._update())
+        vms.subscribe(lambda _: self._update())
 
     def find_address(self, target: str) -> str:
         """Return the address of the agent beside ``target``."""
--- a/libraries/gateway/src/bamboopier_gateway/target_poll.py
+++ b/libraries/gateway/src/bamboopier_gateway/target_poll.py
@@ -67,7 +67,7 @@
         except grpc.aio.AioRpcError:
             self._fleet.reports.record(target, None)
             return
-        self._follower.hear(report.generation)
+        self._follower.record_announced(report.generation)
         self._fleet.reports.record(target, report)
         load = make_target_load(report)
         self._router.handle(TargetReported(time.monotonic(), target, load))
--- a/libraries/objects/src/bamboopier_objects/http_caller.py
+++ b/libraries/objects/src/bamboopier_objects/http_client.py
@@ -32,7 +32,7 @@
 STALL_SECONDS = 1.5
 # Seconds for a whole answer beyond its patience: a megabyte on a link that carries a
 # tenth of what the weakest one does.
-LONGEST_ANSWER_SECONDS = 16.0
+MAX_RESPONSE_SECONDS = 16.0
 
 
 class Reply:
@@ -47,7 +47,7 @@
         self.headers = headers
 
 
-class HttpCaller:
+class HttpClient:
     """Makes calls below ``base_url``; close it by leaving the context."""
 
     def __init__(
@@ -90,26 +90,26 @@
         path: str,
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
-        patience: float | None = None,
+        first_byte_timeout: float | None = None,
     ) -> Result[Reply, PlatformError]:
         """Make one call; a change whose answer is lost is reported as unknown.
 
-        ``patience`` are the seconds until the answer begins; None stands for the
+        ``first_byte_timeout`` are the seconds until the answer begins; None stands for the
         caller's usual.
         """
         if self._session is None:
             return Err(PlatformUnavailableError("the platform client is not open"))
-        patience = patience or self.call_timeout
-        stall = min(STALL_SECONDS, patience)
-        longest = patience + LONGEST_ANSWER_SECONDS
-        timeout = aiohttp.ClientTimeout(total=longest)
+        first_byte_timeout = first_byte_timeout or self.call_timeout
+        stall = min(STALL_SECONDS, first_byte_timeout)
+        total_timeout = first_byte_timeout + MAX_RESPONSE_SECONDS
+        timeout = aiohttp.ClientTimeout(total=total_timeout)
         read_time = asyncio.get_running_loop().time
         url = self._base_url + path
         content = bytearray()
         length: int | None = None
         try:
             async with (
-                asyncio.timeout(patience) as limit,
+                asyncio.timeout(first_byte_timeout) as limit,
                 self._session.request(
                     method, url, data=body, headers=headers, timeout=timeout
                 ) as response,
--- a/libraries/objects/src/bamboopier_objects/http_platform.py
+++ b/libraries/objects/src/bamboopier_objects/http_platform.py
@@ -15,13 +15,13 @@
     VersionConflictError,
     WatchGapError,
 )
-from .http_caller import CALL_TIMEOUT_SECONDS, HttpCaller, Reply, decode_reply
+from .http_client import CALL_TIMEOUT_SECONDS, HttpClient, Reply, decode_reply
 from .objects import MAX_VALUE_BYTES, Change, StoredObject, WatchBatch
-from .vms import Vm, VmAnswer
+from .vms import Vm, VmListResponse
 
 # Replies name their headers in lower case.
 VERSION_HEADER = "object-version"
-EXPECTED_HEADER = "Expected-Version"
+EXPECTED_VERSION_HEADER = "Expected-Version"
 
 
 class _ListedObject(msgspec.Struct):
@@ -35,20 +35,20 @@
     version: int
 
 
-class _WatchAnswer(msgspec.Struct):
+class _WatchResponse(msgspec.Struct):
     revision: int
     changes: list[_WatchedChange]
 
 
-class HttpPlatform(HttpCaller):
+class HttpPlatform(HttpClient):
     """Calls the platform at ``base_url``; close it by leaving the context."""
 
     async def read(self, key: str) -> Result[StoredObject | None, PlatformError]:
         """Return the object, or None when there is none."""
-        answer = await self.call("GET", self._object_url(key))
-        if isinstance(answer, Err):
-            return answer
-        reply = answer.ok_value
+        response = await self.call("GET", self._object_url(key))
+        if isinstance(response, Err):
+            return response
+        reply = response.ok_value
         if reply.status == 404:
             return Ok(None)
         if reply.status != 200:
@@ -61,32 +61,32 @@
         """Replace the object if it still has ``expected_version``."""
         if len(value) > MAX_VALUE_BYTES:
             return Err(ValueTooLargeError(f"{key}: {len(value)} bytes"))
-        headers = {EXPECTED_HEADER: str(expected_version)}
-        answer = await self.call("PUT", self._object_url(key), value, headers)
-        if isinstance(answer, Err):
-            return answer
-        reply = answer.ok_value
-        fault = _find_write_fault(key, expected_version, reply)
-        return Err(fault) if fault is not None else Ok(_read_version(reply))
+        headers = {EXPECTED_VERSION_HEADER: str(expected_version)}
+        response = await self.call("PUT", self._object_url(key), value, headers)
+        if isinstance(response, Err):
+            return response
+        reply = response.ok_value
+        error = _find_write_error(key, expected_version, reply)
+        return Err(error) if error is not None else Ok(_read_version(reply))
 
     async def delete(
         self, key: str, expected_version: int
     ) -> Result[None, PlatformError]:
         """Remove the object if it still has ``expected_version``."""
-        headers = {EXPECTED_HEADER: str(expected_version)}
-        answer = await self.call("DELETE", self._object_url(key), b"", headers)
-        if isinstance(answer, Err):
-            return answer
-        fault = _find_write_fault(key, expected_version, answer.ok_value)
-        return Err(fault) if fault is not None else Ok(None)
+        headers = {EXPECTED_VERSION_HEADER: str(expected_version)}
+        response = await self.call("DELETE", self._object_url(key), b"", headers)
+        if isinstance(response, Err):
+            return response
+        error = _find_write_error(key, expected_version, response.ok_value)
+        return Err(error) if error is not None else Ok(None)
 
     async def scan(self, prefix: str) -> Result[list[StoredObject], PlatformError]:
         """Return all objects whose key starts with ``prefix``, ordered by key."""
         url = f"/v1/list?prefix={quote(prefix)}"
-        answer = await self.call("GET", url)
-        if isinstance(answer, Err):
-            return answer
-        decoded = decode_reply(answer.ok_value, list[_ListedObject])
+        response = await self.call("GET", url)
+        if isinstance(response, Err):
+            return response
+        decoded = decode_reply(response.ok_value, list[_ListedObject])
         if isinstance(decoded, Err):
             return decoded
         return Ok([StoredObject(o.key, o.version, o.value) for o in decoded.ok_value])
@@ -97,13 +97,13 @@
         """Wait up to ``timeout`` seconds for changes later than revision ``after``."""
         query = f"prefix={quote(prefix)}&after={after}&timeout={timeout}"
         url = f"/v1/watch?{query}"
-        patience = timeout + CALL_TIMEOUT_SECONDS
-        answer = await self.call("GET", url, patience=patience)
-        if isinstance(answer, Err):
-            return answer
-        if answer.ok_value.status == 410:
+        first_byte_timeout = timeout + CALL_TIMEOUT_SECONDS
+        response = await self.call("GET", url, first_byte_timeout=first_byte_timeout)
+        if isinstance(response, Err):
+            return response
+        if response.ok_value.status == 410:
             return Err(WatchGapError(f"watch {prefix} after {after}"))
-        decoded = decode_reply(answer.ok_value, _WatchAnswer)
+        decoded = decode_reply(response.ok_value, _WatchResponse)
         if isinstance(decoded, Err):
             return decoded
         batch = decoded.ok_value
@@ -112,25 +112,25 @@
 
     async def list_vms(self) -> Result[list[Vm], PlatformError]:
         """Return all VMs the platform lists now."""
-        answer = await self.list_vms_since("")
-        if isinstance(answer, Err):
-            return answer
-        return Ok(list(answer.ok_value.vms or ()))
+        response = await self.list_vms_since("")
+        if isinstance(response, Err):
+            return response
+        return Ok(list(response.ok_value.vms or ()))
 
-    async def list_vms_since(self, tag: str) -> Result[VmAnswer, PlatformError]:
+    async def list_vms_since(self, tag: str) -> Result[VmListResponse, PlatformError]:
         """Return the VMs unless the list still has the entity tag ``tag``."""
         headers = {"If-None-Match": tag} if tag else None
-        answer = await self.call("GET", "/v1/vms", headers=headers)
-        if isinstance(answer, Err):
-            return answer
-        reply = answer.ok_value
+        response = await self.call("GET", "/v1/vms", headers=headers)
+        if isinstance(response, Err):
+            return response
+        reply = response.ok_value
         if reply.status == 304:
-            return Ok(VmAnswer(None, tag, 0))
+            return Ok(VmListResponse(None, tag, 0))
         decoded = decode_reply(reply, list[Vm])
         if isinstance(decoded, Err):
             return decoded
         return Ok(
-            VmAnswer(
+            VmListResponse(
                 tuple(decoded.ok_value), reply.headers.get("etag", ""), len(reply.body)
             )
         )
@@ -139,7 +139,7 @@
         return f"/v1/objects/{quote(key)}"
 
 
-def _find_write_fault(key: str, expected: int, reply: Reply) -> PlatformError | None:
+def _find_write_error(key: str, expected: int, reply: Reply) -> PlatformError | None:
     if reply.status == 200:
         return None
     if reply.status == 412:
--- a/libraries/objects/src/bamboopier_objects/peers.py
+++ b/libraries/objects/src/bamboopier_objects/peers.py
@@ -17,10 +17,10 @@
     from collections.abc import Callable, Sequence
 
     from .generations import Generation, GenerationStore
-    from .vm_board import VmBoard
+    from .vm_inventory import VmInventory
 
 # Peers asked in one round, drawn at random: one that is up suffices.
-PEERS_ASKED = 3
+PEERS_PER_READ = 3
 PEER_TIMEOUT_SECONDS = 2.0
 
 
@@ -31,7 +31,7 @@
     checks parts against their digests and never goes back to a lower generation.
     """
 
-    def __init__(self, store: GenerationStore, vms: VmBoard) -> None:
+    def __init__(self, store: GenerationStore, vms: VmInventory) -> None:
         self._store = store
         self._vms = vms
 
@@ -55,7 +55,7 @@
     def __init__(
         self,
         seeds: Sequence[str],
-        vms: VmBoard,
+        vms: VmInventory,
         open_channel: Callable[[str], grpc.aio.Channel],
         random: random.Random,
     ) -> None:
@@ -68,17 +68,17 @@
         self, generation: int, store: GenerationStore
     ) -> Result[Generation | None, PlatformError]:
         """Return the first higher generation that a peer has, or None."""
-        known = sorted({*self._seeds, *self._vms.list_agents()})
+        known = sorted({*self._seeds, *self._vms.list_agent_addresses()})
         failure: PlatformError | None = None
-        for address in self._random.sample(known, min(PEERS_ASKED, len(known))):
-            answer = await self._ask(address, generation, store)
-            if isinstance(answer, Ok) and answer.ok_value is not None:
-                return answer
-            if isinstance(answer, Err):
-                failure = answer.err_value
+        for address in self._random.sample(known, min(PEERS_PER_READ, len(known))):
+            response = await self._read_from(address, generation, store)
+            if isinstance(response, Ok) and response.ok_value is not None:
+                return response
+            if isinstance(response, Err):
+                failure = response.err_value
         return Ok(None) if failure is None else Err(failure)
 
-    async def _ask(
+    async def _read_from(
         self, address: str, generation: int, store: GenerationStore
     ) -> Result[Generation | None, PlatformError]:
         async with self._open_channel(address) as channel:
@@ -86,7 +86,7 @@
             reply = await source.call([])
             if isinstance(reply, Err):
                 return reply
-            self._vms.learn(reply.ok_value.vms)
+            self._vms.apply_peer_list(reply.ok_value.vms)
             if not reply.ok_value.head:
                 return Ok(None)
             return await store.assemble(reply.ok_value.head, ABSENT, source)
--- a/libraries/objects/src/bamboopier_objects/publisher.py
+++ b/libraries/objects/src/bamboopier_objects/publisher.py
@@ -39,12 +39,12 @@
 # A part stays for readers that hold a head up to this many generations old.
 KEPT_GENERATIONS = 32
 # Removing a part costs two reads and a delete; a publish removes no more than this.
-REMOVED_AT_ONCE = 64
+MAX_REMOVED_PARTS = 64
 # Attempts to settle a lost answer, with pauses that double: about half a minute.
-SETTLE_ATTEMPTS = 12
-FIRST_PAUSE_SECONDS = 0.05
-MAX_PAUSE_SECONDS = 4.0
-PART_ATTEMPTS = 8
+MAX_HEAD_ATTEMPTS = 12
+INITIAL_RETRY_SECONDS = 0.05
+MAX_RETRY_SECONDS = 4.0
+MAX_PART_ATTEMPTS = 8
 
 
 class Publisher:
@@ -53,12 +53,12 @@
     def __init__(
         self,
         objects: ObjectStore,
-        pause: Callable[[float], Awaitable[None]] = asyncio.sleep,
+        sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
         kept_generations: int = KEPT_GENERATIONS,
     ) -> None:
         self._objects = objects
         self._store = GenerationStore(objects)
-        self._pause = pause
+        self._sleep = sleep
         self._kept_generations = kept_generations
 
     async def read(self) -> Result[Generation, PlatformError]:
@@ -77,17 +77,17 @@
         values = split_configuration(configuration)
         parts = {name: digest_part(value) for name, value in values.items()}
         expired = await self._find_expired(base, set(parts.values()))
-        gone = {digest for digest, version in expired.items() if version == ABSENT}
-        head = self._make_head(base, parts, publish_id, gone)
+        absent = {digest for digest, version in expired.items() if version == ABSENT}
+        head = self._make_head(base, parts, publish_id, absent)
         for name, value in values.items():
             written = await self._write_part(base, parts[name], value)
             if isinstance(written, Err):
                 return written
-        answer = await self._write_head(base, head)
-        if isinstance(answer, Err):
-            return answer
+        response = await self._write_head(base, head)
+        if isinstance(response, Err):
+            return response
         await self._remove(expired)
-        number, version = answer.ok_value
+        number, version = response.ok_value
         return Ok(Generation(number, publish_id, configuration, version, head))
 
     def _make_head(
@@ -95,11 +95,11 @@
         base: Generation,
         parts: dict[str, str],
         publish_id: str,
-        gone: set[str],
+        absent: set[str],
     ) -> Head:
         number = base.number + 1
         named = set(parts.values())
-        retired = [p for p in base.head.retired if p.digest not in named | gone]
+        retired = [p for p in base.head.retired if p.digest not in named | absent]
         dropped = set(base.head.parts.values()) - named
         retired += [RetiredPart(digest, number) for digest in sorted(dropped)]
         earlier = list(base.head.earlier)
@@ -119,34 +119,34 @@
         effect.
         """
         value = msgspec.json.encode(head)
-        seconds = FIRST_PAUSE_SECONDS
-        lost = False
-        for _ in range(SETTLE_ATTEMPTS):
-            answer = await self._objects.write(HEAD_KEY, value, base.head_version)
-            if isinstance(answer, Ok):
-                return Ok((head.generation, answer.ok_value))
-            error = answer.err_value
+        seconds = INITIAL_RETRY_SECONDS
+        is_unknown = False
+        for _ in range(MAX_HEAD_ATTEMPTS):
+            response = await self._objects.write(HEAD_KEY, value, base.head_version)
+            if isinstance(response, Ok):
+                return Ok((head.generation, response.ok_value))
+            error = response.err_value
             if isinstance(error, VersionConflictError):
-                settled = await self._look_back(base, head)
-                if settled is not None:
-                    return settled
+                outcome = await self._find_publish(base, head)
+                if outcome is not None:
+                    return outcome
             elif isinstance(error, PlatformOutcomeUnknownError):
-                lost = True
-            elif not lost:
-                return answer
-            await self._pause(seconds)
-            seconds = min(MAX_PAUSE_SECONDS, seconds * 2)
+                is_unknown = True
+            elif not is_unknown:
+                return response
+            await self._sleep(seconds)
+            seconds = min(MAX_RETRY_SECONDS, seconds * 2)
         text = f"publish {head.publish_id}: the platform did not settle it"
         return Err(PlatformOutcomeUnknownError(text))
 
-    async def _look_back(
+    async def _find_publish(
         self, base: Generation, head: Head
     ) -> Result[tuple[int, int], PlatformError] | None:
         """Find this publish among those that moved the head; None to look again."""
-        answer = await self._objects.read(HEAD_KEY)
-        if isinstance(answer, Err) or answer.ok_value is None:
+        response = await self._objects.read(HEAD_KEY)
+        if isinstance(response, Err) or response.ok_value is None:
             return None
-        stored = answer.ok_value
+        stored = response.ok_value
         if stored.version <= base.head_version:
             return None  # A replica that lags: it does not show the change yet.
         try:
@@ -171,11 +171,11 @@
         key = PART_PREFIX + digest
         expected = ABSENT
         error: PlatformError = PlatformUnavailableError(key)
-        for _ in range(PART_ATTEMPTS):
-            answer = await self._objects.write(key, value, expected)
-            if isinstance(answer, Ok):
+        for _ in range(MAX_PART_ATTEMPTS):
+            response = await self._objects.write(key, value, expected)
+            if isinstance(response, Ok):
                 return Ok(None)
-            error = answer.err_value
+            error = response.err_value
             if isinstance(error, VersionConflictError):
                 # Another publisher may be about to remove it as no longer named. A new
                 # version makes that conditional delete fail; without it the head that
@@ -199,10 +199,10 @@
             if part.generation <= limit and part.digest not in named
         ]
         versions: dict[str, int] = {}
-        for digest in expired[:REMOVED_AT_ONCE]:
-            answer = await self._objects.read(PART_PREFIX + digest)
-            if isinstance(answer, Ok):
-                stored = answer.ok_value
+        for digest in expired[:MAX_REMOVED_PARTS]:
+            response = await self._objects.read(PART_PREFIX + digest)
+            if isinstance(response, Ok):
+                stored = response.ok_value
                 versions[digest] = stored.version if stored is not None else ABSENT
         return versions
 
--- a/libraries/objects/src/bamboopier_objects/vm_follower.py
+++ b/libraries/objects/src/bamboopier_objects/vm_follower.py
@@ -19,7 +19,7 @@
     import random
     from collections.abc import Callable
 
-    from .vms import Vm, VmList
+    from .vms import Vm, VmListSource
 
 # A leaving VM should be known in a few seconds; at 1,070 nodes this is 360 reads a
 # second of the platform's two thousand, nearly all answered without a body.
@@ -27,7 +27,7 @@
 # Bytes a second that whole answers may cost on average: a third of a node's 22 KB/s.
 BUDGET_BYTES = 7000.0
 # Polls are spread by this share, so that a fleet started together drifts apart.
-SPREAD = 0.2
+JITTER_SHARE = 0.2
 
 
 class VmListFollower:
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        vms: VmList,
+        vms: VmListSource,
         apply: Callable[[tuple[Vm, ...]], None],
         random: random.Random,
     ) -> None:
@@ -52,21 +52,21 @@
         """Follow until cancelled."""
         while True:
             size = await self.refresh()
-            await asyncio.sleep(self.compute_pause(size))
+            await asyncio.sleep(self.compute_delay(size))
 
     async def refresh(self) -> int:
         """Ask once; return the bytes that came."""
-        answer = await self._vms.list_vms_since(self._tag)
-        if not isinstance(answer, Ok):
+        response = await self._vms.list_vms_since(self._tag)
+        if not isinstance(response, Ok):
             return 0
-        found = answer.ok_value
+        found = response.ok_value
         self._tag = found.tag
         if found.vms is not None and found.vms != self._listed:
             self._listed = found.vms
             self._apply(found.vms)
         return found.size
 
-    def compute_pause(self, size: int) -> float:
+    def compute_delay(self, size: int) -> float:
         """Return the seconds until the next poll after an answer of ``size`` bytes."""
         pause = max(POLL_SECONDS, size / BUDGET_BYTES)
-        return pause * self._random.uniform(1 - SPREAD, 1 + SPREAD)
+        return pause * self._random.uniform(1 - JITTER_SHARE, 1 + JITTER_SHARE)
--- a/libraries/objects/tests/builders.py
+++ b/libraries/objects/tests/builders.py
@@ -22,7 +22,7 @@
 from bamboopier_objects.objects import Change, StoredObject, WatchBatch
 from bamboopier_objects.parts import HEAD_KEY, Head
 from bamboopier_objects.publisher import Publisher
-from bamboopier_objects.vms import Vm, VmAnswer
+from bamboopier_objects.vms import Vm, VmListResponse
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Coroutine
@@ -39,7 +39,7 @@
 
     ``faults`` are taken one by one by the writes of the head and ``part_faults`` by
     those of other objects: ``lose`` carries a write out and loses its answer, ``drop``
-    does neither, ``hold`` keeps it on its way until ``land`` is called.
+    does neither, ``hold`` keeps it on its way until ``deliver_held`` is called.
     """
 
     def __init__(self) -> None:
@@ -87,12 +87,12 @@
         if fault == "hold":
             self.held.append((key, value, expected_version))
         elif fault != "drop":
-            answer = self._apply(key, value, expected_version)
+            response = self._apply(key, value, expected_version)
             if not fault:
-                return answer
+                return response
         return Err(PlatformOutcomeUnknownError(key))
 
-    def land(self) -> None:
+    def deliver_held(self) -> None:
         """Let the writes that were held arrive."""
         for write in self.held:
             self._apply(*write)
@@ -185,13 +185,13 @@
         return Ok(self.follower.store.part_values.get(digest))
 
 
-async def skip_pause(_: float) -> None:
+async def skip_sleep(_: float) -> None:
     """Take no time between attempts."""
 
 
 def build_publisher(objects: MemoryObjects) -> Publisher:
     """Return a publisher that does not wait and keeps few generations."""
-    return Publisher(objects, skip_pause, KEPT_GENERATIONS)
+    return Publisher(objects, skip_sleep, KEPT_GENERATIONS)
 
 
 def build_configuration(number: int) -> Configuration:
@@ -217,7 +217,7 @@
     return Vm(name, "target", "dc-1", "north", "10.0.0.1:7001", state)  # type: ignore[arg-type]
 
 
-class VmListFake:
+class VmListSourceFake:
     """A list that can change, go away and withhold its entity tags."""
 
     def __init__(self, *vms: Vm) -> None:
@@ -229,7 +229,7 @@
     async def list_vms(self) -> Result[list[Vm], PlatformError]:
         return Ok(list(self.vms))
 
-    async def list_vms_since(self, tag: str) -> Result[VmAnswer, PlatformError]:
+    async def list_vms_since(self, tag: str) -> Result[VmListResponse, PlatformError]:
         if self.down:
             return Err(PlatformUnavailableError("down"))
         current = hashlib.sha256(repr(self.vms).encode()).hexdigest()
@@ -237,7 +237,7 @@
             current = ""
         if tag and tag == current:
             self.sizes.append(0)
-            return Ok(VmAnswer(None, tag, 0))
+            return Ok(VmListResponse(None, tag, 0))
         size = BYTES_PER_VM * len(self.vms)
         self.sizes.append(size)
-        return Ok(VmAnswer(self.vms, current, size))
+        return Ok(VmListResponse(self.vms, current, size))
--- a/libraries/objects/tests/test_generations.py
+++ b/libraries/objects/tests/test_generations.py
@@ -41,7 +41,7 @@
         super().__init__()
         self.objects = MemoryObjects()
         self.operators = [
-            Publisher(self.objects, self._pause, KEPT_GENERATIONS)
+            Publisher(self.objects, self._sleep, KEPT_GENERATIONS)
             for _ in range(OPERATORS)
         ]
         self.bases = [finish(o.read()).ok_value for o in self.operators]
@@ -54,9 +54,9 @@
 
     @rule(operator=st.integers(0, OPERATORS - 1))
     def read_base(self, operator: int) -> None:
-        answer = finish(self.operators[operator].read())
-        if isinstance(answer, Ok):
-            self.bases[operator] = answer.ok_value
+        response = finish(self.operators[operator].read())
+        if isinstance(response, Ok):
+            self.bases[operator] = response.ok_value
 
     @rule(
         operator=st.integers(0, OPERATORS - 1),
@@ -79,30 +79,30 @@
         base = self.bases[operator]
         # The replica lags until the publisher has paused.
         self.objects.stale = stale
-        answer = finish(
+        response = finish(
             self.operators[operator].publish(
                 base, self.contents[publish_id], publish_id
             )
         )
         self.objects.stale = 0
         self.objects.faults, self.objects.part_faults = [], []
-        if isinstance(answer, Ok):
+        if isinstance(response, Ok):
             self.accepted.append(publish_id)
-            self.bases[operator] = answer.ok_value
-        elif isinstance(answer.err_value, VersionConflictError):
+            self.bases[operator] = response.ok_value
+        elif isinstance(response.err_value, VersionConflictError):
             self.refused.append(publish_id)
         else:
-            assert not isinstance(answer.err_value, PlatformOutcomeUnknownError)
+            assert not isinstance(response.err_value, PlatformOutcomeUnknownError)
             self.refused.append(publish_id)
 
-    async def _pause(self, _: float) -> None:
+    async def _sleep(self, _: float) -> None:
         self.objects.stale = max(0, self.objects.stale - 1)
         if len(self.objects.held) > 1:
-            self.objects.land()
+            self.objects.deliver_held()
 
     @rule()
     def land_delayed_writes(self) -> None:
-        self.objects.land()
+        self.objects.deliver_held()
 
     @rule(down=st.booleans())
     def change_outage(self, down: bool) -> None:
@@ -119,13 +119,13 @@
         peer=st.integers(0, NODES - 1),
         down=st.booleans(),
     )
-    def hear_of_peer(self, node: int, peer: int, down: bool) -> None:
+    def receive_peer_generation(self, node: int, peer: int, down: bool) -> None:
         """A message names the peer's generation, which the peer holds."""
-        heard = self.nodes[peer].generation
+        announced = self.nodes[peer].generation
         self.objects.down = down
-        self.nodes[node].follower.hear(heard)
+        self.nodes[node].follower.record_announced(announced)
         finish(self.nodes[node].follower.refresh())
-        assert self.nodes[node].generation >= heard
+        assert self.nodes[node].generation >= announced
 
     @rule(node=st.integers(0, NODES - 1))
     def restart_node(self, node: int) -> None:
@@ -136,7 +136,7 @@
         self.nodes[node] = fresh
 
     @invariant()
-    def no_node_goes_back_or_applies_what_was_not_accepted(self) -> None:
+    def no_node_reverts_or_applies_an_unaccepted_generation(self) -> None:
         heads = {head.generation: head for head in self.objects.heads}
         assert sorted(heads) == list(range(1, len(self.objects.heads) + 1))
         for node in self.nodes:
@@ -147,7 +147,7 @@
                 assert directory.configuration == self.contents[publish_id]
 
     @invariant()
-    def publishers_were_told_the_truth(self) -> None:
+    def publish_results_match_the_stored_heads(self) -> None:
         ids = [head.publish_id for head in self.objects.heads]
         assert len(ids) == len(set(ids))
         assert set(self.accepted) <= set(ids)
@@ -167,8 +167,8 @@
     def teardown(self) -> None:
         """Once the platform is back the last accepted generation is in force."""
         self.objects.down = False
-        self.objects.land()
-        self.publishers_were_told_the_truth()
+        self.objects.deliver_held()
+        self.publish_results_match_the_stored_heads()
         for node in self.nodes:
             finish(node.follower.refresh())
             assert node.generation == len(self.objects.heads)
@@ -181,7 +181,7 @@
 
 
 class GenerationStoreTests(unittest.TestCase):
-    def test_torn_missing_and_swapped_parts_are_never_applied(self) -> None:
+    def test_truncated_missing_and_swapped_parts_are_never_applied(self) -> None:
         """A replica answers with half a part, none, or another part's content.
 
         Applied, workspaces would vanish: their callers would all be turned away.
@@ -211,12 +211,12 @@
 
     def publish(self, number: int, publish_id: str) -> None:
         base = finish(self.publisher.read()).ok_value
-        answer = finish(
+        response = finish(
             self.publisher.publish(base, build_configuration(number), publish_id)
         )
-        self.assertIsInstance(answer, Ok)
+        self.assertIsInstance(response, Ok)
 
-    def test_a_lost_publish_that_was_overtaken_is_found(self) -> None:
+    def test_a_publish_with_a_lost_response_is_found_after_a_later_one(self) -> None:
         """The operator's answer is lost, then another operator publishes on top.
 
         Without the record of earlier publishes the first one would be told "unknown"
@@ -234,13 +234,13 @@
             pass
 
         self.objects.before_head_write = [pass_by, overtake]
-        answer = finish(self.publisher.publish(base, build_configuration(1), "first"))
+        response = finish(self.publisher.publish(base, build_configuration(1), "first"))
         self.assertEqual(
             [h.publish_id for h in self.objects.heads], ["first", "second"]
         )
-        self.assertEqual(answer.ok_value.number, 1)
+        self.assertEqual(response.ok_value.number, 1)
 
-    def test_unknown_only_when_the_platform_stays_away(self) -> None:
+    def test_unknown_only_when_the_platform_stays_down(self) -> None:
         """The write is lost and the platform stays down: nobody can know."""
         base = finish(self.publisher.read()).ok_value
         self.objects.faults = ["lose"]
@@ -253,10 +253,10 @@
 
         self.objects.before_head_write = [pass_by]
         publisher = build_publisher(self.objects)
-        publisher._pause = lambda _: go_down()
-        answer = finish(publisher.publish(base, build_configuration(1), "first"))
-        self.assertIsInstance(answer, Err)
-        self.assertIsInstance(answer.err_value, PlatformOutcomeUnknownError)
+        publisher._sleep = lambda _: go_down()
+        response = finish(publisher.publish(base, build_configuration(1), "first"))
+        self.assertIsInstance(response, Err)
+        self.assertIsInstance(response.err_value, PlatformOutcomeUnknownError)
 
     def test_old_parts_are_removed(self) -> None:
         """Without removal each of 2,300 changes a day would leave a part for ever."""
--- a/libraries/objects/tests/test_object_follower.py
+++ b/libraries/objects/tests/test_object_follower.py
@@ -23,7 +23,7 @@
 NOTHING = Ok(ChangeBatch(7, ()))
 
 
-class UnseenTests(unittest.IsolatedAsyncioTestCase):
+class UnreportedChangeTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.now = 100.0
         self.observer = mock.Mock()
@@ -31,23 +31,23 @@
         self.store.list.return_value = LISTING
 
     async def follow(
-        self, *answers: tuple[float, Result[ChangeBatch, PlatformError]]
+        self, *responses: tuple[float, Result[ChangeBatch, PlatformError]]
     ) -> list[float]:
         """Answer watches after the given seconds; return what the lists were told."""
-        left = list(answers)
+        left = list(responses)
 
         async def watch(*_: object) -> Result[ChangeBatch, PlatformError]:
             if not left:
                 await asyncio.sleep(3600)
-            seconds, answer = left.pop(0)
+            seconds, response = left.pop(0)
             self.now += seconds
-            return answer
+            return response
 
         self.store.watch_values.side_effect = watch
         follower = ObjectFollower(
             self.store, "k/", self.observer, 2.0, random.Random(1), lambda: self.now
         )
-        expected = 1 + sum(isinstance(answer, Err) for _, answer in answers)
+        expected = 1 + sum(isinstance(response, Err) for _, response in responses)
         with mock.patch("bamboopier_objects.object_follower.log"):
             task = asyncio.create_task(follower.run())
             async with asyncio.timeout(10):
@@ -56,33 +56,33 @@
             task.cancel()
         return [call.args[2] for call in self.observer.apply_listing.call_args_list]
 
-    async def test_the_first_list_says_nothing_of_when(self) -> None:
+    async def test_the_first_listing_states_no_time(self) -> None:
         self.assertEqual(await self.follow(), [float("-inf")])
 
-    async def test_a_watch_that_went_silent_may_hide_all_since_it_was_asked(
+    async def test_a_watch_without_response_may_hide_changes_since_it_was_sent(
         self,
     ) -> None:
         # One watch ends as it should after two seconds. The next gets no answer for
         # three and a half, though something changed right after it was asked.
         failed = Err(PlatformUnavailableError("no answer"))
-        told = await self.follow((2.0, NOTHING), (3.5, failed))
-        self.assertEqual(told[1], 102.0)
+        reported = await self.follow((2.0, NOTHING), (3.5, failed))
+        self.assertEqual(reported[1], 102.0)
 
-    async def test_a_history_that_is_gone_may_hide_all_since_the_watch_was_asked(
+    async def test_a_watch_gap_may_hide_changes_since_the_watch_was_sent(
         self,
     ) -> None:
-        told = await self.follow((2.0, NOTHING), (1.0, Err(WatchGapError("gone"))))
-        self.assertEqual(told[1], 102.0)
+        reported = await self.follow((2.0, NOTHING), (1.0, Err(WatchGapError("gone"))))
+        self.assertEqual(reported[1], 102.0)
 
-    async def test_what_changed_between_two_watches_may_be_hidden_as_well(self) -> None:
+    async def test_changes_between_two_watches_may_be_hidden(self) -> None:
         # A gateway stands still for four seconds. Its watch ends empty at the store in
         # the middle, as it should after two, and new weights are named after that. It
         # reads the empty answer when it runs again; its next watch fails after six
         # seconds. The list then shows the new weights, taken for two seconds younger
         # than they may be, and older ones serve callers for as much too long.
         failed = Err(PlatformUnavailableError("no answer"))
-        told = await self.follow((4.0, NOTHING), (6.0, failed))
-        self.assertLessEqual(told[1], 102.0)
+        reported = await self.follow((4.0, NOTHING), (6.0, failed))
+        self.assertLessEqual(reported[1], 102.0)
 
 
 if __name__ == "__main__":
--- a/libraries/objects/tests/test_vm_follower.py
+++ b/libraries/objects/tests/test_vm_follower.py
@@ -6,9 +6,9 @@
 import unittest
 from typing import TYPE_CHECKING
 
-from bamboopier_objects.vm_follower import BUDGET_BYTES, SPREAD, VmListFollower
+from bamboopier_objects.vm_follower import BUDGET_BYTES, JITTER_SHARE, VmListFollower
 
-from .builders import VmListFake, build_vm
+from .builders import VmListSourceFake, build_vm
 
 if TYPE_CHECKING:
     from bamboopier_objects.vms import Vm
@@ -19,10 +19,10 @@
 class VmListFollowerTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.lists: list[tuple[Vm, ...]] = []
-        self.fake = VmListFake(*(build_vm(f"t-{n}") for n in range(DESIGN_SIZE)))
+        self.fake = VmListSourceFake(*(build_vm(f"t-{n}") for n in range(DESIGN_SIZE)))
         self.follower = VmListFollower(self.fake, self.lists.append, random.Random(1))
 
-    async def test_an_unchanged_list_costs_nothing_and_is_told_once(self) -> None:
+    async def test_an_unchanged_list_has_no_body_and_is_applied_once(self) -> None:
         for _ in range(5):
             await self.follower.refresh()
         self.assertEqual(len(self.lists), 1)
@@ -35,9 +35,9 @@
         pauses = []
         for _ in range(200):
             size = await self.follower.refresh()
-            pauses.append(self.follower.compute_pause(size))
+            pauses.append(self.follower.compute_delay(size))
         rate = sum(self.fake.sizes) / sum(pauses)
-        self.assertLessEqual(rate, BUDGET_BYTES * (1 + SPREAD))
+        self.assertLessEqual(rate, BUDGET_BYTES * (1 + JITTER_SHARE))
 
     async def test_an_outage_keeps_the_last_list(self) -> None:
         # The platform goes down for a while. Taken for an empty fleet, that would
--- a/libraries/proxy/src/bamboopier_proxy/configuration_relay.py
+++ b/libraries/proxy/src/bamboopier_proxy/configuration_relay.py
@@ -24,7 +24,7 @@
     from types import TracebackType
     from typing import Self
 
-    from bamboopier_objects.http_caller import HttpCaller
+    from bamboopier_objects.http_client import HttpClient
 
     from .active_configuration import ActiveConfiguration
     from .configuration_loader import ConfigurationLoader
@@ -54,7 +54,7 @@
         self,
         loader: ConfigurationLoader,
         active_configuration: ActiveConfiguration,
-        caller: HttpCaller,
+        caller: HttpClient,
     ) -> None:
         self._loader = loader
         self._active_configuration = active_configuration
@@ -89,7 +89,7 @@
     async def _fetch(self, gateway: Endpoint) -> None:
         sent_at = read_clock()
         url = f"http://{gateway}{PATH}"
-        response = await self._caller.call("GET", url, patience=CALL_SECONDS)
+        response = await self._caller.call("GET", url, first_byte_timeout=CALL_SECONDS)
         if isinstance(response, Err) or response.ok_value.status != 200:
             reason = (
                 str(response.err_value)
--- a/tools/safeguards/configuration.py
+++ b/tools/safeguards/configuration.py
@@ -16,16 +16,16 @@
     Mutation(
         "a lost answer to a publish is settled",
         "libraries/objects/src/bamboopier_objects/publisher.py",
-        "                lost = True\n",
-        "                return answer\n",
+        "                is_unknown = True\n",
+        "                return response\n",
         "libraries/objects",
         "tests.test_generations.ConfigurationTests",
     ),
     Mutation(
         "a conflict is checked for one's own publish",
         "libraries/objects/src/bamboopier_objects/publisher.py",
-        "                settled = await self._look_back(base, head)\n",
-        "                settled = Err(error)\n",
+        "                outcome = await self._find_publish(base, head)\n",
+        "                outcome = Err(error)\n",
         "libraries/objects",
         "tests.test_generations.ConfigurationTests",
     ),
@@ -44,7 +44,7 @@
         "        if False:\n",
         "libraries/objects",
         "tests.test_generations.PublisherTests."
-        "test_a_lost_publish_that_was_overtaken_is_found",
+        "test_a_publish_with_a_lost_response_is_found_after_a_later_one",
     ),
     Mutation(
         "a part named again escapes its removal",
@@ -86,7 +86,7 @@
         "        return current\n",
         "libraries/objects",
         "tests.test_follower.FollowerTests."
-        "test_a_hint_that_arrives_during_a_read_is_not_lost",
+        "test_an_announcement_during_a_read_is_not_lost",
     ),
     Mutation(
         "a watch gap is followed by a watch from the present",
@@ -104,31 +104,31 @@
         "            current = True\n",
         "libraries/objects",
         "tests.test_follower.FollowerTests."
-        "test_a_replica_behind_the_notice_is_asked_again",
+        "test_a_replica_behind_the_watch_is_read_again",
     ),
     Mutation(
         "a fresh node asks peers in an outage",
         "libraries/objects/src/bamboopier_objects/follower.py",
         "        elif self._peers is not None and self.directory.generation == 0:\n"
-        "            await self._ask_peers(self._peers)\n",
+        "            await self._read_from_peers(self._peers)\n",
         "",
         "libraries/objects",
-        "tests.test_follower.FollowerTests.test_a_fresh_node_asks_a_peer_in_an_outage",
+        "tests.test_follower.FollowerTests.test_a_node_started_in_an_outage_reads_from_a_peer",
     ),
     Mutation(
         "a node that is behind asks peers in an outage",
         "libraries/objects/src/bamboopier_objects/follower.py",
         "        if self.is_behind and self._peers is not None:\n"
-        "            await self._ask_peers(self._peers)\n",
+        "            await self._read_from_peers(self._peers)\n",
         "",
         "libraries/objects",
         "tests.test_follower.FollowerTests."
-        "test_a_node_that_wakes_in_an_outage_takes_a_peers_generation",
+        "test_a_node_resumed_in_an_outage_applies_a_peers_generation",
     ),
     Mutation(
         "a gateway that slept takes the generation from an agent",
         "libraries/objects/src/bamboopier_objects/peers.py",
-        "        known = sorted({*self._seeds, *self._vms.list_agents()})\n",
+        "        known = sorted({*self._seeds, *self._vms.list_agent_addresses()})\n",
         "        known: list[str] = []\n",
         ".",
         "tests.test_drain.DrainTests."
@@ -137,7 +137,7 @@
     Mutation(
         "a fresh gateway learns the VM list from a peer",
         "libraries/objects/src/bamboopier_objects/peers.py",
-        "            self._vms.learn(reply.ok_value.vms)\n",
+        "            self._vms.apply_peer_list(reply.ok_value.vms)\n",
         "",
         ".",
         "tests.test_configuration.ConfigurationTests."
