--- a/libraries/agent/src/bamboopier_agent/availability_gate.py
+++ b/libraries/agent/src/bamboopier_agent/availability_gate.py
@@ -82,8 +82,12 @@
         log.info(
             "target standing changed",
             target=self._settings.target,
-            reason=unavailable_reason.value if unavailable_reason is not None else "open",
+            reason=unavailable_reason.value
+            if unavailable_reason is not None
+            else "open",
             running=self._gate.admission.running,
         )
         now = time.monotonic()
-        self._gate.handle(StopRequested(now) if unavailable_reason else ResumeRequested(now))
+        self._gate.handle(
+            StopRequested(now) if unavailable_reason else ResumeRequested(now)
+        )
--- a/libraries/agent/src/bamboopier_agent/block_exporter.py
+++ b/libraries/agent/src/bamboopier_agent/block_exporter.py
@@ -198,7 +198,10 @@
     async def _wait_for_link(self, likelihood: ReuseLikelihood, size: int) -> bool:
         waited = 0.0
         while (wait := self._link.budget.try_export(time.monotonic(), size)) > 0:
-            if likelihood is ReuseLikelihood.NEW and waited + wait > MAX_LINK_WAIT_SECONDS:
+            if (
+                likelihood is ReuseLikelihood.NEW
+                and waited + wait > MAX_LINK_WAIT_SECONDS
+            ):
                 return False
             await asyncio.sleep(wait)
             waited += wait
--- a/libraries/agent/src/bamboopier_agent/claim_writer.py
+++ b/libraries/agent/src/bamboopier_agent/claim_writer.py
@@ -164,7 +164,9 @@
                 updated = replace(outcome, version=self._partition.version)
                 entry.future.set_result(Ok(updated))
 
-    def _abandon_batch(self, batch: list[_PendingClaim], error: Err[PlatformError]) -> None:
+    def _abandon_batch(
+        self, batch: list[_PendingClaim], error: Err[PlatformError]
+    ) -> None:
         """Tell all that they must not run; what may land yet is released later."""
         for entry in batch:
             self._partition.abandon(entry.claim)
--- a/libraries/agent/src/bamboopier_agent/context.py
+++ b/libraries/agent/src/bamboopier_agent/context.py
@@ -148,7 +148,9 @@
                 self._resident.record_miss(keys[cached])
             self._resident.confirm(now, keys)
             conditions = self._build_conditions(request, 1)
-            worth_exporting = is_worth_exporting(conditions, self._link.view.cost_weights)
+            worth_exporting = is_worth_exporting(
+                conditions, self._link.view.cost_weights
+            )
             self.exporter.offer(request, worth_exporting=worth_exporting)
 
     async def run(self) -> None:
--- a/libraries/agent/src/bamboopier_agent/daemon.py
+++ b/libraries/agent/src/bamboopier_agent/daemon.py
@@ -33,16 +33,16 @@
     add_PeerServicer_to_server,
 )
 
+from .availability_gate import AvailabilityGate
 from .claims import ClaimTable
 from .context import ContextBlockManager, make_initial_rates
 from .context_view import build_view
 from .gate import AdmissionGate
-from .response_cache import ResponseCache
 from .lease import TARGET_LEASE_SECONDS, LeaseManager
 from .load_slots import LoadSlots
 from .metrics import AgentMetrics
+from .response_cache import ResponseCache
 from .service import AgentService
-from .availability_gate import AvailabilityGate
 from .store_client import StoreClient
 from .target import TargetClient
 from .target_monitor import TargetMonitor
@@ -79,7 +79,9 @@
         )
         secret = bytes.fromhex(settings.block_secret)
         metrics = AgentMetrics()
-        context = ContextBlockManager(target, store, secret, metrics, make_initial_rates())
+        context = ContextBlockManager(
+            target, store, secret, metrics, make_initial_rates()
+        )
         monitor = TargetMonitor(target, gate, context)
         claims = ClaimTable(platform, str(settings.listen))
         availability_gate = AvailabilityGate(settings, gate)
@@ -181,7 +183,9 @@
                 )
                 await server.stop(grace=None)
             with suppress(TimeoutError):
-                await asyncio.wait_for(claims.wait_until_released(), CLAIM_RELEASE_TIMEOUT_SECONDS)
+                await asyncio.wait_for(
+                    claims.wait_until_released(), CLAIM_RELEASE_TIMEOUT_SECONDS
+                )
             # A lease that cannot be given up in time lapses by itself.
             with suppress(TimeoutError):
                 async with asyncio.timeout(LEASE_RELEASE_TIMEOUT_SECONDS):
--- a/libraries/agent/src/bamboopier_agent/event_stream.py
+++ b/libraries/agent/src/bamboopier_agent/event_stream.py
@@ -25,7 +25,9 @@
     def __init__(self, deadline: float) -> None:
         # Seconds on the monotonic clock, counted from the request's arrival.
         self.deadline = deadline
-        self._events: asyncio.Queue[pb.ServeEvent | None] = asyncio.Queue(MAX_BUFFERED_EVENTS)
+        self._events: asyncio.Queue[pb.ServeEvent | None] = asyncio.Queue(
+            MAX_BUFFERED_EVENTS
+        )
         self._disconnected = False
         self.detached = False
 
--- a/libraries/agent/src/bamboopier_agent/lease.py
+++ b/libraries/agent/src/bamboopier_agent/lease.py
@@ -73,7 +73,9 @@
         if write is not None:
             await self._write(write)
 
-    async def maintain(self, is_needed: Callable[[], bool], random: random.Random) -> None:
+    async def maintain(
+        self, is_needed: Callable[[], bool], random: random.Random
+    ) -> None:
         """Hold the lease whenever it is needed and possible, until cancelled."""
         while True:
             if not is_needed():
--- a/libraries/agent/src/bamboopier_agent/response_cache.py
+++ b/libraries/agent/src/bamboopier_agent/response_cache.py
@@ -82,7 +82,9 @@
     def _evict(self) -> None:
         if self._used <= self._capacity:
             return
-        finished = [key for key, response in self._responses.items() if response.finished]
+        finished = [
+            key for key, response in self._responses.items() if response.finished
+        ]
         for key in finished:
             if self._used <= self._capacity:
                 return
--- a/libraries/agent/src/bamboopier_agent/service.py
+++ b/libraries/agent/src/bamboopier_agent/service.py
@@ -14,9 +14,9 @@
 from bamboopier_decisions.claims.table import ClaimStatus
 from bamboopier_protocol import agent_pb2 as pb, agent_pb2_grpc
 
-from .event_builder import EventBuilder
 from .claims import hash_key
 from .errors import BrokenResponseError, TargetUnreachableError
+from .event_builder import EventBuilder
 from .event_stream import EventStream
 from .forwarded_request import (
     list_headers,
@@ -39,8 +39,8 @@
     from .claims import ClaimTable
     from .context import ContextBlockManager
     from .gate import AdmissionGate, Entry
-    from .response_cache import CachedResponse, ResponseCache
     from .metrics import AgentMetrics
+    from .response_cache import CachedResponse, ResponseCache
     from .target import TargetClient
     from .target_monitor import TargetMonitor
 
@@ -116,7 +116,9 @@
     ) -> None:
         """Admit, claim and run one attempt, telling the stream what happens."""
         try:
-            async with self._gate.enter(self._build_admission_request(request, stream)) as entry:
+            async with self._gate.enter(
+                self._build_admission_request(request, stream)
+            ) as entry:
                 if entry.reject is not None:
                     refusal = make_rejection(builder, entry.reject)
                     self._log_refusal(request, refusal)
@@ -141,7 +143,10 @@
         if self._claims.is_open(request.claim_id):
             return pb.RecallReply(state=pb.RecallReply.RUNNING)
         cached_response = self._response_cache.find(key)
-        if cached_response is None or cached_response.fingerprint != request.fingerprint:
+        if (
+            cached_response is None
+            or cached_response.fingerprint != request.fingerprint
+        ):
             return pb.RecallReply(state=pb.RecallReply.NOT_KEPT)
         if not cached_response.finished:
             return pb.RecallReply(state=pb.RecallReply.RUNNING)
@@ -325,7 +330,10 @@
                 version = response.headers.get("Weight-Version", "")
                 headers = list_response_headers(response)
                 if cached_response is not None:
-                    cached_response.status, cached_response.headers = response.status, headers
+                    cached_response.status, cached_response.headers = (
+                        response.status,
+                        headers,
+                    )
                     cached_response.weight_version = version
                 entry.mark_first_byte()
                 yield builder.make_head(response.status, headers, version)
@@ -347,13 +355,19 @@
         usage_counts = usage.read()
         entry.succeeded = True
         if request.model.model:
-            prefill_tokens = max(0, usage_counts.prompt_tokens - usage_counts.cached_tokens)
+            prefill_tokens = max(
+                0, usage_counts.prompt_tokens - usage_counts.cached_tokens
+            )
             self._context.record_response(
                 request, usage_counts.cached_tokens, prefill_tokens, first_byte
             )
         entry.output_tokens = usage_counts.completion_tokens
-        entry.prefill_tokens = max(0, usage_counts.prompt_tokens - usage_counts.cached_tokens)
-        self._count_tokens(usage_counts.prompt_tokens, usage_counts.cached_tokens, fetched)
+        entry.prefill_tokens = max(
+            0, usage_counts.prompt_tokens - usage_counts.cached_tokens
+        )
+        self._count_tokens(
+            usage_counts.prompt_tokens, usage_counts.cached_tokens, fetched
+        )
         self._log_outcome(request, "finished", usage_counts.cached_tokens)
         yield builder.make_finished(
             pb.Finished(
--- a/libraries/agent/src/bamboopier_agent/store_client.py
+++ b/libraries/agent/src/bamboopier_agent/store_client.py
@@ -11,12 +11,12 @@
 
 from .store_errors import (
     BlockMissingError,
-    StoreResponseError,
     StoreError,
     StoreFullError,
     StoreHungError,
-    TransferTimeoutError,
+    StoreResponseError,
     StoreUnreachableError,
+    TransferTimeoutError,
 )
 
 if TYPE_CHECKING:
--- a/libraries/agent/src/bamboopier_agent/store_evictor.py
+++ b/libraries/agent/src/bamboopier_agent/store_evictor.py
@@ -43,12 +43,17 @@
             return False
         victim = victims.pop(0)
         result = await self._link.store.delete(vm.address, victim)
-        self._link.record_call(vm, result.err_value if isinstance(result, Err) else None)
+        self._link.record_call(
+            vm, result.err_value if isinstance(result, Err) else None
+        )
         return not isinstance(result, Err)
 
     async def _choose_victims(self, vm: StoreVm, writer: BlockName) -> None:
         now = time.monotonic()
-        if now - self._listed_at.get(vm.name, -MIN_LIST_INTERVAL_SECONDS) < MIN_LIST_INTERVAL_SECONDS:
+        if (
+            now - self._listed_at.get(vm.name, -MIN_LIST_INTERVAL_SECONDS)
+            < MIN_LIST_INTERVAL_SECONDS
+        ):
             return
         self._listed_at[vm.name] = now
         result = await self._link.store.list_names(vm.address)
--- a/libraries/agent/src/bamboopier_agent/store_link.py
+++ b/libraries/agent/src/bamboopier_agent/store_link.py
@@ -19,8 +19,8 @@
     BlockVerificationError,
     StoreError,
     StoreHungError,
-    TransferTimeoutError,
     StoreUnreachableError,
+    TransferTimeoutError,
 )
 
 if TYPE_CHECKING:
@@ -150,7 +150,11 @@
     def _list_usable_sources(self, key: bytes) -> list[StoreVm]:
         now = time.monotonic()
         view = self.view
-        former = self._former_vms if now - self._vms_changed_at < FORMER_OWNER_SECONDS else ()
+        former = (
+            self._former_vms
+            if now - self._vms_changed_at < FORMER_OWNER_SECONDS
+            else ()
+        )
         sources = list_read_vms(
             key, view.store_vms, former, view.replicas, view.data_centre
         )
@@ -191,7 +195,9 @@
             limit = max(MIN_READ_LIMIT, expected * MAX_SIZE_FACTOR)
             result = await self.store.read(vm.address, str(name), remaining, limit)
             used = len(result.ok_value) if isinstance(result, Ok) else 0
-            if isinstance(result, Err) and isinstance(result.err_value, TransferTimeoutError):
+            if isinstance(result, Err) and isinstance(
+                result.err_value, TransferTimeoutError
+            ):
                 used = expected
         finally:
             self.budget.adjust_fetch(expected, used)
--- a/libraries/agent/src/bamboopier_agent/target.py
+++ b/libraries/agent/src/bamboopier_agent/target.py
@@ -11,9 +11,9 @@
 from yarl import URL
 
 from .errors import (
+    BrokenResponseError,
     OrderFailedError,
     OrderRefusedError,
-    BrokenResponseError,
     TargetError,
     TargetUnreachableError,
 )
--- a/libraries/agent/src/bamboopier_agent/weight_updater.py
+++ b/libraries/agent/src/bamboopier_agent/weight_updater.py
@@ -21,9 +21,9 @@
     from bamboopier_configuration.model import Service
     from bamboopier_objects.follower import ConfigurationFollower
 
+    from .availability_gate import AvailabilityGate
     from .lease import LeaseManager
     from .load_slots import LoadSlots
-    from .availability_gate import AvailabilityGate
     from .target import TargetClient
     from .target_monitor import TargetMonitor
 
@@ -140,7 +140,9 @@
                 return LoadOutcome.NO_LEASE
             if not slot.held or not self._lease.held:
                 return LoadOutcome.NO_LEASE
-            result = await self._target.load_weights(configured_version, self._lease.lease.fence)
+            result = await self._target.load_weights(
+                configured_version, self._lease.lease.fence
+            )
             if isinstance(result, Err):
                 if isinstance(result.err_value, OrderRefusedError):
                     return LoadOutcome.REFUSED
--- a/libraries/agent/tests/order_builders.py
+++ b/libraries/agent/tests/order_builders.py
@@ -10,11 +10,11 @@
 
 from result import Err, Ok, Result
 
+from bamboopier_agent.availability_gate import AvailabilityGate
 from bamboopier_agent.errors import OrderFailedError, OrderRefusedError, TargetError
 from bamboopier_agent.gate import AdmissionGate
 from bamboopier_agent.lease import LeaseManager
 from bamboopier_agent.load_slots import LoadSlots
-from bamboopier_agent.availability_gate import AvailabilityGate
 from bamboopier_agent.weight_updater import WeightUpdater
 from bamboopier_configuration.directory import Directory
 from bamboopier_configuration.model import Configuration, Model, Service
--- a/libraries/agent/tests/service_builders.py
+++ b/libraries/agent/tests/service_builders.py
@@ -11,8 +11,8 @@
 from bamboopier_agent.claims import ClaimTable
 from bamboopier_agent.errors import TargetUnreachableError
 from bamboopier_agent.gate import AdmissionGate
-from bamboopier_agent.response_cache import ResponseCache
 from bamboopier_agent.metrics import AgentMetrics
+from bamboopier_agent.response_cache import ResponseCache
 from bamboopier_agent.service import AgentService
 from bamboopier_configuration.directory import Directory
 from bamboopier_configuration.model import Configuration
@@ -65,7 +65,9 @@
         name, name, "dispatch", "dc", "region", address, address, "", "", "5a" * 32
     )
     directory = Directory(1, Configuration(services=[DISPATCH]))
-    follower: Any = SimpleNamespace(directory=directory, record_announced=lambda _: None)
+    follower: Any = SimpleNamespace(
+        directory=directory, record_announced=lambda _: None
+    )
     monitor: Any = SimpleNamespace(reachable=True, start_id="s", version="")
     untyped_target: Any = target
     context: Any = SimpleNamespace(find_block_tokens=lambda _: 0)
--- a/libraries/agent/tests/test_claims.py
+++ b/libraries/agent/tests/test_claims.py
@@ -63,7 +63,9 @@
         await self.wait_until_settled()
         self.objects.land_delayed()
         outcomes.append(await self.claim(1))
-        granted = [o for o in outcomes if o is not None and o.status is ClaimStatus.GRANTED]
+        granted = [
+            o for o in outcomes if o is not None and o.status is ClaimStatus.GRANTED
+        ]
         self.assertEqual(len(granted), 1, outcomes)
 
     async def test_a_claim_cancelled_during_its_write_is_released(self) -> None:
@@ -77,7 +79,9 @@
         outcome = await self.claim(1)
         self.assertEqual(outcome and outcome.status, ClaimStatus.GRANTED)
 
-    async def test_a_claim_cancelled_while_its_write_is_resent_is_released(self) -> None:
+    async def test_a_claim_cancelled_while_its_write_is_resent_is_released(
+        self,
+    ) -> None:
         # The write takes effect, its answer is lost, the message layer sends it again
         # and the platform answers with a conflict: that is no proof of no effect.
         self.objects.may_write.clear()
--- a/libraries/agent/tests/test_context.py
+++ b/libraries/agent/tests/test_context.py
@@ -303,7 +303,9 @@
                 await harness.run_and_export(build_request((f"p{number}", *HISTORY)))
             self.assertLessEqual(set(list_names(quiet)), set(harness.stores[0].blocks))
             self.assertGreater(harness.count_calls("DELETE"), 0)
-            calls = {m: harness.count_calls(m) for m in ("HEAD", "PUT", "DELETE", "GET")}
+            calls = {
+                m: harness.count_calls(m) for m in ("HEAD", "PUT", "DELETE", "GET")
+            }
             # A block costs at most a look, two writes and a delete; lists are bounded.
             self.assertLessEqual(calls["HEAD"] + calls["DELETE"], 2 * 41 * 3)
             self.assertLessEqual(calls["PUT"], 2 * 41 * 3)
--- a/libraries/agent/tests/test_service.py
+++ b/libraries/agent/tests/test_service.py
@@ -160,7 +160,9 @@
                     await self.disconnect(task)
                 self.objects.may_answer.set()
                 await asyncio.wait({task})
-                wanted = pb.RecallReply.NEVER_RAN if disconnects else pb.RecallReply.KEPT
+                wanted = (
+                    pb.RecallReply.NEVER_RAN if disconnects else pb.RecallReply.KEPT
+                )
                 reply = await self.recall(second.claim_id)
                 self.assertEqual(reply.state, wanted)
 
--- a/libraries/agent/tests/test_weight_updater.py
+++ b/libraries/agent/tests/test_weight_updater.py
@@ -22,7 +22,9 @@
         for module in ("lease", "load_slots"):
             name = f"bamboopier_agent.{module}.read_clock"
             self.enterContext(mock.patch(name, self.clock))
-        poll = mock.patch("bamboopier_agent.weight_updater.READ_BACK_POLL_SECONDS", 0.001)
+        poll = mock.patch(
+            "bamboopier_agent.weight_updater.READ_BACK_POLL_SECONDS", 0.001
+        )
         self.enterContext(poll)
         settle = mock.patch("bamboopier_agent.weight_updater.SLOT_HOLD_SECONDS", 0.0)
         self.enterContext(settle)
@@ -217,7 +219,9 @@
         agent = Agent(self.objects, Engine(late_reports=3))
         await agent.acquire_lease()
         task = await self.start_loading(agent)
-        self.assertIs(agent.availability_gate.unavailable_reason, UnavailableReason.LOADING)
+        self.assertIs(
+            agent.availability_gate.unavailable_reason, UnavailableReason.LOADING
+        )
         agent.engine.finish.set()
         await agent.monitor.refreshed.wait()
         self.assertEqual((agent.engine.version, agent.monitor.version), ("v2", "v1"))
--- a/libraries/configuration/src/bamboopier_configuration/collection.py
+++ b/libraries/configuration/src/bamboopier_configuration/collection.py
@@ -8,7 +8,7 @@
 
 from .errors import ConfigurationError
 from .model import Configuration, ConfigurationFile, Drains
-from .reader import read_file, format_value
+from .reader import format_value, read_file
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -68,7 +68,9 @@
                 known = self._names.setdefault((section, item.name), (file, path))
                 if known != (file, path):
                     found = f"duplicate name '{item.name}'"
-                    return _make_duplicate_error(file, f"{path}.name", found, "name", known)
+                    return _make_duplicate_error(
+                        file, f"{path}.name", found, "name", known
+                    )
                 getattr(self.joined, section).append(item)
         return (
             self._check_kinds(part.services)
@@ -86,14 +88,18 @@
             place = self._names["services", service.name]
             for index, model in enumerate(service.models):
                 if model not in models:
-                    return _make_dangling_error(place, f"models[{index}]", model, models)
+                    return _make_dangling_error(
+                        place, f"models[{index}]", model, models
+                    )
             if service.store is not None and service.store not in stores:
                 return _make_dangling_error(place, "store", service.store, stores)
         for workspace in joined.workspaces:
             place = self._names["workspaces", workspace.name]
             for index, name in enumerate(workspace.services):
                 if name not in services:
-                    return _make_dangling_error(place, f"services[{index}]", name, services)
+                    return _make_dangling_error(
+                        place, f"services[{index}]", name, services
+                    )
         return None
 
     def _check_kinds(self, services: list[Service]) -> ConfigurationError | None:
--- a/libraries/configuration/src/bamboopier_configuration/reader.py
+++ b/libraries/configuration/src/bamboopier_configuration/reader.py
@@ -92,11 +92,15 @@
         value = find_value(json.loads(content), path)
     except (ValueError, RecursionError):
         return ConfigurationError(file, path, "an invalid value", message)
-    found = f"a hidden {_describe_type(value)}" if _is_secret(path) else format_value(value)
+    found = (
+        f"a hidden {_describe_type(value)}" if _is_secret(path) else format_value(value)
+    )
     return ConfigurationError(file, path, found, _list_allowed(message, kind, path))
 
 
-def _make_unknown_key_error(name: str, kind: Any, path: str, file: str) -> ConfigurationError:
+def _make_unknown_key_error(
+    name: str, kind: Any, path: str, file: str
+) -> ConfigurationError:
     fields = find_fields(kind, path)
     elsewhere = getattr(find_class(kind, path), "elsewhere", {})
     allowed = ", ".join(fields)
@@ -139,4 +143,8 @@
 
 
 def _truncate(text: str) -> str:
-    return text if len(text) <= MAX_VALUE_CHARACTERS else text[:MAX_VALUE_CHARACTERS] + "..."
+    return (
+        text
+        if len(text) <= MAX_VALUE_CHARACTERS
+        else text[:MAX_VALUE_CHARACTERS] + "..."
+    )
--- a/libraries/configuration/src/bamboopier_configuration/settings_reader.py
+++ b/libraries/configuration/src/bamboopier_configuration/settings_reader.py
@@ -10,7 +10,7 @@
 
 from .certificate_check import find_certificate_error
 from .errors import ConfigurationError
-from .reader import read_file, format_value
+from .reader import format_value, read_file
 from .settings import AgentSettings, GatewaySettings
 
 if TYPE_CHECKING:
@@ -78,7 +78,9 @@
         section, listens_plain = "tls", settings.tls is None
         urls["$.target_url"] = settings.target_url
     if listens_plain and not settings.listen.is_loopback:
-        cure = f'a loopback address, certificates in "{section}", or {_ALLOW_PLAIN_ENTRY}'
+        cure = (
+            f'a loopback address, certificates in "{section}", or {_ALLOW_PLAIN_ENTRY}'
+        )
         return ConfigurationError(file, "$.listen", str(settings.listen), cure)
     for path, url in urls.items():
         if url.startswith("http:") and not _is_loopback_url(url):
--- a/libraries/daemon/src/bamboopier_daemon/peer_check.py
+++ b/libraries/daemon/src/bamboopier_daemon/peer_check.py
@@ -13,7 +13,9 @@
 SAN_FIELD = "x509_subject_alternative_name"
 # What orders work or reads an answer. Load and configuration may be asked for by every
 # peer with a certificate of the authority: operators and other agents do.
-GATEWAY_METHODS = frozenset({"/bamboopier.v1.Agent/Serve", "/bamboopier.v1.Agent/Recall"})
+GATEWAY_METHODS = frozenset(
+    {"/bamboopier.v1.Agent/Serve", "/bamboopier.v1.Agent/Recall"}
+)
 
 log = structlog.get_logger()
 
--- a/libraries/daemon/src/bamboopier_daemon/stopping.py
+++ b/libraries/daemon/src/bamboopier_daemon/stopping.py
@@ -68,7 +68,11 @@
             )
             if work.done():
                 return ShutdownOutcome.IDLE
-            return ShutdownOutcome.SECOND_SIGNAL if second.done() else ShutdownOutcome.TIMEOUT
+            return (
+                ShutdownOutcome.SECOND_SIGNAL
+                if second.done()
+                else ShutdownOutcome.TIMEOUT
+            )
         finally:
             work.cancel()
             second.cancel()
--- a/libraries/objects/src/bamboopier_objects/follower.py
+++ b/libraries/objects/src/bamboopier_objects/follower.py
@@ -157,5 +157,7 @@
         await asyncio.sleep(self._random.uniform(0, seconds))
 
     def _draw_retry_delay(self, failures: int) -> float:
-        longest = min(MAX_RETRY_SECONDS, INITIAL_RETRY_SECONDS * 2.0 ** min(failures, 8))
+        longest = min(
+            MAX_RETRY_SECONDS, INITIAL_RETRY_SECONDS * 2.0 ** min(failures, 8)
+        )
         return self._random.uniform(longest / 2, longest)
--- a/libraries/objects/src/bamboopier_objects/object_follower.py
+++ b/libraries/objects/src/bamboopier_objects/object_follower.py
@@ -99,7 +99,9 @@
             return False
         listing = response.ok_value
         if listing.revision < self._revision:
-            self._record_failure(sent_at, f"revision {listing.revision} is an older one")
+            self._record_failure(
+                sent_at, f"revision {listing.revision} is an older one"
+            )
             return False
         outage_seconds = self._record_success()
         self._observer.apply_listing(listing, outage_seconds, self._known_until)
@@ -148,7 +150,9 @@
             return 0.0
         outage_seconds = self._read_clock() - self._failing_since
         self._failing_since = None
-        log.info("store regained", prefix=self._prefix, away_seconds=round(outage_seconds, 3))
+        log.info(
+            "store regained", prefix=self._prefix, away_seconds=round(outage_seconds, 3)
+        )
         return outage_seconds
 
     def _draw_retry_delay(self) -> float:
--- a/tools/capacity/projection.py
+++ b/tools/capacity/projection.py
@@ -175,7 +175,11 @@
             "leases, a claim each, publishes",
         ),
         _writes("of these for claims", claims, "one conditional update a claim"),
-        _writes("of these for leases", leases, f"a renewal each {RENEW_INTERVAL_SECONDS:g} s"),
+        _writes(
+            "of these for leases",
+            leases,
+            f"a renewal each {RENEW_INTERVAL_SECONDS:g} s",
+        ),
         Line("platform", "reads for one change", per_change, "calls", 0, "3 a node"),
         Line(
             "platform",
