--- a/libraries/agent/src/bamboopier_agent/context.py
+++ b/libraries/agent/src/bamboopier_agent/context.py
@@ -133,7 +133,8 @@
     ) -> None:
         """Learn from a finished request and queue its blocks for export.
 
-        ``seconds`` ran from sending to the first byte, for ``prefill_tokens`` of prefill.
+        ``seconds`` ran from sending to the first byte, for ``prefill_tokens`` of
+        prefill.
         """
         now = time.monotonic()
         keys = tuple(request.model.block_keys)
--- a/libraries/decisions/src/bamboopier_decisions/claims/table.py
+++ b/libraries/decisions/src/bamboopier_decisions/claims/table.py
@@ -1,8 +1,8 @@
-"""The content of one claim partition and what may be added to it.
+"""The content of one claim partition and the rules for adding to it.
 
-A partition is one platform object; its conditional update serialises all who claim in
-it. A key that stands there is never granted again within its lifetime, so a request
-runs at most once however often and wherever its caller sends it.
+A partition is one platform object; its conditional update serialises all agents that
+claim keys in it. A stored key is never granted again within its lifetime, so a request
+runs at most once, however often and to whichever gateways its caller sends it.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class ClaimStatus(StrEnum):
-    """What became of a wish to run a key."""
+    """Result of an attempt to claim a key."""
 
     GRANTED = "granted"
     # Another attempt claimed the key; it may have run.
@@ -28,24 +28,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """One wish to run a key. ``created`` is in wall-clock seconds."""
+    """One attempt's claim on a key. ``created`` is in wall-clock seconds."""
 
     key: bytes
     fingerprint: bytes
-    # New for each wish, also when one attempt reaches an agent twice.
+    # New for each claim, also when one attempt reaches an agent twice.
     claim_id: str
-    # Address of the agent that made the claim, where its answer may be recalled.
+    # Address of the agent that made the claim, which may still have the response.
     holder: str
     created: float
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimOutcome:
-    """The verdict and, unless full, the claim that stands under the key."""
+    """The status and, unless the partition is full, the current claim on the key."""
 
     status: ClaimStatus
     current: Claim | None = None
-    # Version of the partition that shows it; 0 while that is not known.
+    # Version of the partition that shows the claim; 0 while it is unknown.
     version: int = 0
 
 
@@ -56,10 +56,11 @@
     lifetime: float,
     capacity: int,
 ) -> tuple[tuple[Claim, ...], list[ClaimOutcome]]:
-    """Return the partition after ``requested`` and an outcome for each of them.
+    """Return the updated partition and an outcome for each of ``requested``.
 
-    Claims older than ``lifetime`` seconds are dropped. A claim that already stands is
-    granted again: its earlier write took effect although its answer was lost.
+    Claims older than ``lifetime`` seconds are dropped. A requested claim that is
+    already stored is granted again: its earlier write took effect although the response
+    was lost.
     """
     by_key = {c.key: c for c in stored if now - c.created < lifetime}
     outcomes = [_merge_claim(by_key, claim, capacity) for claim in requested]
--- a/libraries/decisions/src/bamboopier_decisions/context/__init__.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/__init__.py
@@ -1,1 +1,1 @@
-"""Keys, placement and value of prompt blocks."""
+"""Keys, placement, transfer and eviction of prompt blocks."""
--- a/libraries/decisions/src/bamboopier_decisions/context/block_name.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/block_name.py
@@ -1,9 +1,9 @@
-"""Names of blocks in a store: what an evicting agent may know without opening one.
+"""Names of stored blocks, from which agents evict without reading the blocks.
 
-A store VM runs none of our software, so the only knowledge that all agents share about
-its content is the list of names. A name carries a tag of the workspace (a keyed hash,
-so it tells an onlooker nothing) and the block's depth in its prompt. A reader computes
-the whole name from the prompt alone; nothing has to be looked up.
+A store VM runs none of this project's software, so the list of names is the only
+information on its content that all agents share. A name holds a tag of the workspace (a
+keyed hash, which reveals nothing to an observer) and the block's depth in its prompt. A
+reader computes the complete name from the prompt alone, without a look-up.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 def parse_block_name(text: str) -> BlockName | None:
-    """Return the parts of a stored name, None for one that no agent wrote."""
+    """Return the parts of a stored name, or None if no agent wrote it."""
     parts = text.split("-")
     if len(parts) != 3 or len(parts[0]) != 2 * TAG_BYTES:
         return None
--- a/libraries/decisions/src/bamboopier_decisions/context/envelope.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/envelope.py
@@ -1,9 +1,10 @@
-"""The form in which a block lies in a store: everything a reader needs to prove it.
+"""The stored form of a block, with everything that a reader needs to verify it.
 
 A store may hold a half-written block, return space that was freed and reused, or damage
 bytes. The reader checks magic, key, weight version, length and a keyed digest over all
-of it; a mismatch is a miss. The digest comes last, so that a write cut anywhere fails
-the check; being keyed by the workspace's secret, it also fails for any other workspace.
+of it; a mismatch is a miss. The digest comes last, so that a write truncated anywhere
+fails the check; it is keyed by the workspace's secret, so that the check also fails for
+any other workspace.
 """
 
 from __future__ import annotations
@@ -27,11 +28,11 @@
 def open_block(secret: bytes, key: bytes, version: str, stored: bytes) -> bytes | None:
     """Return the payload if ``stored`` is exactly this block, else None.
 
-    Takes some 50 ms for a block of 57 MB: not a call for an event loop.
+    Takes some 50 ms for a block of 57 MB, so it must not run on an event loop.
     """
     if len(stored) < _HEADER.size + DIGEST_BYTES:
         return None
-    # Views: a block is too large to be copied at every cut.
+    # Slices of a memoryview do not copy the block, which is large.
     whole = memoryview(stored)
     content, digest = whole[:-DIGEST_BYTES], whole[-DIGEST_BYTES:]
     if not hmac.compare_digest(_compute_digest(secret, content), digest):
@@ -49,6 +50,6 @@
 
 
 def _compute_digest(secret: bytes, content: bytes | memoryview) -> bytes:
-    # SHA-256 has instructions of its own on today's processors: 1.2 GB a second where
-    # BLAKE2b reached 0.46, and a link carries more than that.
+    # SHA-256 has processor instructions of its own and reaches 1.2 GB per second;
+    # BLAKE2b reaches 0.46, which is less than a link carries.
     return hmac.digest(secret, content, "sha256")
--- a/libraries/decisions/src/bamboopier_decisions/context/export_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/export_choice.py
@@ -1,8 +1,8 @@
-"""Which finished blocks are worth the link, and in which order they go.
+"""Chooses which computed blocks are exported to store VMs, and in which order.
 
-Load pattern: far more blocks are computed than ever return. Exporting all of them
-spends the link and the store's space on prompts nobody repeats; what does return then
-waits behind them or has been evicted for them.
+Load pattern: far more blocks are computed than are ever reused. Exporting all of them
+would spend the link and the store's space on prompts that nobody repeats; blocks that
+are reused would wait behind them or be evicted for them.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-# Leading blocks of a prompt: without them the others are no use.
+# Leading blocks of a prompt; without them the later blocks cannot be used.
 OPENING_BLOCKS = 2
-# Keys whose sightings are counted; the least recent are forgotten.
+# Keys whose occurrences are counted; the least recent are dropped.
 MAX_TRACKED_KEYS = 65_536
 
 
 class ReuseLikelihood(IntEnum):
-    """How likely a block returns, the likeliest first."""
+    """How likely a block is to be reused, the most likely first."""
 
     SHARED = 0
     RETURNED = 1
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExportItem:
-    """One block that might be exported."""
+    """One block that may be exported."""
 
     request_id: str
     workspace: str
@@ -40,7 +40,7 @@
 
 
 class ReuseTracker:
-    """Counts in how many prompts each block was seen, and before which successor."""
+    """Counts the prompts in which each block occurs, and tracks its successors."""
 
     __slots__ = ("_entries",)
 
@@ -48,7 +48,7 @@
         self._entries: OrderedDict[bytes, tuple[int, bytes, bool]] = OrderedDict()
 
     def record_prompt(self, keys: tuple[bytes, ...]) -> list[ReuseLikelihood]:
-        """Count one prompt; return the odds of each of its blocks."""
+        """Count one prompt; return the reuse likelihood of each of its blocks."""
         return [
             self._record(key, depth, keys[depth + 1] if depth + 1 < len(keys) else b"")
             for depth, key in enumerate(keys)
@@ -56,7 +56,7 @@
 
     def _record(self, key: bytes, depth: int, successor: bytes) -> ReuseLikelihood:
         count, previous_successor, forked = self._entries.get(key, (0, b"", False))
-        # The same block before two different successors belongs to two prompts.
+        # A block with two different successors belongs to two prompts.
         forked = forked or bool(
             previous_successor and successor and previous_successor != successor
         )
@@ -74,7 +74,7 @@
 
 
 class ExportQueue:
-    """Blocks waiting for the link, likeliest first; the least likely are dropped."""
+    """Blocks waiting for the link by likelihood of reuse; drops the least likely."""
 
     __slots__ = ("_heap", "_limit", "_queued", "_sequence")
 
@@ -103,7 +103,7 @@
         return worst[2]
 
     def pop(self) -> tuple[ReuseLikelihood, ExportItem] | None:
-        """Take the likeliest block."""
+        """Remove and return the block that is most likely to be reused."""
         if not self._heap:
             return None
         likelihood, _, item = heapq.heappop(self._heap)
--- a/libraries/decisions/src/bamboopier_decisions/context/placement.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/placement.py
@@ -1,8 +1,8 @@
-"""On which store VMs a block lies: computed by all agents alike, looked up nowhere.
+"""Computes the store VMs of a block from its key, identically on every agent.
 
-Load pattern: store VMs that die, are replaced and whole data centres that leave. With
-both replicas in one data centre its loss takes both; with a directory its loss would
-take every block.
+Load pattern: store VMs fail and are replaced, and whole data centres leave. With both
+replicas in one data centre its loss takes both; with a directory of blocks, the loss of
+the directory would take every block.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreVm:
-    """A VM that keeps blocks."""
+    """A VM that stores blocks."""
 
     name: str
     address: str
@@ -26,7 +26,7 @@
 
 
 def place_block(key: bytes, vms: Sequence[StoreVm], replicas: int) -> list[StoreVm]:
-    """Return the VMs to write to: as many data centres as there are, then any."""
+    """Return the VMs to write to: one in each data centre first, then any others."""
     by_name = {vm.name: vm for vm in vms}
     ranked = [by_name[name] for name in rank(key, by_name, len(by_name))]
     chosen: list[StoreVm] = []
@@ -49,7 +49,7 @@
     """Return the VMs to read from, nearest first, former owners last.
 
     A VM that joins takes over a share of the keys without their blocks; until they have
-    been written again they still lie with the former owner.
+    been written again, they are still on the former owner.
     """
     owners = place_block(key, vms, replicas)
     owners.sort(key=lambda vm: vm.data_centre != data_centre)
--- a/libraries/decisions/src/bamboopier_decisions/context/rates.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/rates.py
@@ -1,7 +1,7 @@
-"""Speeds as they stand now, measured from the agent's own work.
+"""Estimates current speeds from the agent's own transfers and prefills.
 
 Load pattern: a link that slows down or a store VM that hangs. A long average would keep
-predicting the old speed, and every request would wait for a fetch that comes too late.
+predicting the old speed, and every request would wait for a fetch that ends too late.
 """
 
 from __future__ import annotations
@@ -9,46 +9,46 @@
 import math
 from typing import Protocol
 
-# Weight of a new measurement: the last handful of transfers decide.
+# Weight of a new measurement: the last few transfers dominate the average.
 SMOOTHING = 0.3
-# A transfer that ran late shows only an upper bound of the speed; half of it is taken.
+# A transfer that timed out shows only an upper bound of the speed; half is assumed.
 TIMEOUT_RATE_FACTOR = 0.5
-# Seconds in which an unmeasured speed doubles again. Without it a link judged too slow
-# would never be used, and so never be measured again.
+# Seconds in which an unmeasured speed doubles. Without it a link that is estimated as
+# too slow would never be used, and so never be measured again.
 RECOVERY_SECONDS = 5.0
-# Most doublings; keeps the power within range after a long idle time.
+# Keeps the power within range after a long idle time.
 MAX_DOUBLINGS = 40.0
 
 
 class Rate(Protocol):
-    """A speed in units a second."""
+    """A speed in units per second."""
 
     def record(self, now: float, amount: float, seconds: float) -> None:
-        """Take a finished piece of work of ``amount`` units."""
+        """Record completed work of ``amount`` units that took ``seconds``."""
         ...
 
     def record_timeout(self, now: float, amount: float, seconds: float) -> None:
-        """Take work that was given up after ``seconds`` with ``amount`` expected."""
+        """Record work abandoned after ``seconds``, with ``amount`` units expected."""
         ...
 
     def estimate(self, now: float) -> float:
-        """Return the units a second to count on."""
+        """Return the expected units per second."""
         ...
 
 
 class MeasuredRate:
-    """A moving average of units a second that a late transfer cuts."""
+    """A moving average of units per second that a timeout reduces."""
 
     __slots__ = ("_ceiling", "_measured_at", "_rate")
 
     def __init__(self, initial: float, ceiling: float) -> None:
         self._rate = initial
-        # The rate never recovers above this by idling; a measurement may exceed it.
+        # Idle time never raises the rate above this; a measurement may exceed it.
         self._ceiling = ceiling
         self._measured_at = 0.0
 
     def record(self, now: float, amount: float, seconds: float) -> None:
-        """Take a finished piece of work of ``amount`` units."""
+        """Record completed work of ``amount`` units that took ``seconds``."""
         if amount <= 0 or seconds <= 0:
             return
         current = self.estimate(now)
@@ -56,7 +56,7 @@
         self._measured_at = now
 
     def record_timeout(self, now: float, amount: float, seconds: float) -> None:
-        """Take work that was given up after ``seconds`` with ``amount`` expected."""
+        """Record work abandoned after ``seconds``, with ``amount`` units expected."""
         if seconds <= 0:
             return
         bound = amount / seconds
@@ -64,7 +64,7 @@
         self._measured_at = now
 
     def estimate(self, now: float) -> float:
-        """Return the units a second to count on."""
+        """Return the expected units per second."""
         if self._rate >= self._ceiling:
             return self._rate
         idle = max(0.0, now - self._measured_at)
--- a/libraries/decisions/src/bamboopier_decisions/membership/__init__.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on which targets may be used and who may give them orders."""
+"""Decides which targets may be used and which processes may give them orders."""
--- a/libraries/decisions/src/bamboopier_decisions/membership/availability.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/availability.py
@@ -1,4 +1,4 @@
-"""Whether an agent lets new work through to its own target."""
+"""Decides whether an agent accepts new requests for its own target."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class UnavailableReason(StrEnum):
-    """Why a target takes no new work."""
+    """Why a target accepts no new requests."""
 
     SHUTTING_DOWN = "shutting-down"
     DRAINED = "drained"
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetAvailability:
-    """What an agent knows that may keep new work from its target.
+    """The state of an agent that may exclude new requests from its target.
 
-    The agent is the only way to its target, so a gateway that has not heard of a drain
-    or sees an old VM list is stopped here.
+    All requests reach a target through its agent, so those of a gateway that has not
+    received a drain or has an old VM list are stopped here.
     """
 
     shutting_down: bool = False
@@ -30,7 +30,7 @@
     loading: bool = False
 
     def find_unavailable_reason(self) -> UnavailableReason | None:
-        """Return the first reason against new work, or None."""
+        """Return the first reason against new requests, or None."""
         reasons = (
             (self.shutting_down, UnavailableReason.SHUTTING_DOWN),
             (self.drained, UnavailableReason.DRAINED),
--- a/libraries/decisions/src/bamboopier_decisions/membership/fleet_view.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/fleet_view.py
@@ -1,8 +1,8 @@
-"""Which listed targets may be sent new work.
+"""Selects the listed targets that may be sent new requests.
 
-Load pattern: operators pull a data centre or a target while the VM list still shows it
-as live, and VMs leave that no operator has named. A target must be out as soon as
-either says so and back only when neither does.
+Load pattern: operators drain a data centre or a target while the VM list still shows it
+as live, and VMs leave that no operator has named. A target must be excluded as soon as
+either source excludes it, and included again only when neither does.
 """
 
 from __future__ import annotations
@@ -27,18 +27,18 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainedSet:
-    """What operators have taken out of service."""
+    """The data centres and targets that operators have drained."""
 
     data_centres: frozenset[str] = frozenset()
     targets: frozenset[str] = frozenset()
 
     def contains(self, target: str, data_centre: str) -> bool:
-        """Say whether the target is out."""
+        """Return whether the target or its data centre is drained."""
         return target in self.targets or data_centre in self.data_centres
 
 
 class FleetView:
-    """Joins successive VM lists with the operators' drains."""
+    """Combines successive VM lists with the operators' drains."""
 
     __slots__ = ("_leaving",)
 
@@ -48,7 +48,7 @@
     def select(
         self, now: float, listed: Iterable[ListedTarget], drained: DrainedSet
     ) -> frozenset[str]:
-        """Return the names of the targets that may be sent new work."""
+        """Return the names of the targets that may be sent new requests."""
         targets = list(listed)
         leaving = self._leaving.update(now, {t.name: t.leaving for t in targets})
         return frozenset(
--- a/libraries/decisions/src/bamboopier_decisions/membership/lease.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/lease.py
@@ -1,13 +1,13 @@
-"""A lease on one platform object: who may act, under which fencing number, until when.
+"""A lease on one platform object: who may act, with which fencing token, until when.
 
-Load pattern: two processes believe that they are in charge of one target, or one wakes
-after a pause and goes on as if it still were. Without the lease the older one's order
+Load pattern: two processes assume that they are in charge of one target, or one resumes
+after a pause and continues as if it still were. Without the lease the older one's order
 comes last and puts an old weight version back.
 
-No clock is compared between machines. A holder counts its lease from before it sent
-the write; everybody else counts from after they first saw that write, which is later,
-and takes over no sooner than a whole lease after that. The write that takes over is
-conditional on the version that was watched, so a renewal not yet seen makes it fail.
+Clocks are not compared between machines. A holder counts its lease from before it sent
+the write; all others count from after they first saw that write, which is later, and
+take over no sooner than a full lease after that. The write that takes over is
+conditional on the observed version, so a renewal that was not yet seen makes it fail.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
-# Clocks that count a second may differ by this share between machines; a holder ends
-# its lease that much earlier.
+# Clock rates may differ by this share between machines; a holder ends its lease that
+# much earlier.
 CLOCK_RATE_ERROR = 0.01
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRecord:
-    """What the lease's object holds."""
+    """The content of the lease's object."""
 
     holder: str
-    # Where the holder's process listens; only one process at a time can.
+    # Address on which the holder's process listens; only one process at a time can.
     place: str
     fence: int
     # Seconds from a write until others may take over.
     duration: float
-    # Number of the holder's write, to know which of several has taken effect.
+    # Number of the holder's write; shows which of several has taken effect.
     serial: int
     released: bool = False
 
@@ -45,22 +45,22 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseWrite:
-    """Write ``record`` if the object still has ``expected_version``."""
+    """A write of ``record``, if the object still has ``expected_version``."""
 
     record: LeaseRecord
     expected_version: int
 
 
 class TakeoverPolicy(StrEnum):
-    """When another holder's lease may be taken."""
+    """When another holder's lease may be taken over."""
 
     AFTER_WAIT = "after-wait"
-    # The target refuses the former holder's orders by their fencing number.
+    # The target refuses the former holder's orders by their fencing token.
     AT_ONCE = "at-once"
 
 
 class Lease:
-    """One process's view of one lease. Times are seconds on its own steady clock."""
+    """One process's view of one lease. Times are seconds on its monotonic clock."""
 
     __slots__ = (
         "_holder",
@@ -86,24 +86,24 @@
         self.duration = duration
         self.takeover = takeover
         self._observed = ObservedLease(0, None)
-        # When this version was first seen here.
+        # When this process first saw the observed version.
         self._observed_at = float("-inf")
         self._serial = 0
-        # Whether this process has ever held it.
+        # Whether this process has ever held the lease.
         self._was_held = False
         # When each of this process's writes was sent, by serial.
         self._sent_at: dict[int, float] = {}
 
     @property
     def fence(self) -> int:
-        """Return the fencing number of the record last seen."""
+        """Return the fencing token of the last observed record; 0 if none."""
         return self._observed.record.fence if self._observed.record is not None else 0
 
     def is_held(self, now: float) -> bool:
-        """Say whether orders may be given at ``now``; ask immediately before each.
+        """Return whether orders may be given at ``now``; call it right before each.
 
-        A holder that was paused finds here that its time has passed, since the steady
-        clock ran on.
+        For a holder that was paused the lease has expired, since the monotonic clock
+        continued meanwhile.
         """
         record = self._observed.record
         if record is None or record.holder != self._holder or record.released:
@@ -114,9 +114,9 @@
         )
 
     def observe(self, now: float, observed: ObservedLease) -> None:
-        """Take what a read showed; ``now`` is after the read's answer.
+        """Apply the result of a read; ``now`` is after the read's response.
 
-        A lower version than one already seen comes from a replica that lags.
+        A lower version than the one already observed comes from a lagging replica.
         """
         if observed.version > self._observed.version:
             self._observed = observed
@@ -127,7 +127,7 @@
             self._sent_at = {s: at for s, at in self._sent_at.items() if s >= kept}
 
     def find_wait(self, now: float) -> float:
-        """Return the seconds until the lease may be taken or renewed; 0 is now."""
+        """Return the seconds until the lease may be acquired or renewed; 0 is now."""
         record = self._observed.record
         if record is None or record.released or record.holder == self._holder:
             return 0.0
@@ -135,15 +135,15 @@
             # Only one process can listen there: the former holder has ended.
             return 0.0
         if self.takeover is TakeoverPolicy.AT_ONCE and not self._was_held:
-            # The newest process wins; the one it replaced waits, or the two would take
-            # the lease from each other for ever.
+            # The newest process wins; the one that it replaced waits, or the two would
+            # take the lease over from each other for ever.
             return 0.0
         return max(0.0, self._observed_at + record.duration - now)
 
     def acquire(self, now: float) -> LeaseWrite:
-        """Return the write that takes or renews the lease; send it after ``now``.
+        """Return the write that acquires or renews the lease; send it after ``now``.
 
-        The fencing number grows whenever others could have held the lease in between.
+        The fencing token grows whenever others could have held the lease in between.
         """
         fence = self.fence if self.is_held(now) else self.fence + 1
         record = LeaseRecord(
@@ -152,7 +152,7 @@
         return LeaseWrite(record, self._observed.version)
 
     def release(self, now: float) -> LeaseWrite | None:
-        """Return the write that gives the lease up, or None when it is not held."""
+        """Return the write that releases the lease, or None when it is not held."""
         if not self.is_held(now) or self._observed.record is None:
             return None
         record = replace(
--- a/libraries/decisions/src/bamboopier_decisions/membership/leaving.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/leaving.py
@@ -1,8 +1,8 @@
-"""Remembers which VMs are leaving although the list that says so lags and wavers.
+"""Tracks which VMs are leaving although the lists that say so lag and alternate.
 
-Load pattern: the platform's replicas answer the VM list with different lags, so that a
-VM is listed as leaving, then live, then leaving again. Without the memory new work
-reaches a leaving target at each wrong answer and is cut when its VM goes.
+Load pattern: the platform's replicas return the VM list with different lags, so that a
+VM is listed as leaving, then live, then leaving again. Without this state new requests
+reach a leaving target after each outdated list and are cut off when its VM goes.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# A VM counts as live again once it has been listed so for this long without a break;
-# several times the lag of a few seconds that the brief gives the list.
+# A VM counts as live again once it has been listed as live for this long without
+# interruption; several times the specified lag of the list of a few seconds.
 LIVE_CONFIRMATION_SECONDS = 30.0
 
 
@@ -27,7 +27,7 @@
         self._live_since: dict[str, float | None] = {}
 
     def update(self, now: float, leaving: Mapping[str, bool]) -> frozenset[str]:
-        """Take a list (VM name to whether it leaves); return those that are leaving."""
+        """Apply a list (VM name to whether it leaves); return the VMs that are leaving."""
         for name in set(self._live_since) - set(leaving):
             del self._live_since[name]
         for name, leaves in leaving.items():
--- a/libraries/decisions/src/bamboopier_decisions/membership/load_slots.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/load_slots.py
@@ -1,8 +1,8 @@
-"""How many targets of a service load weights at once.
+"""Limits how many targets of a service load weights at once.
 
-Load pattern: a new weight version for all targets of a service. Loading everywhere at
-once overruns the weight store, so that each load takes far longer, and leaves no target
-to serve meanwhile.
+Load pattern: a new weight version for all targets of a service. Loading on all of them
+at once overloads the weight store, so that each load takes far longer, and leaves no
+target to serve meanwhile.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def count_slots(loads_at_once: int, serving_targets: int) -> int:
-    """Return how many slots may be in use, keeping one target that serves.
+    """Return how many slots may be in use so that one target keeps serving.
 
     ``serving_targets`` counts those that are neither leaving nor drained.
     """
@@ -26,5 +26,5 @@
 def choose_slot(
     now: float, slots: Mapping[int, Lease], order: Sequence[int]
 ) -> int | None:
-    """Return the first slot in ``order`` that may be claimed now, or None."""
+    """Return the first slot in ``order`` that may be acquired now, or None."""
     return next((n for n in order if slots[n].find_wait(now) == 0.0), None)
--- a/libraries/decisions/src/bamboopier_decisions/membership/versions.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/versions.py
@@ -1,7 +1,7 @@
-"""Which weight version a new request is made for while targets are being reloaded.
+"""Chooses the weight version of a new request while targets are being reloaded.
 
 Load pattern: a new version is published and targets load it a few at a time. If every
-request asked for the new version at once, the first targets that have it, cold, would
+request used the new version at once, the first targets that have it, still cold, would
 get the load of all; if none did before the last target has it, a single failed load
 would hold the new version back for ever.
 """
@@ -15,9 +15,9 @@
     import random
     from collections.abc import Iterable, Sequence
 
-# Requests may be made for the version before the configured one for this long. At 41
-# targets a model, two loads at once and a second or two for each, a roll-out takes
-# under a minute; slow loads get ten times that before the old version is given up.
+# Requests may use the version before the configured one for this long. At 41 targets per
+# model, two loads at once and a second or two for each, a rollout takes under a minute;
+# slow loads get ten times that before the old version is abandoned.
 ROLLOUT_SECONDS = 600.0
 
 
@@ -29,19 +29,19 @@
     def __init__(self, now: float, configured: str) -> None:
         self.configured = configured
         self._previous = ""
-        # A process that starts cannot tell how long the version has been configured.
-        # Were it taken for long ago, a gateway started in a roll-out would ask all
-        # targets for a version that none has loaded yet, and refuse every caller.
+        # A process that starts cannot tell how long the version has been configured. If
+        # it assumed a long time, a gateway started during a rollout would request from
+        # all targets a version that none has loaded yet, and refuse every caller.
         self._changed_at = now
 
     def configure(self, now: float, version: str, reported: Iterable[str]) -> None:
-        """Take the version of a new configuration; ``reported`` as in ``choose``.
+        """Apply the version of a new configuration; ``reported`` as in ``choose``.
 
-        What most targets have is the version before, not what was configured before. A
-        version that is overtaken before any target has loaded it was never in use:
-        asked for it or for the newest, every target refuses, and all callers get 503
-        until a first load has ended. Where nothing is reported yet, what was configured
-        is all that is known.
+        The previous version is the one that most targets have, not the one that was
+        configured before. A version that is superseded before any target has loaded it
+        was never in use: every target refuses requests for it and for the newest, and
+        all callers get 503 until a first load has ended. Where nothing is reported yet,
+        the version that was configured before is assumed.
         """
         if version == self.configured:
             return
@@ -61,10 +61,10 @@
     ) -> str:
         """Return the version for a request that arrives now.
 
-        ``reported`` gives the version of each usable target, ``unreported`` the number of
-        targets that have never said theirs. Requests are shared between the two
-        versions as targets are, as long as more targets have the old one than may
-        vanish into a load at any moment.
+        ``reported`` gives the version of each usable target, ``unreported`` the number
+        of targets that have never reported theirs. Requests are divided between the two
+        versions in proportion to their targets, as long as more targets have the old
+        one than may start a load at any moment.
         """
         if now >= self._changed_at + ROLLOUT_SECONDS:
             return self.configured
@@ -81,15 +81,15 @@
         return self.configured if random.random() < share else self._previous
 
     def _choose_fallback(self, versions: Sequence[str], unreported: int) -> str:
-        """Return the version to ask for where none has the new or the former one."""
-        # Roll-outs that overtake each other leave targets at a version in between.
-        # Passed over, they idle while those with the former one load, and callers get
-        # 503 until a first load of the newest has ended.
+        """Return the version to use where no target has the new or the previous one."""
+        # Rollouts that supersede each other leave targets at a version in between. If
+        # they were skipped, they would idle while those with the previous version load,
+        # and callers would get 503 until a first load of the newest has ended.
         if versions:
             return Counter(versions).most_common(1)[0][0]
-        # A gateway that has just started knows the version of no target yet. If those
-        # it has not heard of counted as having left the old one, it would ask them for
+        # A gateway that has just started has no report of any target yet. If targets
+        # without a report counted as having replaced the old version, it would request
         # the new one, which none has loaded so soon: each refuses, and the caller gets
-        # 503 beside idle targets. The first target heard of, by an answer or when
-        # asked, decides from then on.
+        # 503 although targets are idle. The first report, with a response or when the
+        # target is polled, decides from then on.
         return self._previous if self._previous and unreported else self.configured
--- a/libraries/decisions/src/bamboopier_decisions/quarantine/__init__.py
+++ b/libraries/decisions/src/bamboopier_decisions/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Refusal of requests that crash the targets which run them."""
+"""Refusal of requests that crash the targets that run them."""
--- a/libraries/decisions/src/bamboopier_decisions/quarantine/quarantine.py
+++ b/libraries/decisions/src/bamboopier_decisions/quarantine/quarantine.py
@@ -1,14 +1,15 @@
-"""Which requests are refused because they broke the targets that ran them.
+"""Decides which requests are refused because they crash the targets that run them.
 
 Load pattern: one request crashes each target that runs it, and its caller sends it
-again, through any gateway. Without a quarantine every send takes out up to two more
+again, through any gateway. Without a quarantine every resend takes out up to two more
 targets, and a fleet of twelve engines is gone after six sends.
 
-A crash breaks every request that the target was running, so one break proves nothing;
-the innocent ones are retried and spread over the other targets. Two breaks on different
-targets are evidence, unless another request broke on the same targets: neither is
-refused then, until one of them breaks a target without the other. When many targets
-break within seconds, a data centre or a switch has failed, and no request is to blame.
+A crash fails every request that the target was running, so one crash proves nothing;
+the harmless ones are retried and spread over the other targets. Crashes of two
+different targets are evidence, unless another request was running on both targets as
+well: neither is refused then, until one of them crashes a target without the other.
+When many targets crash within seconds, a data centre or a switch has failed, and no
+request is the cause.
 """
 
 from __future__ import annotations
@@ -16,20 +17,20 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-# Different targets that a request must have broken.
+# Different targets that must have crashed with a request.
 MIN_CRASHED_TARGETS = 2
-# Seconds a break counts: a caller's resends come within minutes.
+# Seconds for which a crash counts: a caller's resends come within minutes.
 CRASH_RETENTION_SECONDS = 600.0
-# Seconds a request is refused. Long enough for its caller to notice, short enough for
-# a mistake to heal by itself.
+# Seconds for which a request is refused. Long enough for its caller to notice, short
+# enough that a wrong entry soon ends by itself.
 QUARANTINE_SECONDS = 600.0
-# More targets than this breaking within OUTAGE_SECONDS is an outage. One request sent
-# again and again breaks two targets a send, and is refused after the first.
+# More targets than this crashing within OUTAGE_SECONDS is an outage. One request that is
+# sent repeatedly crashes two targets each time, and is refused after the first.
 OUTAGE_TARGETS = 4
 OUTAGE_SECONDS = 10.0
-# Breaks of the same crash arrive within this time; others are told only then.
+# Records of the same crash arrive within this time; entries are published only then.
 SETTLE_SECONDS = 1.0
-# 32 requests a crash, 100 crashes a day and a lost data centre fit many times.
+# Many times what 32 requests per crash, 100 crashes a day and a lost data centre need.
 MAX_SUSPECTS = 10_000
 
 
@@ -42,7 +43,7 @@
 
 
 class _Suspect:
-    """The targets that broke with one request, and when last."""
+    """The targets that crashed with one request, and the time of the last crash."""
 
     __slots__ = ("last", "published", "targets")
 
@@ -53,7 +54,7 @@
 
 
 class Quarantine:
-    """One gateway's evidence and what the others have found."""
+    """One gateway's evidence and the entries of the other gateways."""
 
     def __init__(
         self,
@@ -68,7 +69,7 @@
         self._shared_entries: dict[bytes, float] = {}
 
     def record_crash(self, now: float, fingerprint: bytes, target: str) -> None:
-        """Take in that ``target`` broke while it had the request."""
+        """Record that ``target`` crashed while it had the request."""
         self._remove_expired(now)
         self._last_crash[target] = now
         if self._is_outage(now):
@@ -83,7 +84,7 @@
             self._remove(next(iter(self._suspects)))
 
     def set_shared_entries(self, entries: list[QuarantineEntry]) -> None:
-        """Take over what other gateways refuse."""
+        """Replace the entries that other gateways have published."""
         self._shared_entries = {s.fingerprint: s.until for s in entries}
 
     def find_wait(self, now: float, fingerprint: bytes) -> float:
@@ -95,7 +96,7 @@
         return max(0.0, until - now)
 
     def list_unpublished(self, now: float) -> list[QuarantineEntry]:
-        """Return what others should know, once the evidence has settled."""
+        """Return the entries to publish, those whose evidence has settled."""
         return [
             QuarantineEntry(fingerprint, suspect.last + self._refused_seconds)
             for fingerprint, suspect in self._suspects.items()
@@ -105,14 +106,14 @@
         ]
 
     def mark_published(self, entries: list[QuarantineEntry]) -> None:
-        """Take in that the others can know."""
+        """Record that ``entries`` have been published."""
         for entry in entries:
             suspect = self._suspects.get(entry.fingerprint)
             if suspect is not None:
                 suspect.published = True
 
     def _is_culprit(self, now: float, fingerprint: bytes, suspect: _Suspect) -> bool:
-        """Say whether it broke enough targets and no other request broke them all."""
+        """Return whether enough targets crashed with it and with no other request."""
         if now - suspect.last >= self._refused_seconds:
             return False
         if len(suspect.targets) < self._min_targets:
@@ -125,7 +126,7 @@
         return len(recent) > OUTAGE_TARGETS
 
     def _discard_since(self, start: float) -> None:
-        """Drop what was taken for evidence before the outage showed as one."""
+        """Drop the evidence since ``start``, which an outage explains."""
         for fingerprint, suspect in list(self._suspects.items()):
             if suspect.last >= start:
                 self._remove(fingerprint)
--- a/libraries/decisions/tests/membership/test_fleet_view.py
+++ b/libraries/decisions/tests/membership/test_fleet_view.py
@@ -1,4 +1,4 @@
-"""What may be sent new work while lists lag and operators drain."""
+"""Selection of targets for new requests while lists lag and operators drain."""
 
 from __future__ import annotations
 
@@ -29,10 +29,11 @@
         listed = [ListedTarget("desk-1", "dc-east", leaving)]
         return bool(view.select(now, listed, DrainedSet()))
 
-    def test_a_leaving_vm_stays_out_while_the_list_wavers(self) -> None:
+    def test_a_leaving_vm_stays_excluded_while_lists_alternate(self) -> None:
         """Replicas of the VM list answer in turn: leaving, live, leaving.
 
-        Each wrong answer would let requests in that are cut when the VM goes.
+        After each outdated list, requests would be admitted and cut off when the VM
+        goes.
         """
         view = FleetView()
         self.assertTrue(self.select(view, 0.0, leaving=False))
@@ -43,7 +44,7 @@
         self.assertFalse(self.select(view, 50.0, leaving=False))
         self.assertTrue(self.select(view, 51.0, leaving=False))
 
-    def test_drained_places_are_out_and_come_back(self) -> None:
+    def test_drained_targets_are_excluded_until_restored(self) -> None:
         view = FleetView()
         listed = [
             ListedTarget("desk-1", "dc-east", False),
@@ -59,9 +60,9 @@
             self.assertEqual(view.select(0.0, listed, drained), expected)
 
 
-class RollOutTests(unittest.TestCase):
-    def test_requests_follow_the_targets_through_a_roll_out(self) -> None:
-        """Ten targets take v2 two at a time; then one never gets it."""
+class RolloutTests(unittest.TestCase):
+    def test_requests_follow_the_targets_through_a_rollout(self) -> None:
+        """Ten targets load v2 two at a time; then some of them never load it."""
         versions = ModelVersions(0.0, "v1")
         versions.configure(0.0, "v2", [])
         generator = random.Random(3)
@@ -80,7 +81,7 @@
         self.assertEqual(count_new(ROLLOUT_SECONDS, 2, 8), 1000)
 
     def test_a_request_goes_to_a_target_of_its_version(self) -> None:
-        """Half of the targets have v2; a request for it must not be tried at others."""
+        """Half of the targets have v2; a request for it must not be sent to the others."""
         router = Router(random.Random(1))
         names = [f"desk-{number}" for number in range(8)]
         views = tuple(TargetView(n, "desk", Distance.SAME_REGION) for n in names)
@@ -102,7 +103,7 @@
             assert isinstance(sent, Send)
             self.assertIn(sent.target, names[1::2])
 
-    def test_one_target_goes_on_serving(self) -> None:
+    def test_one_target_keeps_serving(self) -> None:
         cases = [(2, 40, 2), (2, 2, 1), (3, 3, 2), (2, 1, 1), (2, 0, 1)]
         for limit, targets, expected in cases:
             self.assertEqual(count_slots(limit, targets), expected)
--- a/libraries/decisions/tests/membership/test_lease.py
+++ b/libraries/decisions/tests/membership/test_lease.py
@@ -21,22 +21,22 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Three processes want one lease of a target that ignores fencing numbers.
+    """Three processes request one lease of a target that ignores fencing tokens.
 
-    Their clocks start anywhere and run up to 1% apart, writes are lost, held back and
-    land late, reads lag. Two that could give orders at one moment would let an old
-    order put an old weight version back.
+    Their clocks have any offset and rates up to 1% apart; writes are lost, or delayed
+    and applied late; reads lag. If two processes could give orders at one moment, an
+    old order could put an old weight version back.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.time = 0.0
-        self.past: list[ObservedLease] = [ObservedLease(0, None)]
-        self.held_writes: list[LeaseWrite] = []
+        self.history: list[ObservedLease] = [ObservedLease(0, None)]
+        self.delayed_writes: list[LeaseWrite] = []
         self.leases = [
             Lease(f"agent-{n}", f"place-{n}", DURATION) for n in range(HOLDERS)
         ]
-        # Offset and rate of each process's clock against true time.
+        # Offset and rate of each process's clock relative to true time.
         self.clocks = [(1000.0, 1.0), (5.0, 1.0099), (77_000.0, 1.0)]
 
     def read_clock(self, holder: int) -> float:
@@ -44,27 +44,27 @@
         return offset + self.time * rate
 
     def apply(self, write: LeaseWrite) -> bool:
-        if write.expected_version != self.past[-1].version:
+        if write.expected_version != self.history[-1].version:
             return False
-        self.past.append(ObservedLease(self.past[-1].version + 1, write.record))
+        self.history.append(ObservedLease(self.history[-1].version + 1, write.record))
         return True
 
     @rule(seconds=st.sampled_from([0.1, 29.8, 59.2, 61.0]))
-    def let_time_pass(self, seconds: float) -> None:
+    def advance_time(self, seconds: float) -> None:
         self.time += seconds
 
     @rule(holder=holders, lag=st.integers(0, 2))
     def read(self, holder: int, lag: int) -> None:
-        observed = self.past[max(0, len(self.past) - 1 - lag)]
+        observed = self.history[max(0, len(self.history) - 1 - lag)]
         self.leases[holder].observe(self.read_clock(holder), observed)
 
     @rule(
         holder=holders,
-        looks=st.booleans(),
+        reads_first=st.booleans(),
         fault=st.sampled_from(["", "", "lose", "drop", "hold"]),
     )
-    def acquire(self, holder: int, looks: bool, fault: str) -> None:
-        if looks:
+    def acquire(self, holder: int, reads_first: bool, fault: str) -> None:
+        if reads_first:
             self.read(holder, 0)
         lease = self.leases[holder]
         now = self.read_clock(holder)
@@ -72,25 +72,25 @@
             return
         write = lease.acquire(now)
         if fault == "hold":
-            self.held_writes.append(write)
+            self.delayed_writes.append(write)
         elif fault != "drop" and self.apply(write) and not fault:
-            lease.observe(self.read_clock(holder), self.past[-1])
+            lease.observe(self.read_clock(holder), self.history[-1])
 
     @rule(holder=holders)
     def release(self, holder: int) -> None:
         lease = self.leases[holder]
         write = lease.release(self.read_clock(holder))
         if write is not None and self.apply(write):
-            lease.observe(self.read_clock(holder), self.past[-1])
+            lease.observe(self.read_clock(holder), self.history[-1])
 
     @rule()
-    def land_delayed_writes(self) -> None:
-        for write in self.held_writes:
+    def apply_delayed_writes(self) -> None:
+        for write in self.delayed_writes:
             self.apply(write)
-        self.held_writes.clear()
+        self.delayed_writes.clear()
 
     @invariant()
-    def one_at_most_may_give_orders(self) -> None:
+    def at_most_one_may_give_orders(self) -> None:
         held = [
             lease.fence
             for number, lease in enumerate(self.leases)
@@ -99,9 +99,9 @@
         assert len(held) <= 1, held
 
     @invariant()
-    def fencing_numbers_never_fall_and_differ_between_holders(self) -> None:
+    def fencing_tokens_never_fall_and_differ_between_holders(self) -> None:
         records = [
-            observed.record for observed in self.past if observed.record is not None
+            observed.record for observed in self.history if observed.record is not None
         ]
         fences = [record.fence for record in records]
         assert fences == sorted(fences)
@@ -121,21 +121,21 @@
         record = LeaseRecord("other", place, 7, DURATION, 1)
         lease.observe(100.0, ObservedLease(3, record))
 
-    def test_a_predecessor_is_waited_out_from_its_last_sign(self) -> None:
+    def test_the_wait_counts_from_the_last_renewal(self) -> None:
         lease = Lease("me", "here", DURATION)
         self.observe_holder(lease)
         self.assertEqual(lease.find_wait(130.0), 30.0)
         lease.observe(
             150.0, ObservedLease(4, LeaseRecord("other", "there", 7, DURATION, 2))
         )
-        # A replica that lags shows the earlier renewal again.
+        # A lagging replica shows the earlier renewal again.
         lease.observe(
             155.0, ObservedLease(3, LeaseRecord("other", "there", 7, DURATION, 1))
         )
         self.assertEqual(lease.find_wait(160.0), 50.0)
         self.assertEqual(lease.find_wait(210.0), 0.0)
 
-    def test_no_wait_where_the_predecessor_cannot_harm(self) -> None:
+    def test_no_wait_when_the_former_holder_cannot_act(self) -> None:
         fenced = Lease("me", "here", DURATION, TakeoverPolicy.AT_ONCE)
         self.observe_holder(fenced)
         restarted = Lease("me", "here", DURATION)
@@ -144,21 +144,21 @@
             self.assertEqual(lease.find_wait(100.0), 0.0)
             self.assertEqual(lease.acquire(100.0).record.fence, 8)
 
-    def test_a_holder_ends_before_a_faster_clock_lets_another_begin(self) -> None:
-        """Both count 60 s from the same write, one of them on a clock 1% fast."""
+    def test_a_lease_expires_before_a_faster_clock_allows_takeover(self) -> None:
+        """Both count 60 s from the same write, one of them on a clock that is 1% fast."""
         holder = Lease("me", "here", DURATION)
         write = holder.acquire(0.0)
         holder.observe(0.0, ObservedLease(1, write.record))
         other = Lease("other", "there", DURATION)
         other.observe(0.0, ObservedLease(1, write.record))
-        begins = DURATION / 1.01
-        self.assertEqual(other.find_wait(begins * 1.01), 0.0)
-        self.assertFalse(holder.is_held(begins))
+        takeover_at = DURATION / 1.01
+        self.assertEqual(other.find_wait(takeover_at * 1.01), 0.0)
+        self.assertFalse(holder.is_held(takeover_at))
 
-    def test_a_renewal_that_landed_late_counts_from_when_it_was_sent(self) -> None:
-        """The first renewal is delayed and lands, the second is lost on its way.
+    def test_a_delayed_renewal_counts_from_when_it_was_sent(self) -> None:
+        """The first renewal is delayed and takes effect, the second is lost.
 
-        Counted from the second, the holder would go on after others may take over.
+        Counted from the second, the lease would be held after others may take over.
         """
         lease = Lease("me", "here", DURATION)
         first = lease.acquire(0.0)
--- a/libraries/decisions/tests/test_block_name.py
+++ b/libraries/decisions/tests/test_block_name.py
@@ -1,4 +1,4 @@
-"""Names of blocks in a store are read back, others are told apart."""
+"""Names of stored blocks are parsed, other names are rejected."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class BlockNameTests(unittest.TestCase):
-    def test_names_are_read_back(self) -> None:
+    def test_names_round_trip(self) -> None:
         name = BlockName(TAG, 7, b"k" * 32)
         self.assertEqual(parse_block_name(str(name)), name)
         for text in ("", "junk", "a-b-c", f"{TAG}-0007-zz"):
--- a/libraries/decisions/tests/test_claims.py
+++ b/libraries/decisions/tests/test_claims.py
@@ -1,9 +1,9 @@
-"""Claims of idempotency keys through every order of faults.
+"""Claims of idempotency keys under every order of faults.
 
-A caller sends one dispatch under one key again and again, to agents that do not know
-of each other. Their conditional writes are refused, lost before or after they took
-effect, or land long after a read showed them absent. Whatever the order, the order log
-of the targets holds at most one run of the key, and a key that never ran is not lost.
+A caller repeatedly sends one dispatch under one key, to agents that do not communicate
+with each other. Their conditional writes are refused, lost before or after they took
+effect, or take effect long after a read showed them absent. In every order the targets
+record at most one run of the key, and a key that never ran can still run.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 @dataclass
 class Agent:
-    """One agent as the claim writer drives it: read, plan, write, tell."""
+    """One agent as the claim writer drives it: read, plan, write, report."""
 
     number: int
     partition: ClaimPartition
@@ -46,21 +46,21 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Several agents, one partition object, and a platform that loses answers."""
+    """Several agents, one partition object, and a platform that loses responses."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
         self.version = 0
         self.stored: tuple[Claim, ...] = ()
-        self.older: tuple[int, tuple[Claim, ...]] = (0, ())
+        self.previous: tuple[int, tuple[Claim, ...]] = (0, ())
         self.delayed: list[ClaimPlan] = []
         self.count = 0
-        # What the targets recorded, and what callers were told, by claim.
+        # Claims that the targets ran, and ids of claims reported to callers as not run.
         self.runs: list[Claim] = []
-        self.told_not_run: set[str] = set()
-        # Keys whose agent died with a claim: nobody can say whether they ran.
-        self.lost: set[bytes] = set()
+        self.reported_not_run: set[str] = set()
+        # Keys whose agent died with a claim: whether they ran is unknown.
+        self.unknown_keys: set[bytes] = set()
 
     @initialize()
     def start(self) -> None:
@@ -85,14 +85,14 @@
         if agent.plan is not None:
             return
         agent.partition.apply_read(
-            *(self.older if lagging else (self.version, self.stored))
+            *(self.previous if lagging else (self.version, self.stored))
         )
         agent.planned = list(agent.waiting)
         plan = agent.partition.plan(agent.planned, self.now)
         if plan.needs_write:
             agent.plan = plan
         else:
-            self.tell(agent, plan.outcomes)
+            self.report_outcomes(agent, plan.outcomes)
 
     @rule(number=st.integers(0, AGENTS - 1), fault=st.sampled_from(CallFault))
     def write(self, number: int, fault: CallFault) -> None:
@@ -102,11 +102,11 @@
             return
         if fault is CallFault.DOWN:
             agent.partition.abort()
-            self.give_up(agent, agent.waiting)
+            self.abandon_claims(agent, agent.waiting)
         elif fault is CallFault.NONE:
             if self.apply(plan):
                 agent.partition.commit(plan, self.version)
-                self.tell(agent, plan.outcomes)
+                self.report_outcomes(agent, plan.outcomes)
             else:
                 agent.partition.abort()
         else:
@@ -118,15 +118,15 @@
 
     @precondition(lambda self: self.delayed)
     @rule(data=st.data())
-    def land_delayed_write(self, data: st.DataObject) -> None:
+    def apply_delayed_write(self, data: st.DataObject) -> None:
         index = data.draw(st.integers(0, len(self.delayed) - 1))
         self.apply(self.delayed.pop(index))
 
     @rule(number=st.integers(0, AGENTS - 1))
-    def leave_all(self, number: int) -> None:
-        """The gateways leave, or the claim took too long, also during a write."""
+    def abandon_all(self, number: int) -> None:
+        """The gateways disconnect, or the claim took too long, also during a write."""
         agent = self.agents[number]
-        self.give_up(agent, agent.waiting)
+        self.abandon_claims(agent, agent.waiting)
 
     @rule(number=st.integers(0, AGENTS - 1), reachable=st.booleans())
     def dispatch(self, number: int, reachable: bool) -> None:
@@ -135,7 +135,7 @@
             if reachable:
                 self.runs.append(claim)
             else:
-                self.told_not_run.add(claim.claim_id)
+                self.reported_not_run.add(claim.claim_id)
                 agent.partition.abandon(claim, version)
         agent.granted = []
 
@@ -145,19 +145,19 @@
         plans = [agent.plan] if agent.plan else []
         claims = [c for plan in plans + self.delayed for c in plan.claims]
         claims += self.stored
-        self.lost |= {c.key for c in claims if c.holder == f"agent-{number}"}
+        self.unknown_keys |= {c.key for c in claims if c.holder == f"agent-{number}"}
         self.agents[number] = Agent(agent.number, self.make_partition())
 
     def apply(self, plan: ClaimPlan) -> bool:
         if plan.expected_version != self.version:
             return False
-        self.older = (self.version, self.stored)
+        self.previous = (self.version, self.stored)
         self.version += 1
         self.stored = plan.claims
         return True
 
-    def tell(self, agent: Agent, outcomes: tuple[ClaimOutcome, ...]) -> None:
-        # Whoever left or came while the write was under way has no outcome in it.
+    def report_outcomes(self, agent: Agent, outcomes: tuple[ClaimOutcome, ...]) -> None:
+        # A claim that was abandoned or added during the write has no outcome in it.
         waiting = {claim.claim_id: claim for claim in agent.waiting}
         for claim, outcome in zip(agent.planned, outcomes, strict=True):
             if outcome.status is not ClaimStatus.GRANTED:
@@ -166,12 +166,12 @@
                 agent.granted.append((claim, agent.partition.version))
             else:
                 agent.partition.abandon(claim)
-        self.give_up(agent, list(waiting.values()))
+        self.abandon_claims(agent, list(waiting.values()))
 
-    def give_up(self, agent: Agent, claims: list[Claim]) -> None:
+    def abandon_claims(self, agent: Agent, claims: list[Claim]) -> None:
         for claim in claims:
             agent.partition.abandon(claim)
-            self.told_not_run.add(claim.claim_id)
+            self.reported_not_run.add(claim.claim_id)
         agent.waiting = []
 
     @invariant()
@@ -182,10 +182,10 @@
     @invariant()
     def not_run_is_true(self) -> None:
         ran = {claim.claim_id for claim in self.runs}
-        assert not ran & self.told_not_run, f"ran after 'not run': {self.runs}"
+        assert not ran & self.reported_not_run, f"ran after 'not run': {self.runs}"
 
     def teardown(self) -> None:
-        """Once the platform answers again, a key that never ran can run."""
+        """Check that a key that never ran can run once the platform answers again."""
         if not hasattr(self, "agents"):
             return
         for agent in self.agents:
@@ -196,7 +196,7 @@
             self.apply(plan)
         self.no_key_ran_twice()
         ran = {claim.key for claim in self.runs}
-        for key in set(KEYS) - ran - self.lost:
+        for key in set(KEYS) - ran - self.unknown_keys:
             standing = [claim for claim in self.stored if claim.key == key]
             assert not standing, f"never ran and is claimed for ever: {standing}"
 
@@ -206,7 +206,7 @@
         self.write(agent.number, CallFault.NONE)
 
     def settle(self, agent: Agent) -> None:
-        self.give_up(agent, agent.waiting)
+        self.abandon_claims(agent, agent.waiting)
         for _ in range(3):
             agent.partition.apply_read(self.version, self.stored)
             plan = agent.partition.plan([], self.now)
@@ -224,7 +224,7 @@
 
 class ClaimCellTests(unittest.TestCase):
     def test_every_pair_of_call_faults(self) -> None:
-        """Two faults in a row, then what the agent and a second sender do."""
+        """Two faults in a row, then the actions of the agent and of a second sender."""
         cells = itertools.product(
             CallFault,
             CallFault,
@@ -255,12 +255,12 @@
     machine.read_and_plan(0, False)
     machine.write(0, first)
     if middle == "leave":
-        machine.leave_all(0)
+        machine.abandon_all(0)
     machine.read_and_plan(0, lagging)
     machine.write(0, second)
     machine.no_key_ran_twice()
     if middle == "restart partition":
-        # Its writer had nothing left to do and was dropped; the grant lives on.
+        # Its writer had nothing left to do and was dropped; the grant remains valid.
         agent = machine.agents[0]
         if agent.granted and agent.partition.all_released:
             agent.partition = machine.make_partition()
@@ -297,7 +297,7 @@
                 plan = partition.plan([claim], now)
                 self.assertEqual(plan.outcomes[0].status, status)
 
-    def test_a_full_partition_refuses_what_it_could_not_remember(self) -> None:
+    def test_a_full_partition_refuses_new_claims(self) -> None:
         partition = ClaimPartition(LIFETIME, capacity=1)
         partition.apply_read(7, (Claim(b"k", b"body", "c1", "agent-1", 0.0),))
         plan = partition.plan([Claim(b"n", b"body", "c2", "agent-2", 0.0)], 1.0)
--- a/libraries/decisions/tests/test_envelope.py
+++ b/libraries/decisions/tests/test_envelope.py
@@ -1,4 +1,4 @@
-"""Blocks prove themselves to their reader."""
+"""Readers verify blocks before use."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
     def setUp(self) -> None:
         self.sealed = seal_block(SECRET, KEY, "v1", PAYLOAD)
 
-    def test_a_whole_block_opens(self) -> None:
+    def test_a_complete_block_opens(self) -> None:
         self.assertEqual(open_block(SECRET, KEY, "v1", self.sealed), PAYLOAD)
 
-    def test_a_write_cut_at_any_byte_is_a_miss(self) -> None:
+    def test_a_write_truncated_at_any_byte_is_a_miss(self) -> None:
         for length in range(len(self.sealed)):
             found = open_block(SECRET, KEY, "v1", self.sealed[:length])
             self.assertIsNone(found, length)
--- a/libraries/decisions/tests/test_eviction.py
+++ b/libraries/decisions/tests/test_eviction.py
@@ -12,7 +12,7 @@
 
 
 def build_names(tag: str, prompts: int, depth: int = 4) -> list[str]:
-    """Return names of ``prompts`` prompts, written one after the other."""
+    """Return block names of ``prompts`` prompts, written one after the other."""
     return [
         str(BlockName(tag, level, bytes([prompt, level]) * 16))
         for prompt in range(prompts)
@@ -22,7 +22,7 @@
 
 class EvictionTests(unittest.TestCase):
     def test_no_workspace_falls_below_its_share_for_another(self) -> None:
-        # Random holdings, weights and writers. A place is taken only from a workspace
+        # Random usage, weights and writers. A block is evicted only from a workspace
         # that holds at least its weighted share of the full store.
         for seed in range(200):
             rng = random.Random(seed)
@@ -40,7 +40,7 @@
                 if lost and tag != writer:
                     self.assertGreaterEqual(held - lost + 1, share, (seed, tag))
 
-    def test_the_one_that_fills_the_store_pays(self) -> None:
+    def test_the_workspace_that_fills_the_store_is_evicted(self) -> None:
         names = build_names(TAGS[0], 1) + build_names(TAGS[1], 50)
         weights = {TAGS[0]: 1.0, TAGS[1]: 1.0}
         for writer in TAGS[:2]:
--- a/libraries/decisions/tests/test_export_choice.py
+++ b/libraries/decisions/tests/test_export_choice.py
@@ -1,4 +1,4 @@
-"""Blocks that are likely to return go first and are dropped last."""
+"""Blocks that are likely to be reused are exported first and dropped last."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ExportChoiceTests(unittest.TestCase):
-    def test_odds_follow_what_was_seen(self) -> None:
+    def test_likelihood_follows_recorded_prompts(self) -> None:
         reuse_tracker = ReuseTracker()
         new, opening = ReuseLikelihood.NEW, ReuseLikelihood.OPENING
         returned, shared = ReuseLikelihood.RETURNED, ReuseLikelihood.SHARED
@@ -31,7 +31,7 @@
         for keys, likelihood in rows:
             self.assertEqual(reuse_tracker.record_prompt(keys), likelihood, keys)
 
-    def test_the_likeliest_go_first_and_the_least_likely_are_dropped(self) -> None:
+    def test_the_most_likely_go_first_and_the_least_likely_are_dropped(self) -> None:
         queue = ExportQueue(2)
         queue.push(ReuseLikelihood.NEW, build_item(b"n"))
         queue.push(ReuseLikelihood.SHARED, build_item(b"s"))
--- a/libraries/decisions/tests/test_fetch_choice.py
+++ b/libraries/decisions/tests/test_fetch_choice.py
@@ -1,4 +1,4 @@
-"""Fetch or recompute: the cheaper, as each preset weighs it."""
+"""Blocks are fetched or recomputed, whichever costs less under the preset."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
         recompute = FetchReason.RECOMPUTE_IS_QUICKER
         rows = [
             ("as it stands", {}, fetch, fetch),
-            # 0.3 s a block: Fosse's caller would wait longer, Kaaspost saves prefill.
+            # 0.3 s a block: the caller would wait longer, but prefill is saved.
             ("a slower link", {"link_rate": 41e6}, recompute, fetch),
             ("a stuck link", {"link_rate": 12.5e6}, recompute, recompute),
             ("a fast engine", {"prefill_rate": 1e6}, recompute, recompute),
-            # The budget has room for four blocks, the others go at its slow rate.
+            # The budget allows four blocks at once, the others at its slow rate.
             (
                 "a spent budget",
                 {"available_bytes": 50e6, "budget_rate": 20e6},
@@ -55,25 +55,25 @@
                     choose_fetch(conditions, RECOMPUTE_WEIGHTS).reason, recomputed
                 )
 
-    def test_each_preset_leans_to_what_it_weighs(self) -> None:
-        # Over a range of link speeds Kaaspost's preset never recomputes more, and
-        # Fosse's never predicts a later first token.
-        leaned = 0
+    def test_each_preset_prefers_what_it_weighs(self) -> None:
+        # Over a range of link speeds the recompute preset never recomputes more, and
+        # the first-token preset never predicts a later first token.
+        differing = 0
         for tenths in range(1, 40):
             conditions = replace(CONDITIONS, link_rate=tenths * 5e6)
             quick = choose_fetch(conditions, FIRST_TOKEN_WEIGHTS)
-            thrifty = choose_fetch(conditions, RECOMPUTE_WEIGHTS)
-            self.assertGreaterEqual(thrifty.blocks, quick.blocks)
+            saving = choose_fetch(conditions, RECOMPUTE_WEIGHTS)
+            self.assertGreaterEqual(saving.blocks, quick.blocks)
             self.assertLessEqual(
-                expect_first_token(conditions, quick.blocks),
-                expect_first_token(conditions, thrifty.blocks),
+                predict_first_token_seconds(conditions, quick.blocks),
+                predict_first_token_seconds(conditions, saving.blocks),
             )
-            leaned += thrifty.blocks > quick.blocks
-        self.assertGreater(leaned, 0)
+            differing += saving.blocks > quick.blocks
+        self.assertGreater(differing, 0)
 
-    def test_blocks_that_nobody_would_fetch_are_not_kept(self) -> None:
-        # At 41 MB/s Fosse recomputes what Kaaspost would fetch; a burst that happens to
-        # be free does not count, a link busy just now neither.
+    def test_blocks_that_nobody_would_fetch_are_not_exported(self) -> None:
+        # At 41 MB/s the first-token preset recomputes what the recompute preset would
+        # fetch; neither an available burst nor a momentarily busy link counts.
         slow = replace(CONDITIONS, budget_rate=41e6)
         rows = [(CONDITIONS, True, True), (slow, False, True)]
         rows.append((replace(CONDITIONS, available_bytes=-1e9), True, True))
@@ -85,7 +85,7 @@
             self.assertIs(is_worth_exporting(conditions, RECOMPUTE_WEIGHTS), recompute)
 
     def test_no_caller_waits_longer_for_a_store_than_recomputing_costs(self) -> None:
-        # A hung store answers nothing: what the caller loses is the plan's patience.
+        # A hung store never answers: the caller loses the timeout of the plan.
         for tenths in range(1, 400):
             conditions = replace(CONDITIONS, link_rate=tenths * 1e7)
             plan = choose_fetch(conditions, FIRST_TOKEN_WEIGHTS)
@@ -93,8 +93,8 @@
             self.assertLessEqual(plan.timeout, saved)
 
 
-def expect_first_token(conditions: FetchConditions, fetched: int) -> float:
-    """Return the seconds that a split costs the caller."""
+def predict_first_token_seconds(conditions: FetchConditions, fetched: int) -> float:
+    """Return the seconds to the first token if ``fetched`` blocks are fetched."""
     recomputed = (conditions.blocks - fetched) * conditions.block_tokens
     transfer = predict_transfer_seconds(conditions, fetched) if fetched else 0.0
     return transfer + recomputed / conditions.prefill_rate
--- a/libraries/decisions/tests/test_link_budget.py
+++ b/libraries/decisions/tests/test_link_budget.py
@@ -13,8 +13,8 @@
 
 class LinkBudgetTests(unittest.TestCase):
     def test_no_window_carries_more_than_rate_and_burst(self) -> None:
-        # Fetches and exports of random sizes at random times; each window between any
-        # two starts is summed up.
+        # Fetches and exports of random sizes at random times; the bytes of each window
+        # between two starts are added up.
         for seed in range(20):
             started = self.drive(random.Random(seed), EXPORT_SHARE)
             started.sort()
@@ -43,7 +43,7 @@
         budget = LinkBudget(0.0, RATE, BURST)
         budget.reserve_fetch(0.0, 500)
         self.assertGreater(budget.try_export(0.0, 100), 0)
-        # The export that waited has reserved nothing in front of the next fetch.
+        # The waiting export has reserved nothing ahead of the next fetch.
         self.assertAlmostEqual(budget.reserve_fetch(0.0, 100), 0.35)
 
     def test_exports_alone_get_their_share_only(self) -> None:
@@ -54,12 +54,12 @@
         self.assertLessEqual(sent, RATE * EXPORT_SHARE * 100 + BURST)
         self.assertGreater(sent, RATE * EXPORT_SHARE * 90)
 
-    def test_a_block_larger_than_the_burst_still_goes(self) -> None:
+    def test_a_block_larger_than_the_burst_is_sent(self) -> None:
         budget = LinkBudget(0.0, RATE, BURST)
         self.assertEqual(budget.try_export(0.0, 600), 0)
         self.assertAlmostEqual(budget.reserve_fetch(0.0, 600), 0.95)
 
-    def test_what_was_not_sent_is_given_back(self) -> None:
+    def test_an_unused_reservation_is_returned(self) -> None:
         budget = LinkBudget(0.0, RATE, BURST)
         budget.reserve_fetch(0.0, 200)
         budget.adjust_fetch(200, 0)
--- a/libraries/decisions/tests/test_placement.py
+++ b/libraries/decisions/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Blocks lie where every agent computes, in different data centres."""
+"""Every agent computes the same store VMs, in different data centres."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
             owners = place_block(key, VMS, 3)
             self.assertEqual(len({vm.data_centre for vm in owners}), 3)
             self.assertEqual(place_block(key, VMS[::-1], 3), owners)
-        one_place = [StoreVm(vm.name, vm.address, "dc") for vm in VMS]
-        self.assertEqual(len(place_block(KEYS[0], one_place, 3)), 3)
+        one_data_centre = [StoreVm(vm.name, vm.address, "dc") for vm in VMS]
+        self.assertEqual(len(place_block(KEYS[0], one_data_centre, 3)), 3)
 
     def test_the_nearest_replica_is_read_first(self) -> None:
         for key in KEYS:
@@ -31,6 +31,6 @@
             before, after = place_block(key, VMS, 1), place_block(key, rest, 1)
             moved += before != after
             self.assertTrue(before == after or before == [VMS[0]])
-            # store-0 comes back empty: the block still lies with ``after``.
+            # store-0 returns without blocks: the block is still on ``after``.
             self.assertIn(after[0], list_read_vms(key, VMS, rest, 1, "dc-0"))
         self.assertLess(moved, len(KEYS) / 3)
--- a/libraries/decisions/tests/test_quarantine.py
+++ b/libraries/decisions/tests/test_quarantine.py
@@ -1,8 +1,8 @@
 """One request crashes each target that runs it, among many that do not.
 
-Every request that a crashed target was running breaks with it. The one that is sent
-again and breaks the next target too must be refused, by every gateway; those that were
-merely there, and all requests of a data centre that is lost, must not.
+Every request that a crashed target was running fails with it. The one that is sent
+again and crashes the next target too must be refused, by every gateway; those that only
+ran beside it, and all requests of a data centre that is lost, must not.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 )
 
 POISON, INNOCENT, OTHER = b"poison", b"innocent", b"other"
-# Name, breaks as (request, target) a second apart, who is refused at the end.
+# Name, crashes as (request, target) a second apart, requests refused at the end.
 CASES = (
-    ("one break", [(POISON, "a")], set()),
+    ("one crash", [(POISON, "a")], set()),
     ("the same target twice", [(POISON, "a"), (POISON, "a")], set()),
     ("two targets", [(POISON, "a"), (POISON, "b")], {POISON}),
     (
@@ -47,13 +47,13 @@
 
 class QuarantineTests(unittest.TestCase):
     def test_who_is_refused(self) -> None:
-        for name, breaks, expected in CASES:
+        for name, crashes, expected in CASES:
             with self.subTest(name):
                 quarantine = Quarantine()
                 step = 0.1 if name == "a data centre lost" else 1.0
-                for number, (fingerprint, target) in enumerate(breaks):
+                for number, (fingerprint, target) in enumerate(crashes):
                     quarantine.record_crash(number * step, fingerprint, target)
-                now = len(breaks) * step
+                now = len(crashes) * step
                 refused = {
                     fingerprint
                     for fingerprint in (POISON, INNOCENT, OTHER)
@@ -61,21 +61,21 @@
                 }
                 self.assertEqual(refused, expected)
 
-    def test_others_are_told_once_and_only_after_the_evidence_settled(self) -> None:
+    def test_entries_are_published_once_after_the_evidence_settled(self) -> None:
         quarantine = Quarantine()
         quarantine.record_crash(0.0, POISON, "a")
         quarantine.record_crash(1.0, POISON, "b")
         self.assertEqual(quarantine.list_unpublished(1.0), [])
-        told = quarantine.list_unpublished(1.0 + SETTLE_SECONDS)
-        self.assertEqual(told, [QuarantineEntry(POISON, 1.0 + QUARANTINE_SECONDS)])
-        quarantine.mark_published(told)
+        published = quarantine.list_unpublished(1.0 + SETTLE_SECONDS)
+        self.assertEqual(published, [QuarantineEntry(POISON, 1.0 + QUARANTINE_SECONDS)])
+        quarantine.mark_published(published)
         self.assertEqual(quarantine.list_unpublished(3.0), [])
         other = Quarantine()
-        other.set_shared_entries(told)
+        other.set_shared_entries(published)
         self.assertGreater(other.find_wait(3.0, POISON), 0)
         self.assertEqual(other.find_wait(3.0, INNOCENT), 0)
 
-    def test_a_sentence_ends(self) -> None:
+    def test_an_entry_expires(self) -> None:
         quarantine = Quarantine()
         quarantine.record_crash(0.0, POISON, "a")
         quarantine.record_crash(1.0, POISON, "b")
--- a/libraries/decisions/tests/test_rates.py
+++ b/libraries/decisions/tests/test_rates.py
@@ -1,4 +1,4 @@
-"""Measured speeds follow the link, and recover when nothing is measured."""
+"""Estimated speeds follow the link, and recover when nothing is measured."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class MeasuredRateTests(unittest.TestCase):
-    def test_late_transfers_cut_a_rate_and_idle_time_restores_it(self) -> None:
+    def test_timeouts_reduce_a_rate_and_idle_time_restores_it(self) -> None:
         rate = MeasuredRate(100.0, 100.0)
         for now in range(4):
             rate.record_timeout(float(now), 50.0, 1.0)
--- a/libraries/decisions/tests/test_resident.py
+++ b/libraries/decisions/tests/test_resident.py
@@ -1,4 +1,4 @@
-"""Beliefs about the engine end when they are no longer true."""
+"""Blocks are assumed resident for a bounded time and until a miss shows otherwise."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ResidentKeysTests(unittest.TestCase):
-    def test_a_belief_lasts_no_longer_than_its_bound(self) -> None:
+    def test_an_entry_expires_after_its_time_to_live(self) -> None:
         resident = ResidentKeys()
         resident.confirm(0.0, [b"a", b"b", b"c"])
         resident.confirm(10.0, [b"a"])
@@ -18,7 +18,7 @@
         self.assertEqual(resident.count_prefix(RESIDENT_TTL_SECONDS + 1, keys), 1)
         self.assertEqual(resident.count_prefix(RESIDENT_TTL_SECONDS + 11, keys), 0)
 
-    def test_an_absent_block_ends_the_belief_in_all_older_ones(self) -> None:
+    def test_a_miss_removes_all_older_blocks(self) -> None:
         resident = ResidentKeys()
         for now, key in enumerate((b"old", b"gone", b"new")):
             resident.confirm(float(now), [key])
--- a/libraries/decisions/tests/test_store_vm_health.py
+++ b/libraries/decisions/tests/test_store_vm_health.py
@@ -1,4 +1,4 @@
-"""A store VM that failed is passed over for a bounded time."""
+"""A store VM that failed is skipped for a bounded time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class StoreVmHealthTests(unittest.TestCase):
-    def test_pauses_double_up_to_a_bound_and_end_with_an_answer(self) -> None:
+    def test_back_offs_double_up_to_a_bound_and_end_with_a_response(self) -> None:
         health = StoreVmHealth()
         now = 0.0
         for _ in range(10):
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -115,7 +115,7 @@
     Mutation(
         "a fetch timeout never exceeds what recomputing costs",
         "libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py",
-        "min(worth, timeout)",
+        "min(max_wait, timeout)",
         "timeout",
         "libraries/decisions",
         "tests.test_fetch_choice.FetchChoiceTests.test_no_caller_waits_longer_for_a_store_than_recomputing_costs",
--- a/tools/safeguards/claims.py
+++ b/tools/safeguards/claims.py
@@ -8,9 +8,11 @@
     Mutation(
         "a delayed claim write is made impossible before its claim counts as released",
         "libraries/decisions/src/bamboopier_decisions/claims/partition.py",
-        "        may_land = bool(self._abandoned) and self._version "
-        "<= self._uncertain_version\n",
-        "        may_land = False\n",
+        "        must_advance = (\n"
+        "            bool(self._abandoned) and self._version "
+        "<= self._uncertain_version\n"
+        "        )\n",
+        "        must_advance = False\n",
         "libraries/decisions",
         "tests.test_claims.ClaimCellTests",
     ),
@@ -44,7 +46,8 @@
     Mutation(
         "a claim given up during its write is released",
         "libraries/decisions/src/bamboopier_decisions/claims/partition.py",
-        "        written = claim_id in self._in_flight_ids or claim_id in self._uncertain_ids\n",
+        "        written = claim_id in self._in_flight_ids or claim_id in "
+        "self._uncertain_ids\n",
         "        written = False\n",
         "libraries/decisions",
         "tests.test_claims.ClaimCellTests",
@@ -60,7 +63,8 @@
     Mutation(
         "an older replica does not prove a granted claim gone",
         "libraries/decisions/src/bamboopier_decisions/claims/partition.py",
-        "            self._uncertain_version = max(self._uncertain_version, granted_at - 1)\n",
+        "            self._uncertain_version = max(self._uncertain_version, "
+        "granted_at - 1)\n",
         "",
         "libraries/decisions",
         "tests.test_claims.ClaimCellTests",
--- a/tools/safeguards/orders.py
+++ b/tools/safeguards/orders.py
@@ -25,7 +25,7 @@
         "else self._observed_at\n",
         "libraries/decisions",
         "tests.membership.test_lease.LeaseTests."
-        "test_a_predecessor_is_waited_out_from_its_last_sign",
+        "test_the_wait_counts_from_the_last_renewal",
     ),
     Mutation(
         "a lease lapses on the holder's own clock",
@@ -44,7 +44,7 @@
         "CLOCK_RATE_ERROR = 0.0\n",
         "libraries/decisions",
         "tests.membership.test_lease.LeaseTests."
-        "test_a_holder_ends_before_a_faster_clock_lets_another_begin",
+        "test_a_lease_expires_before_a_faster_clock_allows_takeover",
     ),
     Mutation(
         "a lease counts from the write that took effect",
@@ -53,7 +53,7 @@
         "        sent = max(self._sent_at.values(), default=None)\n",
         "libraries/decisions",
         "tests.membership.test_lease.LeaseTests."
-        "test_a_renewal_that_landed_late_counts_from_when_it_was_sent",
+        "test_a_delayed_renewal_counts_from_when_it_was_sent",
     ),
     Mutation(
         "each new holder has a higher fencing number",
@@ -72,7 +72,7 @@
         "            self._observed = observed\n",
         "libraries/decisions",
         "tests.membership.test_lease.LeaseTests."
-        "test_a_predecessor_is_waited_out_from_its_last_sign",
+        "test_the_wait_counts_from_the_last_renewal",
     ),
     Mutation(
         "one target of a service goes on serving",
@@ -80,7 +80,7 @@
         "min(loads_at_once, serving_targets - 1)",
         "loads_at_once",
         "libraries/decisions",
-        "tests.membership.test_fleet_view.RollOutTests.test_one_target_goes_on_serving",
+        "tests.membership.test_fleet_view.RolloutTests.test_one_target_keeps_serving",
     ),
     Mutation(
         "the old version serves until a target has the new one",
@@ -88,8 +88,8 @@
         "        if not new:\n            return self._previous\n",
         "",
         "libraries/decisions",
-        "tests.membership.test_fleet_view.RollOutTests."
-        "test_requests_follow_the_targets_through_a_roll_out",
+        "tests.membership.test_fleet_view.RolloutTests."
+        "test_requests_follow_the_targets_through_a_rollout",
     ),
     Mutation(
         "targets not heard of yet are taken to have the old version",
@@ -134,8 +134,8 @@
         "            return self.configured\n",
         "",
         "libraries/decisions",
-        "tests.membership.test_fleet_view.RollOutTests."
-        "test_requests_follow_the_targets_through_a_roll_out",
+        "tests.membership.test_fleet_view.RolloutTests."
+        "test_requests_follow_the_targets_through_a_rollout",
     ),
     Mutation(
         "the lease is renewed just before an order",
@@ -246,7 +246,7 @@
         '        if not version or self.load.weight_version in ("", version):\n',
         "        if True:\n",
         "libraries/decisions",
-        "tests.membership.test_fleet_view.RollOutTests."
+        "tests.membership.test_fleet_view.RolloutTests."
         "test_a_request_goes_to_a_target_of_its_version",
     ),
     Mutation(
--- a/tools/safeguards/places.py
+++ b/tools/safeguards/places.py
@@ -13,7 +13,7 @@
         "            else:\n                self._live_since.pop(name, None)\n",
         "libraries/decisions",
         "tests.membership.test_fleet_view.FleetViewTests."
-        "test_a_leaving_vm_stays_out_while_the_list_wavers",
+        "test_a_leaving_vm_stays_excluded_while_lists_alternate",
     ),
     Mutation(
         "a drained data centre takes its targets out",
@@ -22,13 +22,14 @@
         "        return target in self.targets\n",
         "libraries/decisions",
         "tests.membership.test_fleet_view.FleetViewTests."
-        "test_drained_places_are_out_and_come_back",
+        "test_drained_targets_are_excluded_until_restored",
     ),
     Mutation(
         "the agent of a drained target refuses by itself",
         "libraries/agent/src/bamboopier_agent/standing.py",
-        "        self._drained = drained_set.contains(self._settings.target, "
-        "self._settings.data_centre)\n",
+        "        self._drained = drained_set.contains(\n"
+        "            self._settings.target, self._settings.data_centre\n"
+        "        )\n",
         "        self._drained = False\n",
         ".",
         "tests.test_drain.DrainTests."
