--- a/libraries/decisions/src/bamboopier_decisions/claims/table.py
+++ b/libraries/decisions/src/bamboopier_decisions/claims/table.py
@@ -34,7 +34,7 @@
     fingerprint: bytes
     # New for each claim, also when one attempt reaches an agent twice.
     claim_id: str
-    # Address of the agent that made the claim, which may still have the response.
+    # Address of the agent that made the claim, which may be asked for its response.
     holder: str
     created: float
 
--- a/libraries/decisions/src/bamboopier_decisions/context/blocks.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/blocks.py
@@ -1,6 +1,6 @@
 """Keys of a prompt's blocks.
 
-A key is a keyed hash over everything that must agree before a block may be used: the
+A key is a keyed hash over everything that must match before a block may be used: the
 workspace (through its secret), model, weight version, adapter, all tokens before and
 the block's own tokens. Two workspaces or two weight versions never share a key, so a
 look-up cannot cross them even when the prompts are equal.
@@ -33,7 +33,7 @@
     tokens: Sequence[str],
     block_tokens: int,
 ) -> tuple[bytes, ...]:
-    """Return the keys of the prompt's whole blocks, first block first."""
+    """Return the keys of the prompt's complete blocks, first block first."""
     identity = SEPARATOR.join(
         part.encode() for part in (model, weight_version, adapter)
     )
--- a/libraries/decisions/src/bamboopier_decisions/context/envelope.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/envelope.py
@@ -33,8 +33,8 @@
     if len(stored) < _HEADER.size + DIGEST_BYTES:
         return None
     # Slices of a memoryview do not copy the block, which is large.
-    whole = memoryview(stored)
-    content, digest = whole[:-DIGEST_BYTES], whole[-DIGEST_BYTES:]
+    view = memoryview(stored)
+    content, digest = view[:-DIGEST_BYTES], view[-DIGEST_BYTES:]
     if not hmac.compare_digest(_compute_digest(secret, content), digest):
         return None
     magic, found_key, name_length, length = _HEADER.unpack_from(content)
--- a/libraries/decisions/src/bamboopier_decisions/context/eviction.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/eviction.py
@@ -19,12 +19,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-# Weight of a tag that the configuration does not name: a removed workspace, or one newer
-# than this agent's generation. With a tenth of a share the blocks of removed workspaces
-# are evicted first and a new workspace loses little in its first seconds.
+# Weight of a tag that the configuration does not name: a removed workspace, or one
+# newer than this agent's generation. With a tenth of a share the blocks of removed
+# workspaces are evicted first and a new workspace loses little in its first seconds.
 UNKNOWN_TAG_WEIGHT = 0.1
-# Share of a workspace's blocks, the oldest, that may be evicted, deepest first: a prompt
-# without its first block is lost completely, one without its last loses a block.
+# Share of a workspace's blocks, the oldest, that may be evicted, deepest first: a
+# prompt without its first block is lost completely, one without its last loses a block.
 EVICTABLE_SHARE = 0.25
 
 
--- a/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
+++ b/libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py
@@ -37,9 +37,9 @@
 
 # For callers who wait for each response: only the time to the first token counts.
 FIRST_TOKEN_WEIGHTS = CostWeights(recompute=0.0, link=0.0)
-# For catalogues whose prompts recur all day: a second of prefill is also taken from other
-# callers and counts twice; a second of link delays other fetches and costs a quarter
-# more.
+# For catalogues whose prompts recur all day: a second of prefill is also taken from
+# other callers and counts twice; a second of link delays other fetches and costs a
+# quarter more.
 RECOMPUTE_WEIGHTS = CostWeights(recompute=1.0, link=0.25)
 PRESETS = {"first-token": FIRST_TOKEN_WEIGHTS, "recompute": RECOMPUTE_WEIGHTS}
 
--- a/libraries/decisions/src/bamboopier_decisions/membership/leaving.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/leaving.py
@@ -13,7 +13,7 @@
     from collections.abc import Mapping
 
 # A VM counts as live again once it has been listed as live for this long without
-# interruption; several times the specified lag of the list of a few seconds.
+# interruption; several times the list's specified lag of a few seconds.
 LIVE_CONFIRMATION_SECONDS = 30.0
 
 
@@ -27,7 +27,7 @@
         self._live_since: dict[str, float | None] = {}
 
     def update(self, now: float, leaving: Mapping[str, bool]) -> frozenset[str]:
-        """Apply a list (VM name to whether it leaves); return the VMs that are leaving."""
+        """Apply a list (VM name to whether it leaves); return the leaving VMs."""
         for name in set(self._live_since) - set(leaving):
             del self._live_since[name]
         for name, leaves in leaving.items():
--- a/libraries/decisions/src/bamboopier_decisions/membership/versions.py
+++ b/libraries/decisions/src/bamboopier_decisions/membership/versions.py
@@ -15,9 +15,9 @@
     import random
     from collections.abc import Iterable, Sequence
 
-# Requests may use the version before the configured one for this long. At 41 targets per
-# model, two loads at once and a second or two for each, a rollout takes under a minute;
-# slow loads get ten times that before the old version is abandoned.
+# Requests may use the version before the configured one for this long. At 41 targets
+# per model, two loads at once and a second or two for each, a rollout takes under a
+# minute; slow loads get ten times that before the old version is abandoned.
 ROLLOUT_SECONDS = 600.0
 
 
--- a/libraries/decisions/src/bamboopier_decisions/quarantine/quarantine.py
+++ b/libraries/decisions/src/bamboopier_decisions/quarantine/quarantine.py
@@ -24,8 +24,8 @@
 # Seconds for which a request is refused. Long enough for its caller to notice, short
 # enough that a wrong entry soon ends by itself.
 QUARANTINE_SECONDS = 600.0
-# More targets than this crashing within OUTAGE_SECONDS is an outage. One request that is
-# sent repeatedly crashes two targets each time, and is refused after the first.
+# More targets than this crashing within OUTAGE_SECONDS is an outage. One request that
+# is sent repeatedly crashes two targets each time, and is refused after the first.
 OUTAGE_TARGETS = 4
 OUTAGE_SECONDS = 10.0
 # Records of the same crash arrive within this time; entries are published only then.
@@ -113,7 +113,7 @@
                 suspect.published = True
 
     def _is_culprit(self, now: float, fingerprint: bytes, suspect: _Suspect) -> bool:
-        """Return whether enough targets crashed with it and with no other request."""
+        """Return whether enough targets crashed with it, not all also with another."""
         if now - suspect.last >= self._refused_seconds:
             return False
         if len(suspect.targets) < self._min_targets:
--- a/libraries/decisions/tests/membership/test_lease.py
+++ b/libraries/decisions/tests/membership/test_lease.py
@@ -145,7 +145,7 @@
             self.assertEqual(lease.acquire(100.0).record.fence, 8)
 
     def test_a_lease_expires_before_a_faster_clock_allows_takeover(self) -> None:
-        """Both count 60 s from the same write, one of them on a clock that is 1% fast."""
+        """Both count 60 s from the same write, one of them on a clock 1% too fast."""
         holder = Lease("me", "here", DURATION)
         write = holder.acquire(0.0)
         holder.observe(0.0, ObservedLease(1, write.record))
