--- a/libraries/decisions/tests/membership/test_fleet_view.py
+++ b/libraries/decisions/tests/membership/test_fleet_view.py
@@ -81,7 +81,7 @@
         self.assertEqual(count_new(ROLLOUT_SECONDS, 2, 8), 1000)
 
     def test_a_request_goes_to_a_target_of_its_version(self) -> None:
-        """Half of the targets have v2; requests for it must not be sent to the others."""
+        """Half of the targets have v2; requests for it must not go to the others."""
         router = Router(random.Random(1))
         names = [f"desk-{number}" for number in range(8)]
         views = tuple(TargetView(n, "desk", Distance.SAME_REGION) for n in names)
