--- a/libraries/cli/src/bamboopier_cli/commands/status.py
+++ b/libraries/cli/src/bamboopier_cli/commands/status.py
@@ -12,7 +12,7 @@
 from ..credentials import open_platform
 from ..output import render
 from ..publishing import read_current
-from ..survey import NodeStatus, ask_nodes, list_nodes
+from ..node_status import NodeStatus, ask_nodes, list_nodes
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/libraries/cli/src/bamboopier_cli/publishing.py
+++ b/libraries/cli/src/bamboopier_cli/publishing.py
@@ -16,7 +16,7 @@
 
 from .credentials import open_platform
 from .exits import USAGE, CommandError
-from .survey import list_nodes, wait_in_force
+from .node_status import list_nodes, wait_in_force
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/tools/safeguards/configuration.py
+++ b/tools/safeguards/configuration.py
@@ -145,7 +145,7 @@
     ),
     Mutation(
         "a node that cannot be reached is not in force",
-        "libraries/cli/src/bamboopier_cli/survey.py",
+        "libraries/cli/src/bamboopier_cli/node_status.py",
         "        behind = [status for status in statuses if "
         "status.generation < generation]\n",
         "        behind = [s for s in statuses if s.reachable and "
