--- a/libraries/replay/tests/test_replay.py
+++ b/libraries/replay/tests/test_replay.py
@@ -11,7 +11,7 @@
 from aiohttp.test_utils import TestServer
 
 from bamboopier_replay.expectations import Expectation, judge
-from bamboopier_replay.maker import make_dispatch_trace, make_fault_desk_trace
+from bamboopier_replay.synthetic_traces import make_dispatch_trace, make_fault_desk_trace
 from bamboopier_replay.observation import Outcome
 from bamboopier_replay.player import Player, PlayerOptions
 from bamboopier_replay.prompts import make_prompt
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -10,7 +10,7 @@
 
 from processes import Installation
 
-from bamboopier_replay.maker import make_dispatch_trace
+from bamboopier_replay.synthetic_traces import make_dispatch_trace
 from bamboopier_replay.trace import write_trace
 
 from .builders import FOSSE_KEY, VANS, build_small_installation
