--- a/libraries/cli/src/bamboopier_cli/commands/replay.py
+++ b/libraries/cli/src/bamboopier_cli/commands/replay.py
@@ -10,7 +10,7 @@
 from result import Err, Result
 
 from bamboopier_configuration.reader import read_file
-from bamboopier_replay.expectations import judge, read_expectations
+from bamboopier_replay.expectations import check_expectations, read_expectations
 from bamboopier_replay.player import Player, PlayerOptions
 from bamboopier_replay.report import Summary, summarize
 from bamboopier_replay.trace import read_trace
@@ -47,7 +47,7 @@
     player = Player(gateways.split(","), read.ok_value, options)
     asyncio.run(player.play(loaded))
     summaries = summarize(player.observations)
-    verdicts = judge(stated, summaries)
+    verdicts = check_expectations(stated, summaries)
     text = _render_json(summaries, verdicts) if json else _render(summaries, verdicts)
     missed = sum(not verdict.holds for verdict in verdicts)
     if missed or player.not_sent:
--- a/libraries/replay/tests/test_replay.py
+++ b/libraries/replay/tests/test_replay.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 from aiohttp.test_utils import TestServer
 
-from bamboopier_replay.expectations import Expectation, judge
+from bamboopier_replay.expectations import Expectation, check_expectations
 from bamboopier_replay.synthetic_traces import make_dispatch_trace, make_fault_desk_trace
 from bamboopier_replay.observation import Outcome
 from bamboopier_replay.player import Player, PlayerOptions
@@ -106,7 +106,7 @@
             Expectation("answered_share", "never-sent", at_least=0.0),
             Expectation("recomputed_share", at_most=0.3),
         ]
-        held = [verdict.holds for verdict in judge(stated, summaries)]
+        held = [verdict.holds for verdict in check_expectations(stated, summaries)]
         self.assertEqual(held, [True, False, False])
 
 
