--- a/libraries/cli/src/bamboopier_cli/commands/replay.py
+++ b/libraries/cli/src/bamboopier_cli/commands/replay.py
@@ -50,9 +50,9 @@
     verdicts = check_expectations(stated, summaries)
     text = _render_json(summaries, verdicts) if json else _render(summaries, verdicts)
     missed = sum(not verdict.holds for verdict in verdicts)
-    if missed or player.not_sent:
+    if missed or player.unfinished:
         print(text)
-        message = f"{missed} stated outcomes missed, {player.not_sent} not finished"
+        message = f"{missed} stated outcomes missed, {player.unfinished} not finished"
         raise CommandError(message, FAILURE)
     return text
 
--- a/libraries/replay/src/bamboopier_replay/player.py
+++ b/libraries/replay/src/bamboopier_replay/player.py
@@ -73,7 +73,7 @@
         self.observations: list[Observation] = []
         # Seconds by which the latest request was started too late.
         self.worst_delay = 0.0
-        self.not_sent = 0
+        self.unfinished = 0
 
     async def play(self, trace: Trace) -> None:
         """Send everything; returns once each request has its outcome."""
@@ -87,7 +87,7 @@
             except TimeoutError:
                 for task in tasks:
                     task.cancel()
-            self.not_sent = len(trace.requests) - len(self.observations)
+            self.unfinished = len(trace.requests) - len(self.observations)
 
     async def _send_all(
         self,
