--- a/libraries/agent/tests/test_context.py
+++ b/libraries/agent/tests/test_context.py
@@ -222,9 +222,9 @@
             for request in requests:
                 await harness.run_and_export(request)
             harness.restart_cold()
-            harness.stores[0].most_reading = 0
+            harness.stores[0].max_concurrent_reads = 0
             await asyncio.gather(*(harness.manager.fetch(r) for r in requests))
-            self.assertLessEqual(harness.stores[0].most_reading, MAX_CONCURRENT_READS)
+            self.assertLessEqual(harness.stores[0].max_concurrent_reads, MAX_CONCURRENT_READS)
             self.assertEqual(len(harness.engine.imports), 20 * 3)
 
     async def test_a_restarted_agent_does_not_send_stored_blocks_again(self) -> None:
--- a/libraries/standins/src/bamboopier_standins/store.py
+++ b/libraries/standins/src/bamboopier_standins/store.py
@@ -33,7 +33,7 @@
         self.log: list[dict[str, Any]] = []
         # Reads now, and the most there were at once.
         self.reading = 0
-        self.most_reading = 0
+        self.max_concurrent_reads = 0
 
     @property
     def used(self) -> int:
@@ -68,7 +68,7 @@
         if self.faults.get("frozen"):
             await asyncio.sleep(HANG_SECONDS)
         self.reading += request.method == "GET"
-        self.most_reading = max(self.most_reading, self.reading)
+        self.max_concurrent_reads = max(self.max_concurrent_reads, self.reading)
         try:
             response = await handler(request)
         finally:
