--- a/libraries/cli/tests/test_publishing.py
+++ b/libraries/cli/tests/test_publishing.py
@@ -57,7 +57,7 @@
         drains = generation.configuration.drains
         return drains.data_centres, drains.targets
 
-    async def test_a_drain_that_another_overtakes_is_made_again(self) -> None:
+    async def test_a_drain_that_conflicts_is_retried(self) -> None:
         """A second operator drains another place just before the first one's write.
 
         Given up, the first operator's data centre would stay in service; written over
--- a/tools/safeguards/places.py
+++ b/tools/safeguards/places.py
@@ -62,7 +62,7 @@
         "        raise CommandError(str(answer.err_value))\n",
         "libraries/cli",
         "tests.test_publishing.DrainTests."
-        "test_a_drain_that_another_overtakes_is_made_again",
+        "test_a_drain_that_conflicts_is_retried",
     ),
     Mutation(
         "a gateway in a drained data centre is not ready",
