--- a/libraries/cli/src/bamboopier_cli/application.py
+++ b/libraries/cli/src/bamboopier_cli/application.py
@@ -19,7 +19,7 @@
 from .commands.restore import restore
 from .commands.status import status
 from .commands.version import version
-from .exits import FAILURE, INTERRUPTED, SUCCESS, CommandError
+from .exit_codes import FAILURE, INTERRUPTED, SUCCESS, CommandError
 from .help import describe_command, describe_program
 
 if TYPE_CHECKING:
--- a/libraries/cli/src/bamboopier_cli/arguments.py
+++ b/libraries/cli/src/bamboopier_cli/arguments.py
@@ -19,7 +19,7 @@
 import fire
 from fire.decorators import SetParseFn, SetParseFns
 
-from .exits import USAGE, CommandError
+from .exit_codes import USAGE_ERROR, CommandError
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
@@ -129,4 +129,4 @@
 
 
 def _fail(message: str) -> NoReturn:
-    raise CommandError(message, USAGE)
+    raise CommandError(message, USAGE_ERROR)
--- a/libraries/cli/src/bamboopier_cli/commands/agent.py
+++ b/libraries/cli/src/bamboopier_cli/commands/agent.py
@@ -10,7 +10,7 @@
 from bamboopier_configuration.settings_reader import read_settings
 from bamboopier_daemon.daemon import run
 
-from ..exits import fail_configuration
+from ..exit_codes import fail_configuration
 
 
 def agent(*, settings: str) -> None:
--- a/libraries/cli/src/bamboopier_cli/commands/check.py
+++ b/libraries/cli/src/bamboopier_cli/commands/check.py
@@ -10,7 +10,7 @@
 
 from bamboopier_configuration.collection import collect, find_files
 
-from ..exits import USAGE, CommandError, fail_configuration
+from ..exit_codes import USAGE_ERROR, CommandError, fail_configuration
 from ..output import render
 
 if TYPE_CHECKING:
@@ -50,7 +50,7 @@
     """Return the joined configuration or end the command."""
     files = find_files(Path(root) for root in roots or (".",))
     if not files:
-        raise CommandError("no *.bamboopier.json files found", USAGE)
+        raise CommandError("no *.bamboopier.json files found", USAGE_ERROR)
     answer = collect(files)
     if isinstance(answer, Err):
         fail_configuration(answer.err_value)
--- a/libraries/cli/src/bamboopier_cli/commands/explain.py
+++ b/libraries/cli/src/bamboopier_cli/commands/explain.py
@@ -8,7 +8,7 @@
 from typing import IO, TYPE_CHECKING, Any
 
 from ..decision_log import read_decisions
-from ..exits import USAGE, CommandError
+from ..exit_codes import USAGE_ERROR, CommandError
 from ..output import render
 
 if TYPE_CHECKING:
@@ -61,7 +61,7 @@
     known = {decision.request_id for decision in decisions}
     if len(known) > 1:
         message = f"'{request_id}' begins {len(known)} request ids; give more of it"
-        raise CommandError(message, USAGE)
+        raise CommandError(message, USAGE_ERROR)
     text = "\n".join(map(_describe, decisions))
     return render(decisions, text, json)
 
@@ -72,7 +72,7 @@
     try:
         return stack.enter_context(Path(name).open("rb"))
     except OSError as error:
-        raise CommandError(f"{name}: {error.strerror}", USAGE) from error
+        raise CommandError(f"{name}: {error.strerror}", USAGE_ERROR) from error
 
 
 def _describe(decision: DecisionLine) -> str:
--- a/libraries/cli/src/bamboopier_cli/commands/publish.py
+++ b/libraries/cli/src/bamboopier_cli/commands/publish.py
@@ -14,7 +14,7 @@
 
 from ..credentials import open_platform
 from ..difference import Difference, compare, describe
-from ..exits import CommandError
+from ..exit_codes import CommandError
 from ..output import render
 from ..publishing import (
     ChangeResult,
--- a/libraries/cli/src/bamboopier_cli/commands/replay.py
+++ b/libraries/cli/src/bamboopier_cli/commands/replay.py
@@ -15,7 +15,7 @@
 from bamboopier_replay.report import Summary, summarize
 from bamboopier_replay.trace import read_trace
 
-from ..exits import FAILURE, USAGE, CommandError, fail_configuration
+from ..exit_codes import FAILURE, USAGE_ERROR, CommandError, fail_configuration
 
 if TYPE_CHECKING:
     from bamboopier_configuration.errors import BamboopierError
@@ -59,7 +59,7 @@
 
 def _take(answer: Result[T, BamboopierError]) -> T:
     if isinstance(answer, Err):
-        raise CommandError(str(answer.err_value), USAGE)
+        raise CommandError(str(answer.err_value), USAGE_ERROR)
     return answer.ok_value
 
 
--- a/libraries/cli/src/bamboopier_cli/credentials.py
+++ b/libraries/cli/src/bamboopier_cli/credentials.py
@@ -14,7 +14,7 @@
 from bamboopier_daemon.certificates import Certificates
 from bamboopier_objects.http_platform import HttpPlatform
 
-from .exits import fail_configuration
+from .exit_codes import fail_configuration
 
 # Names a JSON file with the same keys as "tls" in a process's settings. A variable of
 # the operator's shell, for it is the same for every command and every fleet has one.
--- a/libraries/cli/src/bamboopier_cli/exits.py
+++ b/libraries/cli/src/bamboopier_cli/exit_codes.py
@@ -13,7 +13,7 @@
 # The command ran and did not achieve what was asked.
 FAILURE = 1
 # Wrong arguments or a configuration that may not be used; nothing was changed.
-USAGE = 2
+USAGE_ERROR = 2
 # Ended by Ctrl-C, as shells report it.
 INTERRUPTED = 130
 
@@ -28,4 +28,4 @@
 
 def fail_configuration(error: ConfigurationError) -> NoReturn:
     """End the command because a file may not be used."""
-    raise CommandError(str(error), USAGE)
+    raise CommandError(str(error), USAGE_ERROR)
--- a/libraries/cli/src/bamboopier_cli/node_status.py
+++ b/libraries/cli/src/bamboopier_cli/node_status.py
@@ -20,7 +20,7 @@
 from bamboopier_protocol import agent_pb2 as pb, agent_pb2_grpc
 
 from .credentials import read_certificates
-from .exits import CommandError
+from .exit_codes import CommandError
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/libraries/cli/src/bamboopier_cli/publishing.py
+++ b/libraries/cli/src/bamboopier_cli/publishing.py
@@ -15,7 +15,7 @@
 from bamboopier_objects.publisher import Publisher
 
 from .credentials import open_platform
-from .exits import USAGE, CommandError
+from .exit_codes import USAGE_ERROR, CommandError
 from .node_status import list_nodes, wait_in_force
 
 if TYPE_CHECKING:
@@ -113,12 +113,12 @@
     }
     if place not in names:
         allowed = " or ".join(names)
-        raise CommandError(f"cannot drain a '{place}'; allowed: {allowed}", USAGE)
+        raise CommandError(f"cannot drain a '{place}'; allowed: {allowed}", USAGE_ERROR)
     current = drains.data_centres if place == DATA_CENTRE else drains.targets
     known = {names[place](vm) for vm in nodes} - {""} | set(current)
     if name not in known:
         listed = ", ".join(sorted(known)) or "none"
-        raise CommandError(f"no {place} named '{name}'; known: {listed}", USAGE)
+        raise CommandError(f"no {place} named '{name}'; known: {listed}", USAGE_ERROR)
     left = set(current) | {name} if drained else set(current) - {name}
     if place == DATA_CENTRE:
         return Drains(sorted(left), drains.targets)
--- a/libraries/cli/tests/commands/test_explain.py
+++ b/libraries/cli/tests/commands/test_explain.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from bamboopier_cli.commands.explain import explain
-from bamboopier_cli.exits import USAGE, CommandError
+from bamboopier_cli.exit_codes import USAGE_ERROR, CommandError
 
 CHOSEN = {
     "event": "target chosen",
@@ -51,7 +51,7 @@
     def test_a_beginning_that_two_requests_share_is_refused(self) -> None:
         with self.assertRaisesRegex(CommandError, "begins 2 request ids") as caught:
             explain("ab", str(self.gateway))
-        self.assertEqual(caught.exception.status, USAGE)
+        self.assertEqual(caught.exception.status, USAGE_ERROR)
 
     def test_nothing_found_and_no_such_file_are_errors(self) -> None:
         with self.assertRaisesRegex(CommandError, "no decision about 'zzz'"):
--- a/libraries/cli/tests/test_arguments.py
+++ b/libraries/cli/tests/test_arguments.py
@@ -5,7 +5,7 @@
 import unittest
 
 from bamboopier_cli.arguments import bind_arguments, find_command
-from bamboopier_cli.exits import USAGE, CommandError
+from bamboopier_cli.exit_codes import USAGE_ERROR, CommandError
 
 
 def move(*names: str, platform: str, json: bool = False, count: int = 1) -> str:
@@ -40,7 +40,7 @@
                 bind_arguments("move", move, words)
             self.assertIn(text, str(caught.exception))
             self.assertNotIn("\n", str(caught.exception))
-            self.assertEqual(caught.exception.status, USAGE)
+            self.assertEqual(caught.exception.status, USAGE_ERROR)
 
     def test_an_unknown_command_is_answered_with_the_nearest(self) -> None:
         with self.assertRaisesRegex(CommandError, "did you mean 'move'"):
--- a/libraries/cli/tests/test_publishing.py
+++ b/libraries/cli/tests/test_publishing.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok, Result
 
-from bamboopier_cli.exits import USAGE, CommandError
+from bamboopier_cli.exit_codes import USAGE_ERROR, CommandError
 from bamboopier_cli.publishing import change_drains
 from bamboopier_objects.errors import PlatformError, VersionConflictError
 from bamboopier_objects.generations import GenerationStore
@@ -83,6 +83,6 @@
         for place, name, known in cases:
             with self.assertRaises(CommandError) as caught:
                 await change_drains(self.platform, place, name, drained=True)
-            self.assertEqual(caught.exception.status, USAGE)
+            self.assertEqual(caught.exception.status, USAGE_ERROR)
             self.assertIn(known, str(caught.exception))
         self.assertEqual(self.platform.stored, {})
