--- a/libraries/cli/src/bamboopier_cli/commands/status.py
+++ b/libraries/cli/src/bamboopier_cli/commands/status.py
@@ -12,7 +12,7 @@
 from ..credentials import open_platform
 from ..output import render
 from ..publishing import read_current
-from ..node_status import NodeStatus, ask_nodes, list_nodes
+from ..node_status import NodeStatus, read_node_statuses, list_nodes
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -45,7 +45,7 @@
 async def _status(url: str) -> FleetStatus:
     async with open_platform(url) as platform:
         current = await read_current(Publisher(platform))
-        nodes = await ask_nodes(await list_nodes(platform))
+        nodes = await read_node_statuses(await list_nodes(platform))
         drains = current.configuration.drains
         return FleetStatus(current.number, drains.data_centres, drains.targets, nodes)
 
--- a/libraries/cli/src/bamboopier_cli/node_status.py
+++ b/libraries/cli/src/bamboopier_cli/node_status.py
@@ -27,9 +27,9 @@
 
     from bamboopier_objects.vms import Vm, VmListSource
 
-ASKED_AT_ONCE = 64
-ANSWER_SECONDS = 2.0
-ASK_AGAIN_SECONDS = 0.5
+MAX_CONCURRENT_REQUESTS = 64
+RESPONSE_TIMEOUT_SECONDS = 2.0
+POLL_INTERVAL_SECONDS = 0.5
 
 
 class NodeStatus(msgspec.Struct, frozen=True, kw_only=True):
@@ -58,10 +58,10 @@
     return [vm for vm in answer.ok_value if vm.role != "store"]
 
 
-async def ask_nodes(nodes: Sequence[Vm]) -> list[NodeStatus]:
+async def read_node_statuses(nodes: Sequence[Vm]) -> list[NodeStatus]:
     """Return the status of each node in the order given."""
-    gate = asyncio.Semaphore(ASKED_AT_ONCE)
-    timeout = aiohttp.ClientTimeout(total=ANSWER_SECONDS)
+    gate = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
+    timeout = aiohttp.ClientTimeout(total=RESPONSE_TIMEOUT_SECONDS)
     connector = aiohttp.TCPConnector(
         ssl=read_certificates().make_client_context() or True
     )
@@ -70,13 +70,13 @@
         async def ask(vm: Vm) -> NodeStatus:
             async with gate:
                 if vm.role == "gateway":
-                    return await _ask_gateway(session, vm)
-                return await _ask_agent(vm)
+                    return await _read_gateway_status(session, vm)
+                return await _read_agent_status(vm)
 
         return list(await asyncio.gather(*(ask(vm) for vm in nodes)))
 
 
-async def wait_in_force(
+async def wait_for_generation(
     nodes: Sequence[Vm], generation: int, timeout: float
 ) -> list[NodeStatus]:
     """Ask until all nodes have ``generation`` or a higher one.
@@ -87,16 +87,16 @@
     limit = time.monotonic() + timeout
     left = list(nodes)
     while True:
-        statuses = await ask_nodes(left)
+        statuses = await read_node_statuses(left)
         behind = [status for status in statuses if status.generation < generation]
         if not behind or time.monotonic() >= limit:
             return behind
         names = {status.name for status in behind}
         left = [vm for vm in left if vm.name in names]
-        await asyncio.sleep(ASK_AGAIN_SECONDS)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
 
-def _start_status(vm: Vm) -> NodeStatus:
+def _make_unreachable_status(vm: Vm) -> NodeStatus:
     return NodeStatus(
         name=vm.name,
         role="gateway" if vm.role == "gateway" else "target",
@@ -106,8 +106,8 @@
     )
 
 
-async def _ask_gateway(session: aiohttp.ClientSession, vm: Vm) -> NodeStatus:
-    status = _start_status(vm)
+async def _read_gateway_status(session: aiohttp.ClientSession, vm: Vm) -> NodeStatus:
+    status = _make_unreachable_status(vm)
     try:
         scheme = "https" if read_certificates().is_enabled else "http"
         async with session.get(f"{scheme}://{vm.address}/v1/status") as response:
@@ -123,12 +123,12 @@
     )
 
 
-async def _ask_agent(vm: Vm) -> NodeStatus:
-    status = _start_status(vm)
+async def _read_agent_status(vm: Vm) -> NodeStatus:
+    status = _make_unreachable_status(vm)
     async with read_certificates().open_channel(vm.address) as channel:
         stub = agent_pb2_grpc.AgentStub(channel)
         try:
-            report = await stub.Report(pb.ReportRequest(), timeout=ANSWER_SECONDS)
+            report = await stub.Report(pb.ReportRequest(), timeout=RESPONSE_TIMEOUT_SECONDS)
         except grpc.aio.AioRpcError:
             return status
     return msgspec.structs.replace(
--- a/libraries/cli/src/bamboopier_cli/publishing.py
+++ b/libraries/cli/src/bamboopier_cli/publishing.py
@@ -16,7 +16,7 @@
 
 from .credentials import open_platform
 from .exit_codes import USAGE_ERROR, CommandError
-from .node_status import list_nodes, wait_in_force
+from .node_status import list_nodes, wait_for_generation
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -92,7 +92,7 @@
 ) -> ChangeResult:
     """Return the result with the nodes that do not have it after ``timeout``."""
     nodes = await list_nodes(platform)
-    behind = await wait_in_force(nodes, result.generation, timeout)
+    behind = await wait_for_generation(nodes, result.generation, timeout)
     return msgspec.structs.replace(result, behind=[status.name for status in behind])
 
 
