--- a/libraries/cli/src/bamboopier_cli/commands/publish.py
+++ b/libraries/cli/src/bamboopier_cli/commands/publish.py
@@ -18,9 +18,9 @@
 from ..output import render
 from ..publishing import (
     ChangeResult,
-    fail_behind,
-    read_current,
-    wait_everywhere,
+    fail_if_nodes_behind,
+    read_current_generation,
+    wait_for_nodes,
 )
 from .check import collect_or_fail
 
@@ -70,7 +70,7 @@
 ) -> PublishResult:
     async with open_platform(url) as platform:
         publisher = Publisher(platform)
-        base = await read_current(publisher)
+        base = await read_current_generation(publisher)
         wanted = msgspec.structs.replace(
             configuration, drains=base.configuration.drains
         )
@@ -89,5 +89,5 @@
             number = answer.ok_value.number
         if wait:
             change = ChangeResult(number, bool(differences))
-            fail_behind(await wait_everywhere(platform, change, timeout))
+            fail_if_nodes_behind(await wait_for_nodes(platform, change, timeout))
         return PublishResult(number, number != base.number, differences)
--- a/libraries/cli/src/bamboopier_cli/commands/restore.py
+++ b/libraries/cli/src/bamboopier_cli/commands/restore.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from ..output import render
-from ..publishing import fail_behind, set_drained
+from ..publishing import fail_if_nodes_behind, set_drained
 
 
 def restore(
@@ -27,7 +27,7 @@
     result = asyncio.run(
         set_drained(platform, place, name, drained=False, wait=wait, timeout=timeout)
     )
-    fail_behind(result)
+    fail_if_nodes_behind(result)
     if not result.changed:
         text = f"{place} {name} was restored already (generation {result.generation})"
     else:
--- a/libraries/cli/src/bamboopier_cli/commands/status.py
+++ b/libraries/cli/src/bamboopier_cli/commands/status.py
@@ -11,7 +11,7 @@
 
 from ..credentials import open_platform
 from ..output import render
-from ..publishing import read_current
+from ..publishing import read_current_generation
 from ..node_status import NodeStatus, read_node_statuses, list_nodes
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
 
 async def _status(url: str) -> FleetStatus:
     async with open_platform(url) as platform:
-        current = await read_current(Publisher(platform))
+        current = await read_current_generation(Publisher(platform))
         nodes = await read_node_statuses(await list_nodes(platform))
         drains = current.configuration.drains
         return FleetStatus(current.number, drains.data_centres, drains.targets, nodes)
--- a/libraries/cli/src/bamboopier_cli/publishing.py
+++ b/libraries/cli/src/bamboopier_cli/publishing.py
@@ -26,8 +26,8 @@
     from bamboopier_objects.vms import Vm
 
 # Drains by several operators at once compose; each conflict means that one got through.
-DRAIN_ATTEMPTS = 20
-CONFLICT_PAUSE_SECONDS = 0.2
+MAX_DRAIN_ATTEMPTS = 20
+MAX_CONFLICT_DELAY_SECONDS = 0.2
 
 DATA_CENTRE = "data-centre"
 TARGET = "target"
@@ -43,7 +43,7 @@
     behind: list[str] = []
 
 
-async def read_current(publisher: Publisher) -> Generation:
+async def read_current_generation(publisher: Publisher) -> Generation:
     """Return the published generation or end the command."""
     answer = await publisher.read()
     if isinstance(answer, Err):
@@ -63,7 +63,7 @@
     """Take a place out of service or back; with ``wait`` until all nodes know it."""
     async with open_platform(platform_url) as platform:
         result = await change_drains(platform, place, name, drained=drained)
-        return await wait_everywhere(platform, result, timeout) if wait else result
+        return await wait_for_nodes(platform, result, timeout) if wait else result
 
 
 async def change_drains(
@@ -72,9 +72,9 @@
     """Take a place out of service or back; retried while others publish."""
     nodes = await list_nodes(platform)
     publisher = Publisher(platform)
-    for _ in range(DRAIN_ATTEMPTS):
-        base = await read_current(publisher)
-        drains = _change(base.configuration.drains, place, name, nodes, drained)
+    for _ in range(MAX_DRAIN_ATTEMPTS):
+        base = await read_current_generation(publisher)
+        drains = _apply_drain(base.configuration.drains, place, name, nodes, drained)
         if drains == base.configuration.drains:
             return ChangeResult(base.number, False)
         wanted = msgspec.structs.replace(base.configuration, drains=drains)
@@ -83,11 +83,11 @@
             return ChangeResult(answer.ok_value.number, True)
         if not isinstance(answer.err_value, VersionConflictError):
             raise CommandError(str(answer.err_value))
-        await asyncio.sleep(random.uniform(0, CONFLICT_PAUSE_SECONDS))
+        await asyncio.sleep(random.uniform(0, MAX_CONFLICT_DELAY_SECONDS))
     raise CommandError("nothing changed: other publishers came first each time")
 
 
-async def wait_everywhere(
+async def wait_for_nodes(
     platform: HttpPlatform, result: ChangeResult, timeout: float
 ) -> ChangeResult:
     """Return the result with the nodes that do not have it after ``timeout``."""
@@ -96,7 +96,7 @@
     return msgspec.structs.replace(result, behind=[status.name for status in behind])
 
 
-def fail_behind(result: ChangeResult) -> None:
+def fail_if_nodes_behind(result: ChangeResult) -> None:
     """End the command when some nodes are behind."""
     if result.behind:
         names = ", ".join(result.behind)
@@ -104,7 +104,7 @@
         raise CommandError(text)
 
 
-def _change(
+def _apply_drain(
     drains: Drains, place: str, name: str, nodes: list[Vm], drained: bool
 ) -> Drains:
     names: dict[str, Callable[[Vm], str]] = {
