--- a/libraries/cli/src/bamboopier_cli/commands/explain.py
+++ b/libraries/cli/src/bamboopier_cli/commands/explain.py
@@ -62,7 +62,7 @@
     if len(known) > 1:
         message = f"'{request_id}' begins {len(known)} request ids; give more of it"
         raise CommandError(message, USAGE_ERROR)
-    text = "\n".join(map(_describe, decisions))
+    text = "\n".join(map(_format_decision, decisions))
     return render(decisions, text, json)
 
 
@@ -75,7 +75,7 @@
         raise CommandError(f"{name}: {error.strerror}", USAGE_ERROR) from error
 
 
-def _describe(decision: DecisionLine) -> str:
+def _format_decision(decision: DecisionLine) -> str:
     details = dict(decision.details)
     parts = [f"{decision.timestamp}  {decision.event}"]
     if target := details.pop("target", ""):
@@ -87,13 +87,13 @@
     candidates = details.pop("candidates", {})
     lines = ["".join(parts)]
     if isinstance(candidates, dict) and candidates:
-        weighed = ", ".join(f"{name} {_tell(v)}" for name, v in candidates.items())
+        weighed = ", ".join(f"{name} {_format_value(v)}" for name, v in candidates.items())
         lines.append(f"    candidates, expected seconds to first byte: {weighed}")
     if details:
-        rest = ", ".join(f"{name} {_tell(v)}" for name, v in details.items())
+        rest = ", ".join(f"{name} {_format_value(v)}" for name, v in details.items())
         lines.append(f"    {rest}")
     return "\n".join(lines)
 
 
-def _tell(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return f"{value:g}" if isinstance(value, float) else str(value)
--- a/libraries/cli/src/bamboopier_cli/commands/publish.py
+++ b/libraries/cli/src/bamboopier_cli/commands/publish.py
@@ -13,7 +13,7 @@
 from bamboopier_objects.publisher import Publisher
 
 from ..credentials import open_platform
-from ..difference import Difference, compare, describe
+from ..difference import Difference, compare_configurations, format_differences
 from ..exit_codes import CommandError
 from ..output import render
 from ..publishing import (
@@ -61,7 +61,7 @@
     else:
         text = f"generation {result.generation} says the same; nothing published"
     if diff or dry_run:
-        text = f"{describe(result.differences)}\n{text}"
+        text = f"{format_differences(result.differences)}\n{text}"
     return render(result, text, json)
 
 
@@ -74,7 +74,7 @@
         wanted = msgspec.structs.replace(
             configuration, drains=base.configuration.drains
         )
-        differences = compare(base.configuration, wanted)
+        differences = compare_configurations(base.configuration, wanted)
         if dry_run:
             return PublishResult(base.number + 1, False, differences)
         number = base.number
--- a/libraries/cli/src/bamboopier_cli/commands/replay.py
+++ b/libraries/cli/src/bamboopier_cli/commands/replay.py
@@ -38,8 +38,8 @@
     KEYS is a JSON file of workspace names and their API keys. OUTCOMES is a JSON file
     of stated outcomes; exit code 1 where one does not hold. SPEED shortens all gaps.
     """
-    loaded = _take(read_trace(Path(trace)))
-    stated = _take(read_expectations(Path(outcomes))) if outcomes else []
+    loaded = _unwrap(read_trace(Path(trace)))
+    stated = _unwrap(read_expectations(Path(outcomes))) if outcomes else []
     read = read_file(Path(keys), dict[str, str])
     if isinstance(read, Err):
         fail_configuration(read.err_value)
@@ -48,7 +48,7 @@
     asyncio.run(player.play(loaded))
     summaries = summarize(player.observations)
     verdicts = check_expectations(stated, summaries)
-    text = _render_json(summaries, verdicts) if json else _render(summaries, verdicts)
+    text = _render_json(summaries, verdicts) if json else _render_text(summaries, verdicts)
     missed = sum(not verdict.holds for verdict in verdicts)
     if missed or player.unfinished:
         print(text)
@@ -57,7 +57,7 @@
     return text
 
 
-def _take(answer: Result[T, BamboopierError]) -> T:
+def _unwrap(answer: Result[T, BamboopierError]) -> T:
     if isinstance(answer, Err):
         raise CommandError(str(answer.err_value), USAGE_ERROR)
     return answer.ok_value
@@ -67,9 +67,9 @@
     return msgspec.json.encode({"summaries": summaries, "verdicts": verdicts}).decode()
 
 
-def _render(summaries: list[Summary], verdicts: list[Verdict]) -> str:
+def _render_text(summaries: list[Summary], verdicts: list[Verdict]) -> str:
     lines = [
-        f"{s.tag}: {s.requests} requests, {_join(s.outcomes)}; first byte p50 "
+        f"{s.tag}: {s.requests} requests, {_format_counts(s.outcomes)}; first byte p50 "
         f"{s.first_byte_p50:.3f} s, p95 {s.first_byte_p95:.3f} s; "
         f"recomputed {s.recomputed_share:.1%}"
         for s in summaries
@@ -83,5 +83,5 @@
     return "\n".join(lines)
 
 
-def _join(counts: dict[str, int]) -> str:
+def _format_counts(counts: dict[str, int]) -> str:
     return ", ".join(f"{count} {name}" for name, count in sorted(counts.items()))
--- a/libraries/cli/src/bamboopier_cli/commands/status.py
+++ b/libraries/cli/src/bamboopier_cli/commands/status.py
@@ -18,8 +18,8 @@
     from collections.abc import Sequence
 
 
-PLACE_TITLES = ("NODE", "ROLE", "DATA-CENTRE", "SERVICE", "STATE", "GENERATION")
-TITLES = (*PLACE_TITLES, "VERSION", "RUNNING", "WAITING", "LIMIT")
+NODE_TITLES = ("NODE", "ROLE", "DATA-CENTRE", "SERVICE", "STATE", "GENERATION")
+TITLES = (*NODE_TITLES, "VERSION", "RUNNING", "WAITING", "LIMIT")
 
 
 class FleetStatus(msgspec.Struct, frozen=True):
@@ -38,11 +38,11 @@
     list. The exit code is 1 when the platform cannot be read; nodes that do not answer
     are shown as such.
     """
-    found = asyncio.run(_status(platform))
-    return render(found, _describe(found), json)
+    found = asyncio.run(_read_fleet_status(platform))
+    return render(found, _render_text(found), json)
 
 
-async def _status(url: str) -> FleetStatus:
+async def _read_fleet_status(url: str) -> FleetStatus:
     async with open_platform(url) as platform:
         current = await read_current_generation(Publisher(platform))
         nodes = await read_node_statuses(await list_nodes(platform))
@@ -50,7 +50,7 @@
         return FleetStatus(current.number, drains.data_centres, drains.targets, nodes)
 
 
-def _describe(found: FleetStatus) -> str:
+def _render_text(found: FleetStatus) -> str:
     in_force = sum(node.generation >= found.generation for node in found.nodes)
     lines = [
         f"generation {found.generation}, in force at {in_force} of "
@@ -59,11 +59,11 @@
         f"drained targets: {', '.join(found.drained_targets) or 'none'}",
         "",
     ]
-    rows = [TITLES, *(_list_cells(node, found) for node in found.nodes)]
-    return "\n".join(lines + _align(rows))
+    rows = [TITLES, *(_make_row(node, found) for node in found.nodes)]
+    return "\n".join(lines + _align_columns(rows))
 
 
-def _list_cells(node: NodeStatus, found: FleetStatus) -> tuple[str, ...]:
+def _make_row(node: NodeStatus, found: FleetStatus) -> tuple[str, ...]:
     load = (str(node.running), str(node.waiting), str(node.limit))
     place = (node.name, node.role, node.data_centre, node.service or "-")
     if not node.reachable:
@@ -84,7 +84,7 @@
     return "ready" if node.accepting else "closed"
 
 
-def _align(rows: Sequence[tuple[str, ...]]) -> list[str]:
+def _align_columns(rows: Sequence[tuple[str, ...]]) -> list[str]:
     widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
     return [
         "  ".join(
--- a/libraries/cli/src/bamboopier_cli/decision_log.py
+++ b/libraries/cli/src/bamboopier_cli/decision_log.py
@@ -11,7 +11,7 @@
 
 # A decision line is far shorter; anything longer is not one and is skipped.
 MAX_LINE_BYTES = 1024 * 1024
-_OWN_FIELDS = frozenset({"event", "timestamp", "level", "request_id"})
+_COMMON_FIELDS = frozenset({"event", "timestamp", "level", "request_id"})
 
 
 class DecisionLine(msgspec.Struct, frozen=True):
@@ -33,13 +33,13 @@
     found: list[DecisionLine] = []
     for file in files:
         for line in file:
-            decision = _parse(line)
+            decision = _parse_line(line)
             if decision is not None and decision.request_id.startswith(request_id):
                 found.append(decision)
     return sorted(found, key=lambda decision: decision.timestamp)
 
 
-def _parse(line: bytes) -> DecisionLine | None:
+def _parse_line(line: bytes) -> DecisionLine | None:
     # A collector may have put its own words before the object.
     start = line.find(b"{")
     if start < 0 or len(line) > MAX_LINE_BYTES:
@@ -51,6 +51,6 @@
     request_id = fields.get("request_id")
     if not isinstance(request_id, str) or not request_id:
         return None
-    details = {name: v for name, v in fields.items() if name not in _OWN_FIELDS}
+    details = {name: v for name, v in fields.items() if name not in _COMMON_FIELDS}
     event, timestamp = str(fields.get("event", "")), str(fields.get("timestamp", ""))
     return DecisionLine(event, timestamp, request_id, details)
--- a/libraries/cli/src/bamboopier_cli/difference.py
+++ b/libraries/cli/src/bamboopier_cli/difference.py
@@ -21,7 +21,7 @@
     change: Literal["added", "removed", "changed"]
 
 
-def compare(old: Configuration, new: Configuration) -> list[Difference]:
+def compare_configurations(old: Configuration, new: Configuration) -> list[Difference]:
     """Return what differs in ``new``, ordered by section and name."""
     found: list[Difference] = []
     for section in SECTIONS:
@@ -37,7 +37,7 @@
     return found
 
 
-def describe(differences: list[Difference]) -> str:
+def format_differences(differences: list[Difference]) -> str:
     """Return a line for each difference."""
     lines = [f"{_SIGNS[d.change]} {d.section} {d.name}" for d in differences]
     return "\n".join(lines) or "no difference"
