--- a/libraries/replay/src/bamboopier_replay/prompts.py
+++ b/libraries/replay/src/bamboopier_replay/prompts.py
@@ -7,15 +7,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from .trace import Part
+    from .trace import PromptPart
 
 
-def make_prompt(parts: Iterable[Part]) -> str:
+def make_prompt(parts: Iterable[PromptPart]) -> str:
     """Return the prompt's text; equal parts always give equal words."""
     return " ".join(piece for part in parts if (piece := _make_part(part)))
 
 
-def _make_part(part: Part) -> str:
+def _make_part(part: PromptPart) -> str:
     if part.text:
         return part.text
     return " ".join(f"{part.seed}-{number}" for number in range(part.words))
--- a/libraries/replay/src/bamboopier_replay/synthetic_traces.py
+++ b/libraries/replay/src/bamboopier_replay/synthetic_traces.py
@@ -5,10 +5,10 @@
 import random
 
 from .trace import (
-    FORMAT,
-    Header,
+    FORMAT_VERSION,
+    TraceHeader,
     ModelRequest,
-    Part,
+    PromptPart,
     PlainRequest,
     Trace,
     TracedRequest,
@@ -19,25 +19,25 @@
 CATALOGUE_WORDS = 8000
 QUESTION_WORDS = 30
 # Gaps between a caller's returns, from seconds to days, all equally likely in log.
-SHORTEST_GAP = 5.0
-LONGEST_GAP = 3 * 86_400.0
+MIN_GAP_SECONDS = 5.0
+MAX_GAP_SECONDS = 3 * 86_400.0
 
 
-def make_fault_desk_trace(seed: int, pillars: int, returns: int) -> Trace:
+def make_fault_desk_trace(seed: int, pillars: int, turns: int) -> Trace:
     """Conversations about pillars that come back after long and uneven gaps."""
     generator = random.Random(seed)
     requests: list[TracedRequest] = []
     for pillar in range(pillars):
         at = generator.uniform(0, 600)
-        parts = [Part(seed=f"history-{pillar}", words=HISTORY_WORDS)]
-        for turn in range(returns):
-            parts.append(Part(seed=f"turn-{pillar}-{turn}", words=QUESTION_WORDS))
+        parts = [PromptPart(seed=f"history-{pillar}", words=HISTORY_WORDS)]
+        for turn in range(turns):
+            parts.append(PromptPart(seed=f"turn-{pillar}-{turn}", words=QUESTION_WORDS))
             model = ModelRequest("pillar-8b", list(parts))
             tag = "first" if turn == 0 else "return"
             requests.append(TracedRequest(at, "fosse-midlands", tag, model=model))
             at += _draw_gap(generator)
     ordered = tuple(sorted(requests, key=lambda request: request.at))
-    header = Header(FORMAT, f"fault desk, seed {seed}, {pillars} pillars")
+    header = TraceHeader(FORMAT_VERSION, f"fault desk, seed {seed}, {pillars} pillars")
     return Trace(header, ordered)
 
 
@@ -60,7 +60,7 @@
             )
             at += generator.uniform(0.5, 2.0)
     ordered = tuple(sorted(requests, key=lambda request: request.at))
-    return Trace(Header(FORMAT, f"dispatches, seed {seed}"), ordered)
+    return Trace(TraceHeader(FORMAT_VERSION, f"dispatches, seed {seed}"), ordered)
 
 
 def make_ordering_trace(seed: int, questions: int, catalogues: int) -> Trace:
@@ -72,17 +72,17 @@
         # A few catalogues get most of the questions.
         catalogue = min(int(generator.expovariate(1.0)), catalogues - 1)
         parts = [
-            Part(seed=f"catalogue-{catalogue}", words=CATALOGUE_WORDS),
-            Part(seed=f"question-{question}", words=QUESTION_WORDS),
+            PromptPart(seed=f"catalogue-{catalogue}", words=CATALOGUE_WORDS),
+            PromptPart(seed=f"question-{question}", words=QUESTION_WORDS),
         ]
         model = ModelRequest("rind-3b", parts)
         tag = f"catalogue-{catalogue}"
         requests.append(TracedRequest(at, "gouda-counter", tag, model=model))
         at += generator.expovariate(0.5)
-    return Trace(Header(FORMAT, f"ordering, seed {seed}"), tuple(requests))
+    return Trace(TraceHeader(FORMAT_VERSION, f"ordering, seed {seed}"), tuple(requests))
 
 
 def _draw_gap(generator: random.Random) -> float:
     """Return a gap in seconds, log-uniform between the shortest and the longest."""
     exponent = generator.random()
-    return float(SHORTEST_GAP * (LONGEST_GAP / SHORTEST_GAP) ** exponent)
+    return float(MIN_GAP_SECONDS * (MAX_GAP_SECONDS / MIN_GAP_SECONDS) ** exponent)
--- a/libraries/replay/src/bamboopier_replay/trace.py
+++ b/libraries/replay/src/bamboopier_replay/trace.py
@@ -20,21 +20,21 @@
 
 T = TypeVar("T")
 
-FORMAT: Literal[1] = 1
+FORMAT_VERSION: Literal[1] = 1
 
 
 class TraceError(BamboopierError):
     """A trace that may not be replayed; names the line and what is wrong there."""
 
 
-class Header(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class TraceHeader(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The first line of a trace."""
 
     bamboopier_trace: Literal[1]
     description: str = ""
 
 
-class Part(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class PromptPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A piece of a prompt: ``text`` as it stands, or ``words`` made from ``seed``."""
 
     text: str = ""
@@ -46,7 +46,7 @@
     """A completion to ask for."""
 
     model: str
-    prompt: list[Part]
+    prompt: list[PromptPart]
     max_tokens: Annotated[int, msgspec.Meta(ge=1)] = 16
     stream: bool = True
 
@@ -78,7 +78,7 @@
 class Trace:
     """A whole trace, requests in order of their time."""
 
-    header: Header
+    header: TraceHeader
     requests: tuple[TracedRequest, ...]
 
 
@@ -90,7 +90,7 @@
         return Err(TraceError(f"{path}: {error.strerror}"))
     if not lines:
         return Err(TraceError(f"{path}: empty; allowed: a header line first"))
-    header = _decode(lines[0], Header, path, 1)
+    header = _decode(lines[0], TraceHeader, path, 1)
     if isinstance(header, Err):
         return header
     requests: list[TracedRequest] = []
--- a/libraries/replay/tests/test_replay.py
+++ b/libraries/replay/tests/test_replay.py
@@ -16,7 +16,7 @@
 from bamboopier_replay.player import Player, PlayerOptions
 from bamboopier_replay.prompts import make_prompt
 from bamboopier_replay.report import summarize
-from bamboopier_replay.trace import Part, Trace, read_trace, write_trace
+from bamboopier_replay.trace import PromptPart, Trace, read_trace, write_trace
 
 USAGE = {"prompt_tokens": 100, "prompt_tokens_details": {"cached_tokens": 60}}
 
@@ -112,7 +112,7 @@
 
 class TraceTests(unittest.TestCase):
     def test_a_trace_survives_being_written_and_read(self) -> None:
-        trace = make_fault_desk_trace(3, pillars=4, returns=3)
+        trace = make_fault_desk_trace(3, pillars=4, turns=3)
         folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         write_trace(folder / "t", trace)
         self.assertEqual(read_trace(folder / "t").unwrap(), trace)
@@ -126,9 +126,9 @@
         self.assertIn("workspce", message)
 
     def test_returning_prompts_share_their_prefix(self) -> None:
-        trace: Trace = make_fault_desk_trace(3, pillars=1, returns=2)
+        trace: Trace = make_fault_desk_trace(3, pillars=1, turns=2)
         first, second = (r.model for r in trace.requests)
         assert first is not None and second is not None
         text = make_prompt(first.prompt)
         self.assertTrue(make_prompt(second.prompt).startswith(text + " "))
-        self.assertEqual(make_prompt([Part(seed="a", words=2)]), "a-0 a-1")
+        self.assertEqual(make_prompt([PromptPart(seed="a", words=2)]), "a-0 a-1")
