--- a/libraries/replay/src/bamboopier_replay/expectations.py
+++ b/libraries/replay/src/bamboopier_replay/expectations.py
@@ -9,7 +9,7 @@
 
 from bamboopier_configuration.errors import BamboopierError
 
-from .report import ALL
+from .report import ALL_TAG
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -36,7 +36,7 @@
     """A bound on one measure of one tag."""
 
     measure: Measure
-    tag: str = ALL
+    tag: str = ALL_TAG
     at_least: float | None = None
     at_most: float | None = None
 
@@ -62,10 +62,10 @@
 def check_expectations(expectations: list[Expectation], summaries: list[Summary]) -> list[Verdict]:
     """Compare each stated outcome with the replay's figures."""
     by_tag = {summary.tag: summary for summary in summaries}
-    return [_judge_one(e, by_tag.get(e.tag)) for e in expectations]
+    return [_check_expectation(e, by_tag.get(e.tag)) for e in expectations]
 
 
-def _judge_one(expectation: Expectation, summary: Summary | None) -> Verdict:
+def _check_expectation(expectation: Expectation, summary: Summary | None) -> Verdict:
     if summary is None or summary.requests == 0:
         return Verdict(expectation, None, holds=False)
     found = float(getattr(summary, expectation.measure))
--- a/libraries/replay/src/bamboopier_replay/observation.py
+++ b/libraries/replay/src/bamboopier_replay/observation.py
@@ -31,7 +31,7 @@
     # The error's stable code, empty for answers.
     code: str = ""
     first_byte: float = 0.0
-    whole: float = 0.0
+    total: float = 0.0
     retry_after: float = 0.0
     prompt_tokens: int = 0
     cached_tokens: int = 0
--- a/libraries/replay/src/bamboopier_replay/player.py
+++ b/libraries/replay/src/bamboopier_replay/player.py
@@ -20,9 +20,9 @@
     from .trace import Trace, TracedRequest
 
 # A caller that was never answered is given up after its own timeout and this.
-GRACE_SECONDS = 5.0
+TIMEOUT_GRACE_SECONDS = 5.0
 DEFAULT_TIMEOUT_SECONDS = 60.0
-_USAGE_MARK = b'"usage":'
+_USAGE_KEY = b'"usage":'
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,10 +69,10 @@
         self._gateways = [url.rstrip("/") for url in gateways]
         self._api_keys = api_keys
         self._options = options
-        self._open = asyncio.Semaphore(options.max_open)
+        self._open_slots = asyncio.Semaphore(options.max_open)
         self.observations: list[Observation] = []
         # Seconds by which the latest request was started too late.
-        self.worst_delay = 0.0
+        self.max_start_delay = 0.0
         self.unfinished = 0
 
     async def play(self, trace: Trace) -> None:
@@ -99,8 +99,8 @@
         for number, request in enumerate(trace.requests):
             due = started + request.at / self._options.speed
             await asyncio.sleep(max(0.0, due - time.monotonic()))
-            await self._open.acquire()
-            self.worst_delay = max(self.worst_delay, time.monotonic() - due)
+            await self._open_slots.acquire()
+            self.max_start_delay = max(self.max_start_delay, time.monotonic() - due)
             gateway = self._gateways[number % len(self._gateways)]
             tasks.append(asyncio.create_task(self._run(session, gateway, request)))
 
@@ -110,17 +110,17 @@
         try:
             self.observations.append(await self._observe(session, gateway, request))
         finally:
-            self._open.release()
+            self._open_slots.release()
 
     async def _observe(
         self, session: aiohttp.ClientSession, gateway: str, request: TracedRequest
     ) -> Observation:
         started = time.monotonic()
         method, path, body = _make_call(request)
-        patience = (request.timeout or DEFAULT_TIMEOUT_SECONDS) + GRACE_SECONDS
+        timeout = (request.timeout or DEFAULT_TIMEOUT_SECONDS) + TIMEOUT_GRACE_SECONDS
         try:
             async with (
-                asyncio.timeout(patience),
+                asyncio.timeout(timeout),
                 session.request(
                     method, gateway + path, data=body, headers=self._headers(request)
                 ) as response,
@@ -128,7 +128,7 @@
                 first = await response.content.readany()
                 first_byte = time.monotonic() - started
                 content = first + await response.read()
-                return _describe(request, response, content, started, first_byte)
+                return _make_observation(request, response, content, started, first_byte)
         except TimeoutError:
             return Observation(request.tag, request.workspace, Outcome.TIMED_OUT)
         except aiohttp.ClientError:
@@ -159,7 +159,7 @@
     return "POST", "/v1/completions", msgspec.json.encode(body)
 
 
-def _describe(
+def _make_observation(
     request: TracedRequest,
     response: aiohttp.ClientResponse,
     content: bytes,
@@ -174,7 +174,7 @@
         outcome=outcome,
         code=code,
         first_byte=first_byte,
-        whole=time.monotonic() - started,
+        total=time.monotonic() - started,
         retry_after=float(response.headers.get("Retry-After", "0")),
         prompt_tokens=usage.prompt_tokens,
         cached_tokens=usage.prompt_tokens_details.cached_tokens,
@@ -199,10 +199,10 @@
 
 
 def _read_usage(content: bytes) -> _Usage:
-    position = content.rfind(_USAGE_MARK)
+    position = content.rfind(_USAGE_KEY)
     if position < 0:
         return _Usage()
-    text = content[position + len(_USAGE_MARK) :]
+    text = content[position + len(_USAGE_KEY) :]
     end = text.find(b"}}") + 2
     try:
         return msgspec.json.decode(text[:end], type=_Usage)
--- a/libraries/replay/src/bamboopier_replay/report.py
+++ b/libraries/replay/src/bamboopier_replay/report.py
@@ -17,9 +17,9 @@
 
 # Histograms count microseconds up to an hour with three digits.
 MAX_MICROSECONDS = 3_600_000_000
-DIGITS = 3
+SIGNIFICANT_DIGITS = 3
 # The tag under which all requests are summed up together.
-ALL = "all"
+ALL_TAG = "all"
 
 
 class Summary(msgspec.Struct):
@@ -46,14 +46,14 @@
     """Return a summary for all requests and one for each tag."""
     tags = sorted({o.tag for o in observations})
     groups = [(tag, [o for o in observations if o.tag == tag]) for tag in tags]
-    return [_sum_up(tag, group) for tag, group in [(ALL, observations), *groups]]
+    return [_summarize_tag(tag, group) for tag, group in [(ALL_TAG, observations), *groups]]
 
 
-def _sum_up(tag: str, observations: list[Observation]) -> Summary:
+def _summarize_tag(tag: str, observations: list[Observation]) -> Summary:
     answered = [o for o in observations if o.outcome is Outcome.ANSWERED]
     refused = [o for o in observations if o.outcome is Outcome.REFUSED]
-    first = _count(o.first_byte for o in answered)
-    whole = _count(o.whole for o in answered)
+    first = _make_histogram(o.first_byte for o in answered)
+    total = _make_histogram(o.total for o in answered)
     prompt = sum(o.prompt_tokens for o in answered)
     cached = sum(o.cached_tokens for o in answered)
     hinted = sum(o.retry_after > 0 for o in refused)
@@ -63,28 +63,28 @@
         outcomes=dict(Counter(o.outcome.value for o in observations)),
         codes=dict(Counter(o.code for o in observations if o.code)),
         answered_share=len(answered) / max(1, len(observations)),
-        first_byte_p50=_read(first, 50),
-        first_byte_p95=_read(first, 95),
-        first_byte_p99=_read(first, 99),
-        whole_p95=_read(whole, 95),
+        first_byte_p50=_read_percentile(first, 50),
+        first_byte_p95=_read_percentile(first, 95),
+        first_byte_p99=_read_percentile(first, 99),
+        whole_p95=_read_percentile(total, 95),
         recomputed_share=(prompt - cached) / max(1, prompt),
         hinted_share=hinted / len(refused) if refused else 1.0,
-        keys_with_two_answers=_count_split_keys(answered),
+        keys_with_two_answers=_count_inconsistent_keys(answered),
     )
 
 
-def _count(seconds: Iterable[float]) -> HdrHistogram:
-    histogram = HdrHistogram(1, MAX_MICROSECONDS, DIGITS)
+def _make_histogram(seconds: Iterable[float]) -> HdrHistogram:
+    histogram = HdrHistogram(1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
     for value in seconds:
         histogram.record_value(max(1, int(value * 1e6)))
     return histogram
 
 
-def _read(histogram: HdrHistogram, percentile: float) -> float:
+def _read_percentile(histogram: HdrHistogram, percentile: float) -> float:
     return float(histogram.get_value_at_percentile(percentile)) / 1e6
 
 
-def _count_split_keys(answered: list[Observation]) -> int:
+def _count_inconsistent_keys(answered: list[Observation]) -> int:
     digests: dict[tuple[str, str], set[str]] = {}
     for seen in answered:
         if seen.idempotency_key:
