--- a/libraries/standins/src/bamboopier_standins/engine.py
+++ b/libraries/standins/src/bamboopier_standins/engine.py
@@ -23,7 +23,7 @@
 from .server import MAX_BODY_BYTES, run
 
 # A stopping engine takes no new connection and finishes what runs.
-STOP_SECONDS = 10.0
+STOP_GRACE_SECONDS = 10.0
 VERSION_HEADER = "Weight-Version"
 # Bytes of exported context a token takes; real engines need some hundred times more.
 BYTES_PER_TOKEN = 64
@@ -73,8 +73,8 @@
     running: int = 0
 
     # Until when the state shows the version before the last load.
-    reported: str = ""
-    reported_until: float = 0.0
+    previous_version: str = ""
+    previous_version_until: float = 0.0
 
     def __post_init__(self) -> None:
         self.slots = asyncio.Semaphore(self.options.slots)
@@ -145,7 +145,7 @@
         cached = self._count_cached(salt, keys, version) * self.options.block_tokens
         entry["cached"] = cached
         await asyncio.sleep((tokens - cached) / self.options.prefill_rate)
-        self._remember_prompt(salt, keys, version, prompt.split())
+        self._cache_prompt(salt, keys, version, prompt.split())
         count = min(int(body.get("max_tokens", 16)), 4096)
         usage = {
             "prompt_tokens": tokens,
@@ -192,7 +192,7 @@
             count += 1
         return count
 
-    def _remember_prompt(
+    def _cache_prompt(
         self, salt: str, keys: list[str], version: str, words: list[str]
     ) -> None:
         for number, key in enumerate(keys, 1):
@@ -201,17 +201,17 @@
                 end = number * self.options.block_tokens
                 content = make_block(version, words[:end], self.options.block_tokens)
                 block = CachedBlock(version, content)
-            self._remember(salt, key, block)
+            self._cache_block(salt, key, block)
 
-    def _remember(self, salt: str, key: str, block: CachedBlock) -> None:
+    def _cache_block(self, salt: str, key: str, block: CachedBlock) -> None:
         if (salt, key) not in self.cache:
             self.events.append({"kind": "stored", "key": key})
         self.cache[salt, key] = block
         self.cache.move_to_end((salt, key))
         while len(self.cache) > self.options.capacity:
-            self._drop_oldest()
+            self._evict_oldest()
 
-    def _drop_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         (_, key), _ = self.cache.popitem(last=False)
         self.events.append({"kind": "evicted", "key": key})
 
@@ -219,15 +219,15 @@
         """Answer with start id, weight version and load."""
         state = {
             "start_id": self.start_id,
-            "version": self._report_version(),
+            "version": self._get_reported_version(),
             "running": self.running,
             "block_tokens": self.options.block_tokens,
         }
         return web.json_response(state)
 
-    def _report_version(self) -> str:
-        late = time.monotonic() < self.reported_until
-        return self.reported if late else self.version
+    def _get_reported_version(self) -> str:
+        late = time.monotonic() < self.previous_version_until
+        return self.previous_version if late else self.version
 
     async def set_options(self, request: web.Request) -> web.Response:
         """Change options by name (test control)."""
@@ -260,8 +260,8 @@
         if self.options.failing_loads > 0:
             self.options.failing_loads -= 1
             return web.json_response({"version": self.version}, status=500)
-        self.reported = self.version
-        self.reported_until = time.monotonic() + self.options.report_lag
+        self.previous_version = self.version
+        self.previous_version_until = time.monotonic() + self.options.report_lag
         self.version = order["version"]
         return web.json_response({"version": self.version})
 
@@ -283,13 +283,13 @@
         digest = hashlib.sha256(content).hexdigest()
         entry = {"salt": salt, "key": key, "version": version, "digest": digest}
         self.imports.append(entry)
-        self._remember(salt, key, CachedBlock(version, content))
+        self._cache_block(salt, key, CachedBlock(version, content))
         return web.Response()
 
     async def evict(self, request: web.Request) -> web.Response:
         """Empty the cache (test control)."""
         while self.cache:
-            self._drop_oldest()
+            self._evict_oldest()
         return web.Response()
 
     async def list_log(self, request: web.Request) -> web.Response:
@@ -332,7 +332,7 @@
     async def make_application() -> web.Application:
         return EngineStandIn(EngineOptions(**options)).make_application()
 
-    run(make_application, port, STOP_SECONDS)
+    run(make_application, port, STOP_GRACE_SECONDS)
 
 
 if __name__ == "__main__":
--- a/libraries/standins/src/bamboopier_standins/plain.py
+++ b/libraries/standins/src/bamboopier_standins/plain.py
@@ -44,13 +44,13 @@
             "headers": [list(header) for header in request.headers.items()],
             "body": body,
         }
-        self._record(entry)
+        self._log_call(entry)
         await asyncio.sleep(self.delay)
         shown = {name: entry[name] for name in ("method", "path", "body")}
         answer = {"call": len(self.log), **shown}
         return web.json_response(answer, status=201 if body else 200)
 
-    def _record(self, entry: dict[str, Any]) -> None:
+    def _log_call(self, entry: dict[str, Any]) -> None:
         self.log.append(entry)
         if self.log_path:
             with open(self.log_path, "a") as file:
--- a/libraries/standins/src/bamboopier_standins/platform.py
+++ b/libraries/standins/src/bamboopier_standins/platform.py
@@ -20,9 +20,9 @@
 from .server import MAX_BODY_BYTES, run
 
 VERSION_HEADER = "Object-Version"
-EXPECTED_HEADER = "Expected-Version"
+EXPECTED_VERSION_HEADER = "Expected-Version"
 # Changes remembered for watches; an older watch gets 410 and must read again.
-HISTORY = 10_000
+MAX_HISTORY_ENTRIES = 10_000
 
 
 class PlatformStandIn:
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         self.revision = 0
         self.objects: dict[str, tuple[int, bytes]] = {}
-        self.older: dict[str, tuple[int, bytes]] = {}
+        self.previous: dict[str, tuple[int, bytes]] = {}
         self.history: list[tuple[int, str, int]] = []
         self.vms: list[dict[str, Any]] = []
         self.faults: dict[str, Any] = {}
@@ -53,7 +53,7 @@
                 web.get("/v1/vms", self.list_vms),
                 web.put("/vms", self.set_vms),
                 web.post("/faults", self.set_faults),
-                web.get("/calls", self.count_calls),
+                web.get("/calls", self.report_calls),
             ]
         )
         return application
@@ -82,9 +82,9 @@
         """Answer with the object's value; its version is in a header."""
         key = request.match_info["key"]
         stored = self.objects.get(key)
-        if self.faults.get("lag", 0) > 0 and key in self.older:
+        if self.faults.get("lag", 0) > 0 and key in self.previous:
             self.faults["lag"] -= 1
-            stored = self.older[key]
+            stored = self.previous[key]
         if stored is None:
             return web.Response(status=404)
         return web.Response(body=stored[1], headers={VERSION_HEADER: str(stored[0])})
@@ -99,20 +99,20 @@
 
     async def _change(self, request: web.Request, value: bytes | None) -> web.Response:
         key = request.match_info["key"]
-        expected = int(request.headers[EXPECTED_HEADER])
+        expected = int(request.headers[EXPECTED_VERSION_HEADER])
         found = self.objects.get(key, (0, b""))[0]
         if found != expected:
             return web.Response(status=412, headers={VERSION_HEADER: str(found)})
         self.revision += 1
         if key in self.objects:
-            self.older[key] = self.objects[key]
+            self.previous[key] = self.objects[key]
         if value is None:
             self.objects.pop(key, None)
         else:
             self.objects[key] = (self.revision, value)
         version = self.revision if value is not None else 0
         self.history.append((self.revision, key, version))
-        del self.history[:-HISTORY]
+        del self.history[:-MAX_HISTORY_ENTRIES]
         async with self.changed:
             self.changed.notify_all()
         return web.Response(headers={VERSION_HEADER: str(self.revision)})
@@ -175,7 +175,7 @@
         self.faults = json.loads(await request.read())
         return web.Response()
 
-    async def count_calls(self, request: web.Request) -> web.Response:
+    async def report_calls(self, request: web.Request) -> web.Response:
         """Answer with the number of calls by kind."""
         return web.json_response(dict(self.calls))
 
--- a/libraries/standins/src/bamboopier_standins/store.py
+++ b/libraries/standins/src/bamboopier_standins/store.py
@@ -32,7 +32,7 @@
         self.faults: dict[str, int] = {}
         self.log: list[dict[str, Any]] = []
         # Reads now, and the most there were at once.
-        self.reading = 0
+        self.concurrent_reads = 0
         self.max_concurrent_reads = 0
 
     @property
@@ -43,7 +43,7 @@
     def make_application(self) -> web.Application:
         """Return the HTTP application."""
         application = web.Application(
-            client_max_size=MAX_BODY_BYTES, middlewares=[self._record]
+            client_max_size=MAX_BODY_BYTES, middlewares=[self._log_call]
         )
         application.add_routes(
             [
@@ -59,7 +59,7 @@
         return application
 
     @web.middleware
-    async def _record(self, request: web.Request, handler: Any) -> Any:
+    async def _log_call(self, request: web.Request, handler: Any) -> Any:
         if not request.path.startswith("/blocks"):
             return await handler(request)
         name = request.match_info.get("name", "")
@@ -67,12 +67,12 @@
         self.log.append(entry)
         if self.faults.get("frozen"):
             await asyncio.sleep(HANG_SECONDS)
-        self.reading += request.method == "GET"
-        self.max_concurrent_reads = max(self.max_concurrent_reads, self.reading)
+        self.concurrent_reads += request.method == "GET"
+        self.max_concurrent_reads = max(self.max_concurrent_reads, self.concurrent_reads)
         try:
             response = await handler(request)
         finally:
-            self.reading -= request.method == "GET"
+            self.concurrent_reads -= request.method == "GET"
         entry["status"] = response.status
         return response
 
