--- a/libraries/cli/tests/commands/test_explain.py
+++ b/libraries/cli/tests/commands/test_explain.py
@@ -36,7 +36,7 @@
         self.gateway.write_text("\n".join([*lines, "node7: " + json.dumps(CHOSEN)]))
         self.agent.write_text(json.dumps(REFUSED) + "\n")
 
-    def test_lines_of_both_daemons_are_told_in_order(self) -> None:
+    def test_lines_of_both_processes_are_printed_in_order(self) -> None:
         text = explain("abc1", str(self.agent), str(self.gateway))
         self.assertLess(text.index("target chosen"), text.index("attempt refused"))
         self.assertIn("desk-2 0.5", text)
@@ -48,7 +48,7 @@
         self.assertEqual([line["request_id"] for line in lines], ["abc1"])
         self.assertEqual(lines[0]["details"]["target"], "desk-1")
 
-    def test_a_beginning_that_two_requests_share_is_refused(self) -> None:
+    def test_a_prefix_of_two_request_ids_is_refused(self) -> None:
         with self.assertRaisesRegex(CommandError, "begins 2 request ids") as caught:
             explain("ab", str(self.gateway))
         self.assertEqual(caught.exception.status, USAGE_ERROR)
--- a/libraries/cli/tests/test_arguments.py
+++ b/libraries/cli/tests/test_arguments.py
@@ -29,12 +29,12 @@
         self.assertEqual(bound.named["platform"], "7")
         self.assertIs(bound.named["json"], True)
 
-    def test_a_number_and_a_flag_take_their_annotated_type(self) -> None:
+    def test_a_number_and_a_flag_are_parsed_as_annotated(self) -> None:
         words = ["--platform=p", "--count=3", "--json=false", "a"]
         bound = bind_arguments("move", move, words)
         self.assertEqual(bound.run(), "('a',) p False 3")
 
-    def test_each_mistake_is_one_line_that_names_the_cure(self) -> None:
+    def test_each_mistake_is_one_line_that_names_the_fix(self) -> None:
         for words, text in MISTAKES:
             with self.subTest(words), self.assertRaises(CommandError) as caught:
                 bind_arguments("move", move, words)
@@ -42,6 +42,6 @@
             self.assertNotIn("\n", str(caught.exception))
             self.assertEqual(caught.exception.status, USAGE_ERROR)
 
-    def test_an_unknown_command_is_answered_with_the_nearest(self) -> None:
+    def test_an_unknown_command_suggests_the_nearest(self) -> None:
         with self.assertRaisesRegex(CommandError, "did you mean 'move'"):
             find_command({"move": move}, "mvoe")
--- a/libraries/replay/tests/test_replay.py
+++ b/libraries/replay/tests/test_replay.py
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.calls = 0
 
-    async def answer(self, request: web.Request) -> web.StreamResponse:
+    async def respond(self, request: web.Request) -> web.StreamResponse:
         self.calls += 1
         await request.read()
         kind = request.match_info["kind"]
@@ -53,7 +53,7 @@
     async def asyncSetUp(self) -> None:
         fake = GatewayFake()
         application = web.Application()
-        application.router.add_route("*", "/services/{kind}/x", fake.answer)
+        application.router.add_route("*", "/services/{kind}/x", fake.respond)
         self.server = TestServer(application)
         await self.server.start_server()
         self.addAsyncCleanup(self.server.close)
@@ -77,7 +77,7 @@
         await player.play(trace)
         return player
 
-    async def test_each_ending_is_told_apart(self) -> None:
+    async def test_each_outcome_is_classified(self) -> None:
         player = await self.play(["ok", "refuse", "unknown", "cut"])
         found = {o.tag: o.outcome for o in player.observations}
         expected = {
@@ -88,17 +88,17 @@
         }
         self.assertEqual(found, expected)
 
-    async def test_recomputed_share_and_hints_come_from_the_answers(self) -> None:
+    async def test_recomputed_share_and_retry_after_come_from_the_responses(self) -> None:
         player = await self.play(["ok", "ok", "refuse"])
         total = summarize(player.observations)[0]
         self.assertAlmostEqual(total.recomputed_share, 0.4)
         self.assertEqual(total.hinted_share, 1.0)
 
-    async def test_two_answers_under_one_key_are_counted(self) -> None:
+    async def test_two_responses_under_one_key_are_counted(self) -> None:
         player = await self.play(["count", "count"], key="one-key")
         self.assertEqual(summarize(player.observations)[0].keys_with_two_answers, 1)
 
-    async def test_a_stated_outcome_without_requests_does_not_hold(self) -> None:
+    async def test_an_expectation_without_requests_does_not_hold(self) -> None:
         player = await self.play(["ok"])
         summaries = summarize(player.observations)
         stated = [
