--- a/libraries/cli/src/bamboopier_cli/commands/explain.py
+++ b/libraries/cli/src/bamboopier_cli/commands/explain.py
@@ -8,7 +8,7 @@
 from typing import IO, TYPE_CHECKING, Any
 
 from ..decision_log import read_decisions
-from ..exits import USAGE, CommandError
+from ..exit_codes import USAGE_ERROR, CommandError
 from ..output import render
 
 if TYPE_CHECKING:
@@ -61,8 +61,8 @@
     known = {decision.request_id for decision in decisions}
     if len(known) > 1:
         message = f"'{request_id}' begins {len(known)} request ids; give more of it"
-        raise CommandError(message, USAGE)
-    text = "\n".join(map(_describe, decisions))
+        raise CommandError(message, USAGE_ERROR)
+    text = "\n".join(map(_format_decision, decisions))
     return render(decisions, text, json)
 
 
@@ -72,10 +72,10 @@
     try:
         return stack.enter_context(Path(name).open("rb"))
     except OSError as error:
-        raise CommandError(f"{name}: {error.strerror}", USAGE) from error
+        raise CommandError(f"{name}: {error.strerror}", USAGE_ERROR) from error
 
 
-def _describe(decision: DecisionLine) -> str:
+def _format_decision(decision: DecisionLine) -> str:
     details = dict(decision.details)
     parts = [f"{decision.timestamp}  {decision.event}"]
     if target := details.pop("target", ""):
@@ -87,13 +87,13 @@
     candidates = details.pop("candidates", {})
     lines = ["".join(parts)]
     if isinstance(candidates, dict) and candidates:
-        weighed = ", ".join(f"{name} {_tell(v)}" for name, v in candidates.items())
+        weighed = ", ".join(f"{name} {_format_value(v)}" for name, v in candidates.items())
         lines.append(f"    candidates, expected seconds to first byte: {weighed}")
     if details:
-        rest = ", ".join(f"{name} {_tell(v)}" for name, v in details.items())
+        rest = ", ".join(f"{name} {_format_value(v)}" for name, v in details.items())
         lines.append(f"    {rest}")
     return "\n".join(lines)
 
 
-def _tell(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return f"{value:g}" if isinstance(value, float) else str(value)
--- a/libraries/cli/src/bamboopier_cli/commands/publish.py
+++ b/libraries/cli/src/bamboopier_cli/commands/publish.py
@@ -13,14 +13,14 @@
 from bamboopier_objects.publisher import Publisher
 
 from ..credentials import open_platform
-from ..difference import Difference, compare, describe
-from ..exits import CommandError
+from ..difference import Difference, compare_configurations, format_differences
+from ..exit_codes import CommandError
 from ..output import render
 from ..publishing import (
     ChangeResult,
-    fail_behind,
-    read_current,
-    wait_everywhere,
+    fail_if_nodes_behind,
+    read_current_generation,
+    wait_for_nodes,
 )
 from .check import collect_or_fail
 
@@ -61,7 +61,7 @@
     else:
         text = f"generation {result.generation} says the same; nothing published"
     if diff or dry_run:
-        text = f"{describe(result.differences)}\n{text}"
+        text = f"{format_differences(result.differences)}\n{text}"
     return render(result, text, json)
 
 
@@ -70,11 +70,11 @@
 ) -> PublishResult:
     async with open_platform(url) as platform:
         publisher = Publisher(platform)
-        base = await read_current(publisher)
+        base = await read_current_generation(publisher)
         wanted = msgspec.structs.replace(
             configuration, drains=base.configuration.drains
         )
-        differences = compare(base.configuration, wanted)
+        differences = compare_configurations(base.configuration, wanted)
         if dry_run:
             return PublishResult(base.number + 1, False, differences)
         number = base.number
@@ -89,5 +89,5 @@
             number = answer.ok_value.number
         if wait:
             change = ChangeResult(number, bool(differences))
-            fail_behind(await wait_everywhere(platform, change, timeout))
+            fail_if_nodes_behind(await wait_for_nodes(platform, change, timeout))
         return PublishResult(number, number != base.number, differences)
--- a/libraries/cli/src/bamboopier_cli/commands/replay.py
+++ b/libraries/cli/src/bamboopier_cli/commands/replay.py
@@ -10,12 +10,12 @@
 from result import Err, Result
 
 from bamboopier_configuration.reader import read_file
-from bamboopier_replay.expectations import judge, read_expectations
+from bamboopier_replay.expectations import check_expectations, read_expectations
 from bamboopier_replay.player import Player, PlayerOptions
 from bamboopier_replay.report import Summary, summarize
 from bamboopier_replay.trace import read_trace
 
-from ..exits import FAILURE, USAGE, CommandError, fail_configuration
+from ..exit_codes import FAILURE, USAGE_ERROR, CommandError, fail_configuration
 
 if TYPE_CHECKING:
     from bamboopier_configuration.errors import BamboopierError
@@ -38,8 +38,8 @@
     KEYS is a JSON file of workspace names and their API keys. OUTCOMES is a JSON file
     of stated outcomes; exit code 1 where one does not hold. SPEED shortens all gaps.
     """
-    loaded = _take(read_trace(Path(trace)))
-    stated = _take(read_expectations(Path(outcomes))) if outcomes else []
+    loaded = _unwrap(read_trace(Path(trace)))
+    stated = _unwrap(read_expectations(Path(outcomes))) if outcomes else []
     read = read_file(Path(keys), dict[str, str])
     if isinstance(read, Err):
         fail_configuration(read.err_value)
@@ -47,19 +47,19 @@
     player = Player(gateways.split(","), read.ok_value, options)
     asyncio.run(player.play(loaded))
     summaries = summarize(player.observations)
-    verdicts = judge(stated, summaries)
-    text = _render_json(summaries, verdicts) if json else _render(summaries, verdicts)
+    verdicts = check_expectations(stated, summaries)
+    text = _render_json(summaries, verdicts) if json else _render_text(summaries, verdicts)
     missed = sum(not verdict.holds for verdict in verdicts)
-    if missed or player.not_sent:
+    if missed or player.unfinished:
         print(text)
-        message = f"{missed} stated outcomes missed, {player.not_sent} not finished"
+        message = f"{missed} stated outcomes missed, {player.unfinished} not finished"
         raise CommandError(message, FAILURE)
     return text
 
 
-def _take(answer: Result[T, BamboopierError]) -> T:
+def _unwrap(answer: Result[T, BamboopierError]) -> T:
     if isinstance(answer, Err):
-        raise CommandError(str(answer.err_value), USAGE)
+        raise CommandError(str(answer.err_value), USAGE_ERROR)
     return answer.ok_value
 
 
@@ -67,9 +67,9 @@
     return msgspec.json.encode({"summaries": summaries, "verdicts": verdicts}).decode()
 
 
-def _render(summaries: list[Summary], verdicts: list[Verdict]) -> str:
+def _render_text(summaries: list[Summary], verdicts: list[Verdict]) -> str:
     lines = [
-        f"{s.tag}: {s.requests} requests, {_join(s.outcomes)}; first byte p50 "
+        f"{s.tag}: {s.requests} requests, {_format_counts(s.outcomes)}; first byte p50 "
         f"{s.first_byte_p50:.3f} s, p95 {s.first_byte_p95:.3f} s; "
         f"recomputed {s.recomputed_share:.1%}"
         for s in summaries
@@ -83,5 +83,5 @@
     return "\n".join(lines)
 
 
-def _join(counts: dict[str, int]) -> str:
+def _format_counts(counts: dict[str, int]) -> str:
     return ", ".join(f"{count} {name}" for name, count in sorted(counts.items()))
--- a/libraries/replay/tests/test_replay.py
+++ b/libraries/replay/tests/test_replay.py
@@ -10,13 +10,13 @@
 from aiohttp import web
 from aiohttp.test_utils import TestServer
 
-from bamboopier_replay.expectations import Expectation, judge
-from bamboopier_replay.maker import make_dispatch_trace, make_fault_desk_trace
+from bamboopier_replay.expectations import Expectation, check_expectations
+from bamboopier_replay.synthetic_traces import make_dispatch_trace, make_fault_desk_trace
 from bamboopier_replay.observation import Outcome
 from bamboopier_replay.player import Player, PlayerOptions
 from bamboopier_replay.prompts import make_prompt
 from bamboopier_replay.report import summarize
-from bamboopier_replay.trace import Part, Trace, read_trace, write_trace
+from bamboopier_replay.trace import PromptPart, Trace, read_trace, write_trace
 
 USAGE = {"prompt_tokens": 100, "prompt_tokens_details": {"cached_tokens": 60}}
 
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.calls = 0
 
-    async def answer(self, request: web.Request) -> web.StreamResponse:
+    async def respond(self, request: web.Request) -> web.StreamResponse:
         self.calls += 1
         await request.read()
         kind = request.match_info["kind"]
@@ -53,7 +53,7 @@
     async def asyncSetUp(self) -> None:
         fake = GatewayFake()
         application = web.Application()
-        application.router.add_route("*", "/services/{kind}/x", fake.answer)
+        application.router.add_route("*", "/services/{kind}/x", fake.respond)
         self.server = TestServer(application)
         await self.server.start_server()
         self.addAsyncCleanup(self.server.close)
@@ -77,7 +77,7 @@
         await player.play(trace)
         return player
 
-    async def test_each_ending_is_told_apart(self) -> None:
+    async def test_each_outcome_is_classified(self) -> None:
         player = await self.play(["ok", "refuse", "unknown", "cut"])
         found = {o.tag: o.outcome for o in player.observations}
         expected = {
@@ -88,17 +88,17 @@
         }
         self.assertEqual(found, expected)
 
-    async def test_recomputed_share_and_hints_come_from_the_answers(self) -> None:
+    async def test_recomputed_share_and_retry_after_come_from_the_responses(self) -> None:
         player = await self.play(["ok", "ok", "refuse"])
         total = summarize(player.observations)[0]
         self.assertAlmostEqual(total.recomputed_share, 0.4)
         self.assertEqual(total.hinted_share, 1.0)
 
-    async def test_two_answers_under_one_key_are_counted(self) -> None:
+    async def test_two_responses_under_one_key_are_counted(self) -> None:
         player = await self.play(["count", "count"], key="one-key")
         self.assertEqual(summarize(player.observations)[0].keys_with_two_answers, 1)
 
-    async def test_a_stated_outcome_without_requests_does_not_hold(self) -> None:
+    async def test_an_expectation_without_requests_does_not_hold(self) -> None:
         player = await self.play(["ok"])
         summaries = summarize(player.observations)
         stated = [
@@ -106,13 +106,13 @@
             Expectation("answered_share", "never-sent", at_least=0.0),
             Expectation("recomputed_share", at_most=0.3),
         ]
-        held = [verdict.holds for verdict in judge(stated, summaries)]
+        held = [verdict.holds for verdict in check_expectations(stated, summaries)]
         self.assertEqual(held, [True, False, False])
 
 
 class TraceTests(unittest.TestCase):
     def test_a_trace_survives_being_written_and_read(self) -> None:
-        trace = make_fault_desk_trace(3, pillars=4, returns=3)
+        trace = make_fault_desk_trace(3, pillars=4, turns=3)
         folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         write_trace(folder / "t", trace)
         self.assertEqual(read_trace(folder / "t").unwrap(), trace)
@@ -126,9 +126,9 @@
         self.assertIn("workspce", message)
 
     def test_returning_prompts_share_their_prefix(self) -> None:
-        trace: Trace = make_fault_desk_trace(3, pillars=1, returns=2)
+        trace: Trace = make_fault_desk_trace(3, pillars=1, turns=2)
         first, second = (r.model for r in trace.requests)
         assert first is not None and second is not None
         text = make_prompt(first.prompt)
         self.assertTrue(make_prompt(second.prompt).startswith(text + " "))
-        self.assertEqual(make_prompt([Part(seed="a", words=2)]), "a-0 a-1")
+        self.assertEqual(make_prompt([PromptPart(seed="a", words=2)]), "a-0 a-1")
