--- a/libraries/agent/tests/test_context.py
+++ b/libraries/agent/tests/test_context.py
@@ -224,7 +224,9 @@
             harness.restart_cold()
             harness.stores[0].max_concurrent_reads = 0
             await asyncio.gather(*(harness.manager.fetch(r) for r in requests))
-            self.assertLessEqual(harness.stores[0].max_concurrent_reads, MAX_CONCURRENT_READS)
+            self.assertLessEqual(
+                harness.stores[0].max_concurrent_reads, MAX_CONCURRENT_READS
+            )
             self.assertEqual(len(harness.engine.imports), 20 * 3)
 
     async def test_a_restarted_agent_does_not_send_stored_blocks_again(self) -> None:
--- a/libraries/cli/src/bamboopier_cli/commands/explain.py
+++ b/libraries/cli/src/bamboopier_cli/commands/explain.py
@@ -87,7 +87,9 @@
     candidates = details.pop("candidates", {})
     lines = ["".join(parts)]
     if isinstance(candidates, dict) and candidates:
-        weighed = ", ".join(f"{name} {_format_value(v)}" for name, v in candidates.items())
+        weighed = ", ".join(
+            f"{name} {_format_value(v)}" for name, v in candidates.items()
+        )
         lines.append(f"    candidates, expected seconds to first byte: {weighed}")
     if details:
         rest = ", ".join(f"{name} {_format_value(v)}" for name, v in details.items())
--- a/libraries/cli/src/bamboopier_cli/commands/replay.py
+++ b/libraries/cli/src/bamboopier_cli/commands/replay.py
@@ -48,7 +48,9 @@
     asyncio.run(player.play(loaded))
     summaries = summarize(player.observations)
     verdicts = check_expectations(stated, summaries)
-    text = _render_json(summaries, verdicts) if json else _render_text(summaries, verdicts)
+    text = (
+        _render_json(summaries, verdicts) if json else _render_text(summaries, verdicts)
+    )
     missed = sum(not verdict.holds for verdict in verdicts)
     if missed or player.unfinished:
         print(text)
--- a/libraries/cli/src/bamboopier_cli/commands/status.py
+++ b/libraries/cli/src/bamboopier_cli/commands/status.py
@@ -10,9 +10,9 @@
 from bamboopier_objects.publisher import Publisher
 
 from ..credentials import open_platform
+from ..node_status import NodeStatus, list_nodes, read_node_statuses
 from ..output import render
 from ..publishing import read_current_generation
-from ..node_status import NodeStatus, read_node_statuses, list_nodes
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/libraries/cli/src/bamboopier_cli/node_status.py
+++ b/libraries/cli/src/bamboopier_cli/node_status.py
@@ -128,7 +128,9 @@
     async with read_certificates().open_channel(vm.address) as channel:
         stub = agent_pb2_grpc.AgentStub(channel)
         try:
-            report = await stub.Report(pb.ReportRequest(), timeout=RESPONSE_TIMEOUT_SECONDS)
+            report = await stub.Report(
+                pb.ReportRequest(), timeout=RESPONSE_TIMEOUT_SECONDS
+            )
         except grpc.aio.AioRpcError:
             return status
     return msgspec.structs.replace(
--- a/libraries/replay/src/bamboopier_replay/expectations.py
+++ b/libraries/replay/src/bamboopier_replay/expectations.py
@@ -59,7 +59,9 @@
         return Err(ExpectationError(f"{path}: {error}"))
 
 
-def check_expectations(expectations: list[Expectation], summaries: list[Summary]) -> list[Verdict]:
+def check_expectations(
+    expectations: list[Expectation], summaries: list[Summary]
+) -> list[Verdict]:
     """Compare each stated outcome with the replay's figures."""
     by_tag = {summary.tag: summary for summary in summaries}
     return [_check_expectation(e, by_tag.get(e.tag)) for e in expectations]
--- a/libraries/replay/src/bamboopier_replay/player.py
+++ b/libraries/replay/src/bamboopier_replay/player.py
@@ -128,7 +128,9 @@
                 first = await response.content.readany()
                 first_byte = time.monotonic() - started
                 content = first + await response.read()
-                return _make_observation(request, response, content, started, first_byte)
+                return _make_observation(
+                    request, response, content, started, first_byte
+                )
         except TimeoutError:
             return Observation(request.tag, request.workspace, Outcome.TIMED_OUT)
         except aiohttp.ClientError:
--- a/libraries/replay/src/bamboopier_replay/report.py
+++ b/libraries/replay/src/bamboopier_replay/report.py
@@ -46,7 +46,9 @@
     """Return a summary for all requests and one for each tag."""
     tags = sorted({o.tag for o in observations})
     groups = [(tag, [o for o in observations if o.tag == tag]) for tag in tags]
-    return [_summarize_tag(tag, group) for tag, group in [(ALL_TAG, observations), *groups]]
+    return [
+        _summarize_tag(tag, group) for tag, group in [(ALL_TAG, observations), *groups]
+    ]
 
 
 def _summarize_tag(tag: str, observations: list[Observation]) -> Summary:
--- a/libraries/replay/src/bamboopier_replay/synthetic_traces.py
+++ b/libraries/replay/src/bamboopier_replay/synthetic_traces.py
@@ -6,12 +6,12 @@
 
 from .trace import (
     FORMAT_VERSION,
-    TraceHeader,
     ModelRequest,
-    PromptPart,
     PlainRequest,
+    PromptPart,
     Trace,
     TracedRequest,
+    TraceHeader,
 )
 
 # A pillar's whole maintenance history and a shop's catalogue, in words.
--- a/libraries/replay/tests/test_replay.py
+++ b/libraries/replay/tests/test_replay.py
@@ -11,11 +11,14 @@
 from aiohttp.test_utils import TestServer
 
 from bamboopier_replay.expectations import Expectation, check_expectations
-from bamboopier_replay.synthetic_traces import make_dispatch_trace, make_fault_desk_trace
 from bamboopier_replay.observation import Outcome
 from bamboopier_replay.player import Player, PlayerOptions
 from bamboopier_replay.prompts import make_prompt
 from bamboopier_replay.report import summarize
+from bamboopier_replay.synthetic_traces import (
+    make_dispatch_trace,
+    make_fault_desk_trace,
+)
 from bamboopier_replay.trace import PromptPart, Trace, read_trace, write_trace
 
 USAGE = {"prompt_tokens": 100, "prompt_tokens_details": {"cached_tokens": 60}}
@@ -88,7 +91,9 @@
         }
         self.assertEqual(found, expected)
 
-    async def test_recomputed_share_and_retry_after_come_from_the_responses(self) -> None:
+    async def test_recomputed_share_and_retry_after_come_from_the_responses(
+        self,
+    ) -> None:
         player = await self.play(["ok", "ok", "refuse"])
         total = summarize(player.observations)[0]
         self.assertAlmostEqual(total.recomputed_share, 0.4)
--- a/libraries/standins/src/bamboopier_standins/store.py
+++ b/libraries/standins/src/bamboopier_standins/store.py
@@ -68,7 +68,9 @@
         if self.faults.get("frozen"):
             await asyncio.sleep(HANG_SECONDS)
         self.concurrent_reads += request.method == "GET"
-        self.max_concurrent_reads = max(self.max_concurrent_reads, self.concurrent_reads)
+        self.max_concurrent_reads = max(
+            self.max_concurrent_reads, self.concurrent_reads
+        )
         try:
             response = await handler(request)
         finally:
--- a/tools/safeguards/places.py
+++ b/tools/safeguards/places.py
@@ -61,8 +61,7 @@
         "            raise CommandError(str(answer.err_value))\n",
         "        raise CommandError(str(answer.err_value))\n",
         "libraries/cli",
-        "tests.test_publishing.DrainTests."
-        "test_a_drain_that_conflicts_is_retried",
+        "tests.test_publishing.DrainTests.test_a_drain_that_conflicts_is_retried",
     ),
     Mutation(
         "a gateway in a drained data centre is not ready",
