--- a/tools/safeguards/orders.py
+++ b/tools/safeguards/orders.py
@@ -11,7 +11,7 @@
         "        return max(0.0, self._observed_at + record.duration - now)\n",
         "        return max(0.0, self._observed_at + record.duration / 2 - now)\n",
         "libraries/decisions",
-        "tests.membership.test_lease.LeaseMachineTests",
+        "tests.membership.test_lease",
     ),
     Mutation(
         "the wait starts anew with each renewal",
