--- a/libraries/agent/src/bamboopier_agent/__init__.py
+++ b/libraries/agent/src/bamboopier_agent/__init__.py
@@ -1,1 +1,1 @@
-"""The process beside each target: the only way to it."""
+"""The agent: a process on each target's VM through which all requests to it pass."""
--- a/libraries/agent/src/bamboopier_agent/availability_gate.py
+++ b/libraries/agent/src/bamboopier_agent/availability_gate.py
@@ -1,4 +1,8 @@
-"""Opens and closes the gate to the target as drains, the VM list and loads say."""
+"""Opens and closes the admission gate of the target.
+
+The gate is closed while the process shuts down, while the target or its data centre is
+drained, while the VM list marks the VM as leaving, and while weights are loaded.
+"""
 
 from __future__ import annotations
 
@@ -26,10 +30,10 @@
 
 
 class AvailabilityGate:
-    """Collects what may keep new work away; tells the gate of each change.
+    """Tracks why the target is unavailable and reports each change to the gate.
 
-    What waits at the gate when it closes is turned away as not run, so that gateways
-    send it elsewhere at once; what runs goes on.
+    Requests that are queued when the gate closes are rejected as not run, so that
+    gateways send them elsewhere at once. Running requests continue.
     """
 
     def __init__(self, settings: AgentSettings, gate: AdmissionGate) -> None:
@@ -43,7 +47,7 @@
         self.unavailable_reason: UnavailableReason | None = None
 
     def apply_configuration(self, directory: Directory) -> None:
-        """Take the drains of a new generation."""
+        """Apply the drains of a new configuration generation."""
         drains = directory.configuration.drains
         drained_set = DrainedSet(
             frozenset(drains.data_centres), frozenset(drains.targets)
@@ -54,7 +58,7 @@
         self._update()
 
     def apply_vms(self, inventory: VmInventory) -> None:
-        """Take this VM's own state from a VM list."""
+        """Apply the state that a VM list gives for this VM."""
         vm = inventory.find(self._settings.vm)
         listed = {vm.name: vm.state != "live"} if vm is not None else {}
         if listed:
@@ -62,12 +66,12 @@
         self._update()
 
     def set_loading(self, loading: bool) -> None:
-        """Close while weights are being swapped."""
+        """Close the gate while weights are loaded; reopen it afterwards."""
         self._loading = loading
         self._update()
 
     def shut_down(self) -> None:
-        """Close for good."""
+        """Close the gate permanently."""
         self._shutting_down = True
         self._update()
 
@@ -80,7 +84,7 @@
             return
         self.unavailable_reason = unavailable_reason
         log.info(
-            "target standing changed",
+            "target availability changed",
             target=self._settings.target,
             reason=unavailable_reason.value
             if unavailable_reason is not None
--- a/libraries/agent/src/bamboopier_agent/errors.py
+++ b/libraries/agent/src/bamboopier_agent/errors.py
@@ -1,4 +1,4 @@
-"""Failures an agent meets at its target."""
+"""Errors of an agent's calls to its target."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class TargetError(BamboopierError):
-    """Base of the failures of calls to the target."""
+    """Base class for errors of calls to the target."""
 
 
 class TargetUnreachableError(TargetError):
-    """No connection was made: the target received nothing."""
+    """No connection was established, so the target received nothing."""
 
 
 class BrokenResponseError(TargetError):
-    """The target was reached and its answer is missing or cut."""
+    """The target was reached, but its response is missing or truncated."""
 
 
 class OrderFailedError(TargetError):
-    """The target answered that it could not carry an order out."""
+    """The target reported that it failed to execute an order."""
 
 
 class OrderRefusedError(TargetError):
-    """The target refused an order, for instance for its old fencing number."""
+    """The target refused an order, for example because of an old fencing token."""
--- a/libraries/agent/src/bamboopier_agent/event_builder.py
+++ b/libraries/agent/src/bamboopier_agent/event_builder.py
@@ -1,4 +1,4 @@
-"""Builds the events of one answer in order."""
+"""Builds the ``ServeEvent`` messages of one response in order."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class EventBuilder:
-    """Numbers the events of one attempt so that its reader can prove it whole."""
+    """Numbers the events of one attempt, so that the reader can detect a missing one.
+
+    ``report`` returns the load that is attached to the first and the last event.
+    """
 
     __slots__ = ("_attempt_id", "_report", "_sequence", "body_bytes")
 
@@ -29,7 +32,7 @@
         *,
         replayed: bool = False,
     ) -> pb.ServeEvent:
-        """Return the event that opens an answer."""
+        """Return the first event of a response."""
         head = pb.ResponseHead(
             status=status,
             headers=[pb.Header(name=name, value=value) for name, value in headers],
@@ -39,12 +42,12 @@
         return self._number(pb.ServeEvent(head=head, load=self._report()))
 
     def make_chunk(self, chunk: bytes) -> pb.ServeEvent:
-        """Return the event for a piece of the body."""
+        """Return the event for a chunk of the body."""
         self.body_bytes += len(chunk)
         return self._number(pb.ServeEvent(chunk=chunk))
 
     def make_finished(self, finished: pb.Finished) -> pb.ServeEvent:
-        """Return the event that closes a whole answer."""
+        """Return the last event of a complete response."""
         finished.body_bytes = self.body_bytes
         return self._number(pb.ServeEvent(finished=finished, load=self._report()))
 
@@ -56,7 +59,10 @@
         claimed_by: str = "",
         claim_id: str = "",
     ) -> pb.ServeEvent:
-        """Return the event that says nothing was run. ``retry_after`` in seconds."""
+        """Return the event for an attempt that did not run.
+
+        ``retry_after`` is in seconds.
+        """
         not_run = pb.NotRun(
             cause=cause,
             retry_after_ms=int(retry_after * 1000),
@@ -67,7 +73,7 @@
         return self._number(pb.ServeEvent(not_run=not_run, load=self._report()))
 
     def make_unknown(self, cause: pb.Cause, detail: str) -> pb.ServeEvent:
-        """Return the event that says the request may have run."""
+        """Return the event for an attempt that may have run."""
         unknown = pb.Unknown(cause=cause, detail=detail)
         return self._number(pb.ServeEvent(unknown=unknown, load=self._report()))
 
--- a/libraries/agent/src/bamboopier_agent/event_stream.py
+++ b/libraries/agent/src/bamboopier_agent/event_stream.py
@@ -1,4 +1,4 @@
-"""Hands the events of one run to its gateway for as long as that one listens."""
+"""Passes the events of one run to its gateway until the gateway disconnects."""
 
 from __future__ import annotations
 
@@ -10,20 +10,21 @@
 
     from bamboopier_protocol import agent_pb2 as pb
 
-# Events a target may be ahead of a slow gateway.
+# Events buffered for a gateway that reads more slowly than the target writes.
 MAX_BUFFERED_EVENTS = 16
 
 
 class EventStream:
-    """A bounded channel whose reader may leave while the writer goes on.
+    """A bounded channel whose reader may disconnect while the writer continues.
 
-    A non-idempotent call that was cut half way could neither be repeated nor answered.
-    Once ``detached`` it runs to its end although the gateway has left, and a repeated
-    idempotency key receives its whole answer.
+    A non-idempotent call that is cancelled halfway can neither be repeated nor
+    answered. Once ``detached`` is set, it runs to its end even if the gateway
+    disconnects, and a caller that repeats the idempotency key receives the complete
+    response.
     """
 
     def __init__(self, deadline: float) -> None:
-        # Seconds on the monotonic clock, counted from the request's arrival.
+        # Time on the monotonic clock in seconds, set when the request arrives.
         self.deadline = deadline
         self._events: asyncio.Queue[pb.ServeEvent | None] = asyncio.Queue(
             MAX_BUFFERED_EVENTS
@@ -32,17 +33,20 @@
         self.detached = False
 
     async def put(self, event: pb.ServeEvent | None) -> None:
-        """Pass an event on, or None at the end; dropped once the gateway has left."""
+        """Send an event, or None at the end; drop it if the gateway has disconnected.
+
+        Waits while the buffer is full.
+        """
         if not self._disconnected:
             await self._events.put(event)
 
     def disconnect(self) -> None:
-        """Note that the gateway has left; a writer that waits goes on."""
+        """Mark the gateway as disconnected and release a writer that waits."""
         self._disconnected = True
         while not self._events.empty():
             self._events.get_nowait()
 
     async def read(self) -> AsyncGenerator[pb.ServeEvent]:
-        """Yield the events up to the end."""
+        """Yield the events until the end of the run."""
         while (event := await self._events.get()) is not None:
             yield event
--- a/libraries/agent/src/bamboopier_agent/forwarded_request.py
+++ b/libraries/agent/src/bamboopier_agent/forwarded_request.py
@@ -1,4 +1,7 @@
-"""What of a gateway's request the target sees, and what of its answer goes back."""
+"""Converts a gateway's request for the target, and the target's response headers back.
+
+Hop-by-hop headers are dropped in both directions.
+"""
 
 from __future__ import annotations
 
@@ -17,19 +20,22 @@
 
 
 def read_max_wait(request: pb.ServeRequest) -> float:
-    """Return the seconds the request may wait here."""
+    """Return how many seconds the request may queue at this agent."""
     if not request.HasField("max_wait_ms"):
         return float("inf")
     return request.max_wait_ms / 1000
 
 
 def list_headers(request: pb.ServeRequest) -> list[tuple[str, str]]:
-    """Return the headers for the target."""
+    """Return the request headers for the target."""
     return list(drop_hop_headers((h.name, h.value) for h in request.headers))
 
 
 def list_response_headers(response: aiohttp.ClientResponse) -> list[tuple[str, str]]:
-    """Return the headers to pass on; the length too, since the bytes stay as sent."""
+    """Return the response headers to forward.
+
+    ``Content-Length`` is included, because the body is forwarded unchanged.
+    """
     headers = list(drop_hop_headers(response.headers.items()))
     if (length := response.headers.get(LENGTH_HEADER)) is not None:
         headers.append((LENGTH_HEADER, length))
@@ -37,7 +43,11 @@
 
 
 def make_body(request: pb.ServeRequest) -> bytes:
-    """Return the body for the target; an engine is told salt, keys and priority."""
+    """Return the body for the target.
+
+    For an engine, request id, cache salt, block keys and priority are set in it; they
+    overwrite fields of these names that the caller sent.
+    """
     if not request.model.model:
         return request.body
     body = msgspec.json.decode(request.body)
--- a/libraries/agent/src/bamboopier_agent/gate.py
+++ b/libraries/agent/src/bamboopier_agent/gate.py
@@ -1,4 +1,4 @@
-"""Lets requests through to the target as the admission decisions say."""
+"""Admits requests to the target as the admission controller decides."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Entry:
-    """One request's passage; ``reject`` is set when it may not pass."""
+    """The state of one request at the gate; ``reject`` is set if it is not admitted."""
 
     __slots__ = (
         "_gate",
@@ -45,22 +45,23 @@
         self._gate = gate
         self._request_id = request_id
         self.reject: Reject | None = None
-        # Neither means that the caller left or that it was refused after all.
+        # Both False: the caller disconnected or the request was refused after admission.
         self.succeeded = False
         self.failed = False
         self.output_tokens = 0
         self.prefill_tokens = 0
 
     def mark_first_byte(self) -> None:
-        """Tell the decisions that the target began to answer.
+        """Report to the controller that the target has started to respond.
 
-        How much it prefilled is known only with the usage at the answer's end.
+        The number of prefilled tokens is only reported with the usage at the end of
+        the response.
         """
         self._gate.handle(FirstTokenReceived(time.monotonic(), self._request_id, 0))
 
 
 class AdmissionGate:
-    """Drives one ``AdmissionController`` from live requests and the clock."""
+    """Drives an ``AdmissionController`` with requests and the monotonic clock."""
 
     def __init__(self, admission: AdmissionController) -> None:
         self.admission = admission
@@ -70,7 +71,7 @@
 
     @asynccontextmanager
     async def enter(self, work: AdmissionRequested) -> AsyncIterator[Entry]:
-        """Wait for a place; the entry says whether there is one."""
+        """Wait for admission and yield the entry; check its ``reject`` first."""
         waiter = asyncio.get_running_loop().create_future()
         self._waiters[work.request_id] = waiter
         entry = Entry(self, work.request_id)
@@ -92,7 +93,7 @@
                 self._idle.set()
 
     def handle(self, event: AdmissionEvent) -> None:
-        """Pass an event to the decisions and carry out what they answer."""
+        """Pass an event to the controller and apply the decisions it returns."""
         for decision in self.admission.handle(event):
             waiter = self._waiters.pop(decision.request_id, None)
             if waiter is None or waiter.done():
@@ -100,17 +101,17 @@
             waiter.set_result(None if isinstance(decision, Start) else decision)
 
     async def run(self) -> None:
-        """Tell the decisions the time until cancelled."""
+        """Send a ``Tick`` to the controller every ``TICK_SECONDS`` until cancelled."""
         while True:
             await asyncio.sleep(TICK_SECONDS)
             self.handle(Tick(time.monotonic()))
 
     async def wait_until_idle(self) -> None:
-        """Return once no started request is left."""
+        """Return once no admitted request is running."""
         await self._idle.wait()
 
     def _cancel(self, request_id: str) -> None:
-        """Undo a request whose gateway left while it waited or as it was let in."""
+        """Cancel a request whose gateway disconnected before or during its admission."""
         self._waiters.pop(request_id, None)
         now = time.monotonic()
         self.handle(RequestCancelled(now, request_id))
--- a/libraries/agent/src/bamboopier_agent/refusals.py
+++ b/libraries/agent/src/bamboopier_agent/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals of an attempt, each of which says truthfully that nothing was run."""
+"""Builds the events for refused attempts, none of which has run."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     RejectReason.STOPPING: pb.STOPPING,
     RejectReason.BUSY: pb.BUSY,
 }
-# Seconds; a full partition frees places only as claims lapse.
+# A full partition has space again only when claims expire.
 TABLE_FULL_RETRY_SECONDS = 60.0
 
 
 def make_rejection(builder: EventBuilder, reject: Reject) -> pb.ServeEvent:
-    """Return the event for what admission turned away."""
+    """Return the event for an attempt that admission rejected."""
     return builder.make_not_run(_CAUSES[reject.reason], reject.retry_after)
 
 
 def make_claim_refusal(builder: EventBuilder, outcome: ClaimOutcome) -> pb.ServeEvent:
-    """Return the event for a key that was not granted."""
+    """Return the event for a claim that was not granted."""
     current = outcome.current
     if outcome.status is ClaimStatus.FULL or current is None:
         return builder.make_not_run(pb.KEY_TABLE_FULL, TABLE_FULL_RETRY_SECONDS)
--- a/libraries/agent/src/bamboopier_agent/response_cache.py
+++ b/libraries/agent/src/bamboopier_agent/response_cache.py
@@ -1,7 +1,7 @@
-"""Answers kept in memory for callers who repeat an idempotency key.
+"""Caches responses in memory for callers that repeat an idempotency key.
 
-They are a convenience, not the proof: the claim in the platform is what stops a second
-run, and an answer lost with this process is told as "outcome unknown".
+The cache does not prevent a second run: the claim stored in the platform does. If this
+process ends, its cached responses are lost and callers receive "outcome unknown".
 """
 
 from __future__ import annotations
@@ -9,13 +9,13 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-# Memory an entry takes beside its body.
+# Memory of an entry without its body.
 ENTRY_BYTES = 512
 
 
 @dataclass(slots=True)
 class CachedResponse:
-    """One run under a key; ``finished`` once its answer is whole."""
+    """The response of one run; ``finished`` once it is complete."""
 
     fingerprint: bytes
     status: int = 0
@@ -23,12 +23,12 @@
     weight_version: str = ""
     body: bytearray = field(default_factory=bytearray)
     finished: bool = False
-    # The answer outgrew the memory: its run is known, its bytes are not.
+    # The response exceeded the cache's capacity: the run is recorded without its body.
     overflowed: bool = False
 
 
 class ResponseCache:
-    """A bounded memory of answers, least recently made dropped first."""
+    """A cache of bounded size that evicts the oldest finished responses first."""
 
     def __init__(self, capacity_bytes: int) -> None:
         self._capacity = capacity_bytes
@@ -36,7 +36,7 @@
         self._responses: OrderedDict[bytes, CachedResponse] = OrderedDict()
 
     def start(self, key: bytes, fingerprint: bytes) -> CachedResponse:
-        """Note that a run under ``key`` is under way."""
+        """Add an entry for a run under ``key`` that is in flight."""
         self.discard(key)
         response = CachedResponse(fingerprint)
         self._responses[key] = response
@@ -44,10 +44,11 @@
         return response
 
     def add(self, response: CachedResponse, chunk: bytes) -> None:
-        """Keep a further piece; older answers, or this one's bytes, may have to go.
+        """Append a chunk of the body.
 
-        Running answers count as well: a few huge ones would else fill the process's
-        memory before the first of them ends.
+        Evicts finished responses, and then drops this body, if the capacity is
+        exceeded. Responses in flight count too: a few large ones could otherwise fill
+        the memory of the process before the first of them ends.
         """
         if response.overflowed:
             return
@@ -60,7 +61,7 @@
             response.overflowed = True
 
     def finish(self, key: bytes) -> None:
-        """Note that the answer is whole."""
+        """Mark the response as complete; remove it if its body was dropped."""
         response = self._responses.get(key)
         if response is None:
             return
@@ -70,13 +71,13 @@
         self._evict()
 
     def discard(self, key: bytes) -> None:
-        """Forget a run that left no whole answer."""
+        """Remove a run that has no complete response."""
         response = self._responses.pop(key, None)
         if response is not None:
             self._used -= ENTRY_BYTES + len(response.body)
 
     def find(self, key: bytes) -> CachedResponse | None:
-        """Return what is known of a run under ``key``."""
+        """Return the entry of a run under ``key``, or None."""
         return self._responses.get(key)
 
     def _evict(self) -> None:
--- a/libraries/agent/src/bamboopier_agent/seen_attempts.py
+++ b/libraries/agent/src/bamboopier_agent/seen_attempts.py
@@ -1,18 +1,18 @@
-"""Attempts this agent has been given, so that none is served twice."""
+"""Remembers the attempts that this agent has received, so that none is served twice."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-# Hours of attempts at the design size: 3,100 requests a second over 730 agents.
+# Hours of attempts at the design load of 3,100 requests a second over 730 agents.
 CAPACITY = 65_536
 
 
 class SeenAttempts:
-    """A bounded memory of attempt ids, oldest dropped first.
+    """A bounded set of attempt ids that drops the oldest first.
 
-    A message layer that sends a request again after a lost connection would run it a
-    second time without the caller's asking, and without a key no claim stops it.
+    A message layer may resend a request after a lost connection. Without this check the
+    request would run twice, because a request without a key has no claim.
     """
 
     def __init__(self, capacity: int = CAPACITY) -> None:
@@ -20,7 +20,7 @@
         self._ids: OrderedDict[str, None] = OrderedDict()
 
     def add(self, attempt_id: str) -> bool:
-        """Note an attempt; False when it has been here before."""
+        """Record an attempt; return False if it was recorded before."""
         if attempt_id in self._ids:
             return False
         self._ids[attempt_id] = None
--- a/libraries/agent/src/bamboopier_agent/usage.py
+++ b/libraries/agent/src/bamboopier_agent/usage.py
@@ -1,10 +1,10 @@
-"""Token counts that an engine reports at the end of its answer."""
+"""Reads the token counts that an engine reports at the end of its response."""
 
 from __future__ import annotations
 
 import msgspec
 
-# The usage stands in the last event or at the end of the document.
+# Enough for the usage object, which is in the last event or at the end of the document.
 TAIL_BYTES = 4096
 _USAGE_KEY = b'"usage":'
 
@@ -14,7 +14,7 @@
 
 
 class Usage(msgspec.Struct):
-    """Tokens of one answer."""
+    """Token counts of one response."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
@@ -24,12 +24,12 @@
 
     @property
     def cached_tokens(self) -> int:
-        """Return the prompt tokens that needed no prefill."""
+        """Return the number of prompt tokens that needed no prefill."""
         return self.prompt_tokens_details.cached_tokens
 
 
 class UsageReader:
-    """Keeps the tail of a body and finds the usage in it."""
+    """Keeps the last ``TAIL_BYTES`` of a body and parses the usage in them."""
 
     __slots__ = ("_tail",)
 
@@ -37,11 +37,11 @@
         self._tail = b""
 
     def add(self, chunk: bytes) -> None:
-        """Take the next piece of the body."""
+        """Append the next chunk of the body."""
         self._tail = (self._tail + chunk)[-TAIL_BYTES:]
 
     def read(self) -> Usage:
-        """Return the usage, all zero when the engine reported none."""
+        """Return the usage; all counts are zero if the engine reported none."""
         position = self._tail.rfind(_USAGE_KEY)
         if position < 0:
             return Usage()
