--- a/libraries/agent/src/bamboopier_agent/block_exporter.py
+++ b/libraries/agent/src/bamboopier_agent/block_exporter.py
@@ -1,4 +1,4 @@
-"""Writes finished prompts' blocks to store VMs, off the callers' path."""
+"""Writes blocks of finished prompts to store VMs in the background."""
 
 from __future__ import annotations
 
@@ -33,18 +33,18 @@
     from .store_link import StoreLink
     from .target import TargetClient
 
-# Blocks waiting for their export; the least likely to return are dropped beyond it.
+# Blocks queued for export; beyond this, those least likely to be reused are dropped.
 MAX_QUEUED_BLOCKS = 1024
 MAX_STORED_KEYS = 65_536
-# An export that the link lets wait longer than this is on a short link: blocks that
-# were seen once and open no prompt are then not worth it.
+# Blocks that were seen once and do not start a prompt are not exported if the link's
+# budget would delay them for longer than this.
 MAX_LINK_WAIT_SECONDS = 1.0
 
 log = structlog.get_logger()
 
 
 class ExportOutcome(StrEnum):
-    """What became of one block."""
+    """The outcome of exporting one block."""
 
     WRITTEN = "written"
     STORED_ALREADY = "stored-already"
@@ -75,13 +75,13 @@
         self._queue = ExportQueue(MAX_QUEUED_BLOCKS)
         self._arrived = asyncio.Event()
         self._stored_keys: OrderedDict[bytes, None] = OrderedDict()
-        # Found torn or damaged: written again even if something lies there.
+        # Found damaged by a reader; written again even if a block of its size exists.
         self._damaged_keys: set[bytes] = set()
 
     def offer(self, request: ServeRequest, *, worth_exporting: bool = True) -> None:
-        """Queue a finished request's blocks that are not known to be stored.
+        """Queue the blocks of a finished request that are not assumed to be stored.
 
-        Unless they are ``worth_exporting`` it: they are counted then, and nothing is written.
+        Unless ``worth_exporting`` is set, the blocks are only counted.
         """
         work = request.model
         keys = tuple(work.block_keys)
@@ -105,14 +105,14 @@
         self._arrived.set()
 
     def record_stored(self, key: bytes) -> None:
-        """A block was read whole from a store."""
+        """Record that a block is stored."""
         self._stored_keys[key] = None
         self._stored_keys.move_to_end(key)
         if len(self._stored_keys) > MAX_STORED_KEYS:
             self._stored_keys.popitem(last=False)
 
     def invalidate_stored(self, key: bytes, *, damaged: bool) -> None:
-        """A block that should be stored is not, or is not the block."""
+        """Record that a block is missing from its store, or ``damaged`` there."""
         self._stored_keys.pop(key, None)
         if damaged and len(self._damaged_keys) < MAX_STORED_KEYS:
             self._damaged_keys.add(key)
@@ -125,7 +125,7 @@
             await self.export_queued()
 
     async def export_queued(self) -> None:
-        """Export everything that is queued now."""
+        """Export all queued blocks."""
         while (queued := self._queue.pop()) is not None:
             likelihood, item = queued
             outcome, vms = await self._export(likelihood, item)
@@ -139,9 +139,9 @@
         owners = self._list_usable_owners(item.key)
         if not owners:
             return ExportOutcome.STORE_FAILED, []
-        # The engine says of which weight version the block is; another than the one
-        # the prompt ran with is refused here. Without it a swap between run and export
-        # would store new blocks under the old version's key, proved and wrong.
+        # The engine reports the weight version of the block, and a block of another
+        # version than the prompt's is skipped. Otherwise a load between run and export
+        # would store new blocks under the old version's key, with a valid digest.
         payload = await self._target.export_block(item.salt, item.key, item.version)
         if payload is None:
             return ExportOutcome.NOT_IN_ENGINE, []
@@ -185,10 +185,10 @@
         return outcome, written
 
     async def _is_stored(self, vm: StoreVm, name: BlockName, size: int) -> bool:
-        """Ask the VM, so that a restarted agent does not send everything again.
+        """Check the VM, so that a restarted agent does not send all blocks again.
 
-        A torn write is shorter and is written again; one that a reader found damaged
-        is written again whatever its size.
+        A truncated block is shorter and is written again; one that a reader found
+        damaged is written again whatever its size.
         """
         if name.key in self._damaged_keys:
             return False
--- a/libraries/agent/src/bamboopier_agent/block_fetcher.py
+++ b/libraries/agent/src/bamboopier_agent/block_fetcher.py
@@ -1,4 +1,4 @@
-"""Brings the blocks an engine lacks, each at most once at a time."""
+"""Reads the blocks that an engine lacks, with one read at a time for each block."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
     from .store_link import StoreLink
 
-# Reads on their way at once for one request: enough to fill a link over a few
-# milliseconds of delay, few enough that little is wasted when one of them misses.
+# Concurrent reads of one request: enough to use the full bandwidth of a link with a few
+# milliseconds of latency, and few enough that a missing block wastes little.
 MAX_PARALLEL_READS = 4
-# Bytes on their way at once for one request: large blocks fill the link by themselves,
-# and four of them would take the agent's memory.
+# Bytes in concurrent reads of one request: a single large block uses the full bandwidth,
+# and four of them would exhaust the agent's memory.
 MAX_PARALLEL_BYTES = 64 * 1024 * 1024
 
 
 class _PendingRead:
-    """One read under way and the number of requests that wait for it."""
+    """A read in progress and the number of requests that wait for it."""
 
     __slots__ = ("deadline", "task", "waiters")
 
@@ -34,13 +34,13 @@
         self, task: asyncio.Task[Result[bytes, StoreError]], deadline: float
     ) -> None:
         self.task = task
-        # The read ends by itself at this time at the latest.
+        # Time on the monotonic clock at which the read ends at the latest.
         self.deadline = deadline
         self.waiters = 0
 
 
 class BlockFetcher:
-    """Reads runs of blocks; concurrent requests for a block share one read."""
+    """Reads sequences of blocks; concurrent requests for a block share one read."""
 
     def __init__(self, link: StoreLink) -> None:
         self._link = link
@@ -49,20 +49,20 @@
     def open(
         self, names: Sequence[BlockName], secret: bytes, version: str, deadline: float
     ) -> BlockReader:
-        """Return a reader of ``names`` in order; close it by leaving its context."""
+        """Return a reader of ``names`` in order, an asynchronous context manager."""
         return BlockReader(self, names, secret, version, deadline)
 
     def get_read_ahead(self) -> int:
-        """Return how many reads one request may have under way."""
+        """Return how many concurrent reads one request may have."""
         size = self._link.estimate_block_bytes()
         return max(1, min(MAX_PARALLEL_READS, int(MAX_PARALLEL_BYTES / max(1.0, size))))
 
     def join(
         self, name: BlockName, secret: bytes, version: str, deadline: float
     ) -> _PendingRead:
-        """Return the read of a block under way, started if there is none."""
-        # The key is a keyed hash over workspace, model and version: equal keys are
-        # the same block of the same workspace, so sharing a read crosses nothing.
+        """Return the read of a block in progress; start one if there is none."""
+        # The key is a keyed hash of workspace, model and version. Equal keys are the
+        # same block of the same workspace, so a shared read reveals nothing to others.
         pending_read = self._pending_reads.get(name.key)
         if pending_read is None:
             read = self._link.read_verified(name, secret, version, deadline)
@@ -74,10 +74,10 @@
         return pending_read
 
     def release(self, key: bytes, pending_read: _PendingRead) -> None:
-        """One request waits no longer; the last one out ends the read."""
+        """Remove one waiting request; cancel the read if it was the last one."""
         pending_read.waiters -= 1
         if pending_read.waiters == 0 and not pending_read.task.done():
-            # Forgotten first: a request that comes now must not join a dying read.
+            # Removed first, so that no new request joins the read while it is cancelled.
             self._remove(key, pending_read.task)
             pending_read.task.cancel()
 
@@ -88,7 +88,7 @@
 
 
 class BlockReader:
-    """Reads one request's blocks, a few ahead of the one that is wanted next."""
+    """Reads one request's blocks in order, with a read-ahead of a few blocks."""
 
     def __init__(
         self,
@@ -121,7 +121,7 @@
         self._next += 1
         timeout = None
         if pending_read.deadline > self._deadline:
-            # The read was started by a request with more patience than this one.
+            # The read was started by a request with a later deadline.
             timeout = max(0.0, self._deadline - time.monotonic())
         await asyncio.wait({pending_read.task}, timeout=timeout)
         if not pending_read.task.done():
--- a/libraries/agent/src/bamboopier_agent/claim_writer.py
+++ b/libraries/agent/src/bamboopier_agent/claim_writer.py
@@ -1,4 +1,4 @@
-"""Writes one claim partition: one update at a time, many claims to an update."""
+"""Writes one claim partition, one update at a time, with many claims in an update."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
     from bamboopier_objects.objects import ObjectStore
 
-# Conflicts with other agents and lost answers before a claim is given up.
+# Tries after conflicts with other agents or lost responses before claims are abandoned.
 MAX_TRIES = 8
-# A stored claim takes some 90 bytes; this keeps an object below 400 kB.
+# A stored claim takes about 90 bytes; this limit keeps an object below 400 kB.
 PARTITION_CAPACITY = 4000
-# Pause between tries to release what was given up while the platform is away.
+# Back-off between tries to release abandoned claims while the platform is unavailable.
 RELEASE_RETRY_SECONDS = 1.0
 
 
@@ -43,7 +43,7 @@
 
 
 class _PendingClaim:
-    """A claim and who waits for its outcome; done once nobody does."""
+    """A claim and the future of its outcome, which is done if the caller cancels it."""
 
     __slots__ = ("claim", "future")
 
@@ -55,7 +55,10 @@
 
 
 class ClaimWriter:
-    """Drives one ``ClaimPartition``; calls ``on_finished`` when nothing is left to do."""
+    """Drives one ``ClaimPartition``; calls ``on_finished`` once no work is pending.
+
+    ``lifetime`` of a claim is in seconds.
+    """
 
     def __init__(
         self,
@@ -74,11 +77,11 @@
 
     @property
     def version(self) -> int:
-        """Return the version of the partition that this writer saw last."""
+        """Return the version of the partition that this writer read or wrote last."""
         return self._partition.version
 
     def start(self) -> asyncio.Task[None]:
-        """Return the task that works until nothing is left to do."""
+        """Return the task that runs until no work is pending, started if necessary."""
         self._arrived.set()
         if self._task is None or self._task.done():
             self._task = asyncio.create_task(self._work())
@@ -92,16 +95,16 @@
         return await pending.future
 
     def abandon(self, claim: Claim, granted_version: int = 0) -> asyncio.Task[None]:
-        """Give a claim up; the task ends when it neither stands nor can land."""
+        """Abandon a claim; the task ends once it is not stored and cannot be later."""
         self._partition.abandon(claim, granted_version)
         return self.start()
 
     def is_abandoned(self, key: bytes) -> bool:
-        """Say whether ``key`` was claimed here, given up and never run."""
+        """Return whether ``key`` was claimed here, abandoned and never run."""
         return self._partition.is_abandoned(key)
 
     async def _work(self) -> None:
-        """Write until no claim waits and nothing given up is left."""
+        """Write until no claim is pending and all abandoned claims are released."""
         while self._pending or not self._partition.all_released:
             self._arrived.clear()
             batch, self._pending = self._pending, []
@@ -112,7 +115,7 @@
         self._on_finished(self.name)
 
     async def _back_off(self) -> None:
-        """Wait before the next try, unless a new claim comes in."""
+        """Wait before the next try, unless a new claim arrives."""
         if self._pending or self._partition.all_released:
             return
         pending = asyncio.ensure_future(self._arrived.wait())
@@ -120,17 +123,17 @@
         pending.cancel()
 
     async def _commit(self, batch: list[_PendingClaim]) -> Result[None, PlatformError]:
-        """Write the batch into the object; only a confirmed write grants anything.
+        """Write the batch into the object; only a confirmed write grants a claim.
 
-        A lost answer is settled by reading: the claim either stands there, or the next
-        conditional write decides between it and whatever came in between.
+        After a lost response the object is read: either it contains the claim, or the
+        next conditional write decides between the claim and other updates.
         """
         last: PlatformError = PlatformUnavailableError(self.name)
         for _ in range(MAX_TRIES):
             read = await self._read()
             if isinstance(read, Err):
                 return read
-            # Whoever left meanwhile must not be granted what nobody would run.
+            # A cancelled claim must not be granted, because nothing would run under it.
             pending = [entry for entry in batch if not entry.future.done()]
             claims = [entry.claim for entry in pending]
             plan = self._partition.plan(claims, time.time())
@@ -147,8 +150,8 @@
                 case Err(
                     VersionConflictError() | PlatformOutcomeUnknownError() as error
                 ):
-                    # A conflict proves nothing either: whatever lies between may have
-                    # sent this very write twice.
+                    # Even after a conflict the write may have taken effect: a layer in
+                    # between may have sent it twice.
                     self._partition.mark_uncertain(plan)
                     last = error
                 case Err(error):
@@ -167,7 +170,7 @@
     def _abandon_batch(
         self, batch: list[_PendingClaim], error: Err[PlatformError]
     ) -> None:
-        """Tell all that they must not run; what may land yet is released later."""
+        """Fail the whole batch; claims that may still take effect are released later."""
         for entry in batch:
             self._partition.abandon(entry.claim)
             if not entry.future.done():
--- a/libraries/agent/src/bamboopier_agent/claims.py
+++ b/libraries/agent/src/bamboopier_agent/claims.py
@@ -1,7 +1,7 @@
-"""Durable claims of idempotency keys in the platform's objects.
+"""Stores claims of idempotency keys durably in the platform's objects.
 
-Each partition is one platform object. Claims of one partition that arrive while a
-write is under way go together in the next one.
+Each partition of the keys is one platform object. Claims of a partition that arrive
+during a write are batched into the next one.
 """
 
 from __future__ import annotations
@@ -28,19 +28,19 @@
     from bamboopier_objects.errors import PlatformError
     from bamboopier_objects.objects import ObjectStore
 
-# The same in every process and for ever: two agents that divide keys differently
-# would grant one key twice, in two objects. Each claim reads and rewrites its
-# partition, so many small ones keep the traffic down: docs/design/claims.md.
+# Must be the same in every process and never change: two agents that partition keys
+# differently would grant one key twice, in two objects. Each claim reads and rewrites
+# its partition, so many small partitions keep the traffic low: docs/design/claims.md.
 PARTITIONS = 65_536
-# A claim must outlive the longest request (an hour) and clocks that differ, or the key
-# is granted again while its first run goes on.
+# A claim must outlast the longest request (an hour) plus differences between clocks, or
+# the key is granted again during its first run.
 MIN_LIFETIME_SECONDS = 2 * 3600.0
-# A platform that takes longer is as good as down: refused, truthfully and at once.
+# A platform call that takes longer counts as failed, and the request is refused.
 CLAIM_TIMEOUT_SECONDS = 2.0
-# A given-up claim is released before "not run" is said, unless that takes longer; it
-# goes on in the background then.
+# An abandoned claim is released before "not run" is reported, unless the release takes
+# longer; it then continues in the background.
 RELEASE_TIMEOUT_SECONDS = 0.5
-# Claims given up that are remembered after their release, some 100 bytes each.
+# Abandoned claims whose ids are kept after their release, about 100 bytes each.
 MAX_ABANDONED_IDS = 4096
 
 
@@ -50,20 +50,21 @@
     def __init__(self, objects: ObjectStore, holder: str) -> None:
         self._objects = objects
         self._holder = holder
-        # Only partitions with work under way; the platform has the rest.
+        # Only partitions with pending work.
         self._writers: dict[str, ClaimWriter] = {}
         self._abandoned_ids: OrderedDict[str, None] = OrderedDict()
-        # Ids of claims that have no outcome here yet; one for each request that waits.
+        # Ids of claims without an outcome yet, one for each waiting request.
         self._open_ids: set[str] = set()
 
     async def claim(
         self, service: Service, workspace: str, key: str, fingerprint: bytes
     ) -> Result[ClaimOutcome, PlatformError]:
-        """Claim a key; only a grant lets a request run, and only one.
+        """Claim a key; a request may run only if granted, and at most one is granted.
 
-        Whoever leaves before the outcome (cancelled, or too late) gives the claim up:
-        it may stand or land later, and is released in the background. Whoever is
-        granted it notes the run before awaiting anything: the claim is no longer open.
+        If the caller is cancelled or times out before the outcome, the claim is
+        abandoned: it may be stored already or take effect later, and is released in the
+        background. A caller that is granted the claim must record its run before it
+        awaits anything, because the claim is no longer open then.
         """
         digest = hash_key(workspace, key)
         claim = Claim(digest, fingerprint, uuid.uuid4().hex, self._holder, time.time())
@@ -77,13 +78,13 @@
     async def _submit(
         self, writer: ClaimWriter, claim: Claim
     ) -> Result[ClaimOutcome, PlatformError]:
-        """Wait for a claim's outcome; one that will not be used is given up."""
+        """Wait for a claim's outcome; abandon a claim whose outcome will not be used."""
         try:
             async with asyncio.timeout(CLAIM_TIMEOUT_SECONDS):
                 result = await writer.submit(claim)
         except TimeoutError:
             self._abandon(writer, claim)
-            return Err(PlatformUnavailableError("the platform is slow"))
+            return Err(PlatformUnavailableError("the claim timed out"))
         except asyncio.CancelledError:
             self._abandon(writer, claim)
             raise
@@ -92,7 +93,7 @@
         return result
 
     async def release(self, service: Service, granted: ClaimOutcome) -> None:
-        """Give up a grant under which nothing was sent to the target."""
+        """Abandon a grant under which nothing was sent; wait a while for its release."""
         settled = self.abandon(service, granted)
         if settled is not None:
             await asyncio.wait({settled}, timeout=RELEASE_TIMEOUT_SECONDS)
@@ -100,7 +101,10 @@
     def abandon(
         self, service: Service, granted: ClaimOutcome
     ) -> asyncio.Task[None] | None:
-        """Give up a grant without waiting; the task ends once it is released."""
+        """Abandon a grant without waiting; the returned task ends once it is released.
+
+        Returns None if there is no claim to release.
+        """
         claim = granted.current
         if claim is None:
             return None
@@ -109,27 +113,28 @@
         return writer.abandon(claim, granted.version)
 
     def is_abandoned(self, workspace: str, key: str) -> bool:
-        """Say whether this agent claimed the key, gave it up and never ran it."""
+        """Return whether this agent claimed the key, abandoned it and never ran it."""
         digest = hash_key(workspace, key)
         return any(writer.is_abandoned(digest) for writer in self._writers.values())
 
     def was_abandoned(self, claim_id: str) -> bool:
-        """Say whether a claim of this agent was given up, released by now or not.
+        """Return whether a claim of this agent was abandoned, even if it is released.
 
-        Another agent may have read the claim just before its release. Asked about it
-        afterwards, this one would know nothing of the key, and the caller would be told
-        "outcome unknown" of a request that nobody ran.
+        Another agent may have read the claim just before its release and recall it
+        afterwards. Without a record of it, this agent would report no response, and the
+        caller would receive "outcome unknown" for a request that never ran.
         """
         return claim_id in self._abandoned_ids
 
     def is_open(self, claim_id: str) -> bool:
-        """Say whether a claim may yet be granted or given up here.
-
-        It stands in the platform before the answer is back, and another agent may read
-        it and have this one asked meanwhile. Taken for one whose answer is lost, its
-        caller would be told "outcome unknown" of a request that runs a moment later,
-        or that nobody runs. An id is open until its outcome is taken in, and is noted
-        as a run or as given up in the same step; what is none of these is lost.
+        """Return whether a claim may still be granted or abandoned here.
+
+        A claim is stored in the platform before the response arrives here. Another
+        agent may read it meanwhile, and a recall of it may reach this agent. If the
+        claim were treated as one whose response is lost, the caller would receive
+        "outcome unknown" for a request that runs a moment later, or never. An id is
+        open until its outcome arrives, and is recorded as running or abandoned in the
+        same step of the event loop; a claim in none of these states is lost.
         """
         return claim_id in self._open_ids
 
@@ -139,9 +144,9 @@
             self._abandoned_ids.popitem(last=False)
 
     async def wait_until_released(self) -> None:
-        """Return once nothing given up is left to release.
+        """Return once all abandoned claims are released.
 
-        A process that ends sooner leaves keys that nobody ran "unknown" for ever.
+        If the process ends earlier, keys that never ran stay "unknown" forever.
         """
         while self._writers:
             tasks = {writer.start() for writer in self._writers.values()}
@@ -158,18 +163,18 @@
         return writer
 
     def _abandon(self, writer: ClaimWriter, claim: Claim) -> None:
-        """Release in the background; the writer may have ended a moment ago.
+        """Release a claim in the background, by the current writer of its partition.
 
-        Another may work for its partition by then, and takes the claim over. Released
-        by a writer that is not in the table, it would be left behind by a stop, which
-        waits for those that are, and its key would be "unknown" for its lifetime.
+        The claim's own writer may have finished just before, and another may have
+        replaced it. Shutdown waits only for the writers in the table: released by any
+        other, the claim could remain, and its key would be "unknown" for its lifetime.
         """
         self._record_abandoned(claim)
         current = self._writers.setdefault(writer.name, writer)
         current.abandon(claim, 0 if current is writer else writer.version)
 
     def _remove_writer(self, name: str) -> None:
-        """Drop a partition that has nothing left to do."""
+        """Remove the writer of a partition without pending work."""
         self._writers.pop(name, None)
 
 
--- a/libraries/agent/src/bamboopier_agent/context.py
+++ b/libraries/agent/src/bamboopier_agent/context.py
@@ -1,4 +1,8 @@
-"""Brings a prompt's blocks to the engine before it runs and keeps them afterwards."""
+"""Fetches a prompt's context blocks into the engine and exports them afterwards.
+
+Blocks that the engine lacks are read from store VMs before the prompt runs, if that is
+faster than recomputing them. Blocks of finished prompts are queued for export.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +47,7 @@
     from .store_client import StoreClient
     from .target import CacheEvents, TargetClient
 
-# Assumed until measured: tokens a second and bytes a second.
+# Assumed until measured, in tokens and bytes per second.
 INITIAL_PREFILL_RATE = 8000.0
 INITIAL_LINK_RATE = 125_000_000.0
 
@@ -52,14 +56,17 @@
 
 @dataclass(slots=True)
 class ContextRates:
-    """The two speeds that the choice between fetching and recomputing compares."""
+    """The rates compared in the choice between fetching and recomputing.
+
+    ``prefill`` is in tokens per second, ``link`` in bytes per second.
+    """
 
     prefill: Rate
     link: Rate
 
 
 def make_initial_rates() -> ContextRates:
-    """Return the rates of a target that has measured nothing yet."""
+    """Return the rates assumed for a target without measurements."""
     return ContextRates(
         MeasuredRate(INITIAL_PREFILL_RATE, INITIAL_PREFILL_RATE),
         MeasuredRate(INITIAL_LINK_RATE, INITIAL_LINK_RATE),
@@ -67,7 +74,7 @@
 
 
 class ContextBlockManager:
-    """Fetches and exports blocks for one target."""
+    """Fetches and exports context blocks for one target."""
 
     def __init__(
         self,
@@ -92,13 +99,14 @@
         return tuple(vm.name for vm in self._link.view.store_vms)
 
     def configure(self, view: ContextView) -> None:
-        """Take store VMs, budget and weights as published now."""
+        """Apply store VMs, link budget and cost weights of a new view."""
         self._link.configure(view)
 
     async def fetch(self, request: ServeRequest) -> int:
-        """Import the blocks the engine lacks and that are worth it; return how many.
+        """Import the missing blocks that are worth fetching; return how many.
 
-        Stops at the first block that cannot be had: a prefix with a hole is no use.
+        Stops at the first block that cannot be read, because the engine can only use
+        a contiguous prefix.
         """
         keys = tuple(request.model.block_keys)
         if not keys:
@@ -131,14 +139,15 @@
         prefill_tokens: int,
         seconds: float,
     ) -> None:
-        """Learn from a finished request and queue its blocks for export.
+        """Update the prefill rate from a complete response and queue blocks for export.
 
-        ``seconds`` ran from sending to the first byte, for ``prefill_tokens`` of prefill.
+        ``seconds`` ran from sending to the first byte, for ``prefill_tokens`` of
+        prefill.
         """
         now = time.monotonic()
         keys = tuple(request.model.block_keys)
-        # The head of an answer that is not streamed comes after its last token, so
-        # its time says nothing about prefill.
+        # Without streaming, the first byte is sent after the last token, so its time
+        # does not measure prefill.
         streamed = request.model.stream
         if streamed and prefill_tokens >= self.find_block_tokens(request):
             self._rates.prefill.record(now, prefill_tokens, seconds)
@@ -158,7 +167,7 @@
         await self.exporter.run()
 
     def apply_events(self, events: CacheEvents, *, gap: bool = False) -> None:
-        """Take the engine's hints about what left its cache."""
+        """Apply the engine's cache events; ``gap`` says that some were lost."""
         if gap:
             self._resident.clear()
         for event in events.events:
@@ -166,7 +175,7 @@
                 self._resident.remove(bytes.fromhex(event.key))
 
     def clear_resident(self) -> None:
-        """The engine started anew: its cache is empty."""
+        """Clear the blocks assumed resident, because the engine has restarted."""
         self._resident.clear()
 
     def find_block_tokens(self, request: ServeRequest) -> int:
@@ -246,11 +255,12 @@
             self._link.record_transfer(now, size, seconds)
 
     def _invalidate_stored(self, keys: Sequence[bytes], *, damaged: bool) -> None:
-        """The first of a prompt's remaining blocks was not had from any store.
+        """Mark blocks as no longer stored after the first of them could not be read.
 
-        Those behind it were written at the same time and have probably gone with it.
-        Without forgetting them each return would find, and write again, only one. A
-        look before each export keeps those that are there from being sent.
+        The later ones were written at the same time and are probably missing too. If
+        they were still assumed stored, each request with this prompt would find and
+        rewrite only one. Blocks that do exist are not sent again, because each export
+        checks the store first.
         """
         self.exporter.invalidate_stored(keys[0], damaged=damaged)
         for key in keys[1:]:
--- a/libraries/agent/src/bamboopier_agent/context_view.py
+++ b/libraries/agent/src/bamboopier_agent/context_view.py
@@ -1,4 +1,4 @@
-"""What the published configuration and the VM list say about a target's context."""
+"""The settings of a target's context store, from the configuration and the VM list."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ContextView:
-    """Store VMs, budget and weights in force for one target."""
+    """Store VMs, link budget and cost weights in force for one target."""
 
     store_vms: tuple[StoreVm, ...] = ()
     replicas: int = 1
     data_centre: str = ""
     cost_weights: CostWeights = FIRST_TOKEN_WEIGHTS
     link_bytes_per_second: float = DEFAULT_LINK_BYTES_PER_SECOND
-    # By model name.
+    # Tokens per block, by model name.
     block_tokens: Mapping[str, int] = field(default_factory=dict)
-    # Share of a store by workspace tag.
+    # Weight of the workspace's share of a store, by workspace tag.
     shares: Mapping[str, float] = field(default_factory=dict)
 
 
@@ -48,7 +48,7 @@
     data_centre: str,
     block_secret: bytes,
 ) -> ContextView:
-    """Return the view of the targets of a service; empty when it has no store."""
+    """Return the view for the targets of a service; the default if it has no store."""
     service = directory.services.get(service_name)
     if service is None or service.store is None:
         return ContextView()
--- a/libraries/agent/src/bamboopier_agent/daemon.py
+++ b/libraries/agent/src/bamboopier_agent/daemon.py
@@ -1,4 +1,4 @@
-"""The agent process: settings in, one target served until SIGTERM."""
+"""The agent process: builds its parts from the settings and serves until SIGTERM."""
 
 from __future__ import annotations
 
@@ -52,9 +52,9 @@
     from bamboopier_configuration.directory import Directory
     from bamboopier_configuration.settings import AgentSettings
 
-# For the last claims to be released; longer only while the platform is away.
+# For releasing abandoned claims; takes longer only if the platform is unavailable.
 CLAIM_RELEASE_TIMEOUT_SECONDS = 5.0
-# For answers that have left the target and not yet reached their gateway.
+# For responses that the target has completed and their gateway has not yet received.
 FLUSH_TIMEOUT_SECONDS = 30.0
 LEASE_RELEASE_TIMEOUT_SECONDS = 2.0
 
@@ -62,7 +62,7 @@
 
 
 async def run_agent(settings: AgentSettings) -> None:
-    """Run until SIGTERM or SIGINT, then let what runs finish."""
+    """Run until SIGTERM or SIGINT, then let running requests finish."""
     generator = random.Random(f"{settings.vm}:{os.getpid()}")
     async with AsyncExitStack() as stack:
         certificates = Certificates(settings.tls, allow_plain=settings.allow_plain)
@@ -148,13 +148,13 @@
         with convert_listen_errors("listen", settings.listen):
             certificates.add_port(server, str(settings.listen))
         await server.start()
-        # Only now is the place proved to be this process's own.
+        # Bound to its port, this process is the only one with this agent address.
         updates = _run_weight_updates(lease, weight_updater, generator)
         await stack.enter_async_context(keep_running(updates))
 
         def is_ready() -> bool:
-            # Without services and stores this agent would refuse or forget what the
-            # first requests bring.
+            # Without services and stores this agent would refuse the first requests or
+            # not store their blocks.
             has_configuration = follower.directory.generation > 0 and vms.has_list
             return has_configuration and monitor.reachable and gate.admission.accepting
 
@@ -176,8 +176,8 @@
             timeout = settings.shutdown_timeout_seconds
             end = await signals.wait_until(_finish_requests(gate, server), timeout)
             if end is not ShutdownOutcome.IDLE:
-                # Gateways see these streams break off and tell their callers that the
-                # outcome is unknown, which it is.
+                # Gateways see these streams end early and correctly report the outcome
+                # as unknown to their callers.
                 log.warning(
                     "requests cut", reason=end.value, running=gate.admission.running
                 )
@@ -186,7 +186,7 @@
                 await asyncio.wait_for(
                     claims.wait_until_released(), CLAIM_RELEASE_TIMEOUT_SECONDS
                 )
-            # A lease that cannot be given up in time lapses by itself.
+            # A lease that is not released in time expires by itself.
             with suppress(TimeoutError):
                 async with asyncio.timeout(LEASE_RELEASE_TIMEOUT_SECONDS):
                     await lease.release()
@@ -194,7 +194,7 @@
 
 
 async def _finish_requests(gate: AdmissionGate, server: grpc.aio.Server) -> None:
-    """Return once nothing runs and every answer has been taken over by its gateway."""
+    """Return once no request runs and gateways have received all responses."""
     await gate.wait_until_idle()
     await server.stop(grace=FLUSH_TIMEOUT_SECONDS)
 
@@ -202,7 +202,7 @@
 async def _run_weight_updates(
     lease: LeaseManager, weight_updater: WeightUpdater, generator: random.Random
 ) -> None:
-    """Hold the target's lease and bring its weights up to date."""
+    """Hold the target's lease and keep its weights up to date."""
     async with keep_running(lease.maintain(weight_updater.needs_lease, generator)):
         await weight_updater.run()
 
--- a/libraries/agent/src/bamboopier_agent/lease.py
+++ b/libraries/agent/src/bamboopier_agent/lease.py
@@ -1,4 +1,4 @@
-"""Keeps a lease in a platform object as the lease's decisions say."""
+"""Stores a lease in a platform object and maintains it as ``Lease`` decides."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
     from bamboopier_decisions.membership.lease import LeaseWrite
     from bamboopier_objects.objects import ObjectStore, StoredObject
 
-# 730 agents that renew every 20 s write 37 times a second, a tenth of what the platform
-# takes; a lease survives two renewals that fail.
+# 730 agents that renew every 20 s write 37 times a second, a tenth of the platform's
+# write capacity. A lease outlasts two failed renewals.
 TARGET_LEASE_SECONDS = 60.0
 RENEW_INTERVAL_SECONDS = 20.0
-# A lease that another process holds is read this often; the wait for it starts anew
-# whenever its version has changed.
+# How often a lease that another process holds is read. The wait until it expires
+# restarts whenever its version has changed.
 OBSERVE_INTERVAL_SECONDS = 10.0
-# A service that has just been configured may need orders.
+# How often to check whether a lease is needed: a newly configured service may need one.
 NEED_POLL_INTERVAL_SECONDS = 0.5
 
 
 class LeaseManager:
-    """Reads, takes, renews and gives up one lease object."""
+    """Reads, acquires, renews and releases the lease in one platform object."""
 
     def __init__(self, objects: ObjectStore, key: str, lease: Lease) -> None:
         self._objects = objects
@@ -39,11 +39,11 @@
 
     @property
     def held(self) -> bool:
-        """Say whether an order may be given now."""
+        """Return whether the lease is held, so that an order may be sent now."""
         return self.lease.is_held(read_clock())
 
     async def observe(self) -> bool:
-        """Read the lease's object once; False when the platform did not answer."""
+        """Read the lease's object once; return False if the platform call failed."""
         result = await self._objects.read(self.key)
         if isinstance(result, Err):
             return False
@@ -52,23 +52,23 @@
         return True
 
     def apply_read(self, stored: StoredObject) -> None:
-        """Take the object as it was read."""
+        """Update the lease from the object as it was read."""
         try:
             record = msgspec.json.decode(stored.value, type=LeaseRecord)
         except msgspec.MsgspecError:
-            # Not written by this program: it is taken over like a released lease.
+            # Not written by this program; treated like a released lease.
             record = None
         self.lease.observe(read_clock(), ObservedLease(stored.version, record))
 
     async def acquire(self) -> bool:
-        """Take or renew the lease if it may be; say whether it is held afterwards."""
+        """Acquire or renew the lease if possible; return whether it is held then."""
         if not await self._can_acquire():
             return False
         await self._write(self.lease.acquire(read_clock()))
         return self.held
 
     async def release(self) -> None:
-        """Give the lease up so that the next holder need not wait."""
+        """Release the lease, so that the next holder does not have to wait."""
         write = self.lease.release(read_clock())
         if write is not None:
             await self._write(write)
@@ -76,7 +76,7 @@
     async def maintain(
         self, is_needed: Callable[[], bool], random: random.Random
     ) -> None:
-        """Hold the lease whenever it is needed and possible, until cancelled."""
+        """Hold the lease whenever it is needed and available, until cancelled."""
         while True:
             if not is_needed():
                 await asyncio.sleep(NEED_POLL_INTERVAL_SECONDS)
@@ -91,16 +91,16 @@
             await asyncio.sleep(seconds * random.uniform(0.9, 1.0))
 
     async def _can_acquire(self) -> bool:
-        """Say whether the lease may be claimed now, looking again if not."""
+        """Return whether the lease may be acquired now; read it again if not."""
         if self.lease.find_wait(read_clock()) > 0:
             await self.observe()
         return self.lease.find_wait(read_clock()) == 0.0
 
     async def _write(self, write: LeaseWrite) -> None:
-        """Write and learn what stands in the object afterwards.
+        """Write the lease and update it to the object's content afterwards.
 
-        After a lost answer or a conflict the object is read: the HTTP library may have
-        repeated a write that took effect, and a write held up on its way may land.
+        After a lost response or a conflict the object is read: the HTTP library may
+        have resent a write that took effect, and a delayed write may still take effect.
         """
         value = msgspec.json.encode(write.record)
         result = await self._objects.write(self.key, value, write.expected_version)
--- a/libraries/agent/src/bamboopier_agent/load_slots.py
+++ b/libraries/agent/src/bamboopier_agent/load_slots.py
@@ -1,4 +1,4 @@
-"""Takes one of a service's places to load weights."""
+"""Limits how many targets of a service load weights at once, by leased load slots."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
     from bamboopier_objects.objects import ObjectStore
 
-# Longer than an order to load may take, so that a slot whose holder was killed comes
-# back only when that holder's load is over.
+# Longer than a load may take, so that the slot of a killed holder becomes free only
+# after that holder's load has ended.
 SLOT_LEASE_SECONDS = 90.0
 RENEW_INTERVAL_SECONDS = 20.0
 PREFIX = "leases/loads/"
 
 
 class LoadSlots:
-    """The slot leases of one service, as one agent sees them."""
+    """The load slots of one service, from the point of view of one agent."""
 
     def __init__(
         self,
@@ -51,10 +51,10 @@
 
     @asynccontextmanager
     async def acquire(self, count: int) -> AsyncIterator[LeaseManager | None]:
-        """Hold one of the first ``count`` slots; None when none is free now.
+        """Hold one of the first ``count`` slots; yield None if none is free now.
 
-        A try costs one read of all slots, and a slot a write to take, one to give up
-        and one each 20 s between.
+        Each call reads all slots once. A slot costs one write to acquire, one to
+        release, and one every 20 s while it is held.
         """
         slot = await self._acquire_free(count) if await self._observe(count) else None
         if slot is None:
@@ -65,7 +65,7 @@
         await slot.release()
 
     async def _observe(self, count: int) -> bool:
-        """Read all slots at once; False when the platform did not answer."""
+        """Read all slots in one call; return False if the platform call failed."""
         for number in range(count):
             self._slots.setdefault(number, self._make_slot(number))
         result = await self._objects.scan(f"{self._prefix}{self._service}/")
@@ -86,9 +86,9 @@
         return self._slots[number]
 
     def _make_slot(self, number: int) -> LeaseManager:
-        # No two processes share a place here: an agent that starts anew after its
-        # predecessor was killed must not take that one's slot at once, since the
-        # engine may still be loading by the predecessor's order.
+        # The place is unique to this process, unlike that of the target's lease. An
+        # agent restarted after being killed must not take over its predecessor's slot
+        # at once, because the engine may still be executing the predecessor's order.
         lease = Lease(self._holder, self._holder, self._lease_seconds)
         key = f"{self._prefix}{self._service}/{number}"
         return LeaseManager(self._objects, key, lease)
--- a/libraries/agent/src/bamboopier_agent/metrics.py
+++ b/libraries/agent/src/bamboopier_agent/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of one agent, named for the measures operators watch."""
+"""Metrics of one agent."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class AgentMetrics:
-    """The agent's metrics in a registry of their own."""
+    """The agent's metrics, in a registry of their own."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -20,7 +20,7 @@
         )
         self.prompt_tokens = Counter(
             "bamboopier_prompt_tokens",
-            "Prompt tokens by where their context came from",
+            "Prompt tokens by source of their context",
             ["source"],
             registry=self.registry,
         )
@@ -49,7 +49,7 @@
         )
         self.store_failures = Counter(
             "bamboopier_store_failures",
-            "Calls to store VMs that failed, by typed reason",
+            "Failed calls to store VMs by reason",
             ["reason"],
             registry=self.registry,
         )
@@ -61,17 +61,17 @@
         )
         self.export_decisions = Counter(
             "bamboopier_export_decisions",
-            "Blocks by what became of their export",
+            "Blocks by outcome of their export",
             ["outcome"],
             registry=self.registry,
         )
         self.running = Gauge(
             "bamboopier_agent_running",
-            "Requests the target has now",
+            "Requests running at the target now",
             registry=self.registry,
         )
         self.waiting = Gauge(
             "bamboopier_agent_waiting",
-            "Requests waiting here now",
+            "Requests queued at the agent now",
             registry=self.registry,
         )
--- a/libraries/agent/src/bamboopier_agent/service.py
+++ b/libraries/agent/src/bamboopier_agent/service.py
@@ -1,4 +1,4 @@
-"""The gRPC service: serve one attempt, recall a kept answer, report load."""
+"""The agent's gRPC service: serves attempts, recalls cached responses, reports load."""
 
 from __future__ import annotations
 
@@ -44,15 +44,16 @@
     from .target import TargetClient
     from .target_monitor import TargetMonitor
 
-# How long past its deadline a non-idempotent call may go on, for its answer to be there
-# when the caller repeats the key. Without an end a hung target would fill its slots.
+# How long a non-idempotent call may run past its deadline, so that its response is
+# cached when the caller repeats the key. Without a limit, calls to a hung target would
+# occupy all its slots.
 DEADLINE_GRACE_SECONDS = 60.0
 
 log = structlog.get_logger()
 
 
 class AgentService(agent_pb2_grpc.AgentServicer):
-    """Serves attempts for the one target beside this process."""
+    """Serves attempts at the one target of this agent."""
 
     def __init__(
         self,
@@ -81,14 +82,15 @@
     async def Serve(  # noqa: N802 (the name is the protocol's)
         self, request: pb.ServeRequest, context: Any
     ) -> AsyncIterator[pb.ServeEvent]:
-        """Run one attempt and stream its answer.
+        """Run one attempt and stream its response.
 
-        Cancelling it cancels the target, unless a non-idempotent call has started.
+        Cancelling the call cancels the request at the target, unless the call is
+        non-idempotent and has been sent.
         """
         self._follower.record_announced(request.generation)
         builder = EventBuilder(request.attempt_id, self.report)
         if not self._seen.add(request.attempt_id):
-            # The first copy may run: "not run" would be false, and so no refusal.
+            # The first copy may have run, so "not run" would be false.
             yield builder.make_unknown(pb.CONNECTION_LOST, "attempt received twice")
             return
         refusal = self._find_refusal(request, builder)
@@ -114,7 +116,7 @@
     async def _serve_attempt(
         self, request: pb.ServeRequest, builder: EventBuilder, stream: EventStream
     ) -> None:
-        """Admit, claim and run one attempt, telling the stream what happens."""
+        """Admit, claim and run one attempt, and write its events to the stream."""
         try:
             async with self._gate.enter(
                 self._build_admission_request(request, stream)
@@ -134,7 +136,7 @@
     async def Recall(  # noqa: N802 (the name is the protocol's)
         self, request: pb.RecallRequest, context: Any
     ) -> pb.RecallReply:
-        """Return the kept answer of an idempotency key."""
+        """Return the state and, if it is cached, the response of an idempotency key."""
         key = hash_key(request.workspace, request.idempotency_key)
         if self._claims.is_abandoned(request.workspace, request.idempotency_key):
             return pb.RecallReply(state=pb.RecallReply.NEVER_RAN)
@@ -163,12 +165,12 @@
     async def Report(  # noqa: N802 (the name is the protocol's)
         self, request: pb.ReportRequest, context: Any
     ) -> pb.LoadReport:
-        """Return the load now."""
+        """Return the current load."""
         self._follower.record_announced(request.generation)
         return self.report()
 
     def report(self) -> pb.LoadReport:
-        """Return the load as it is piggybacked on answers."""
+        """Return the current load, which is also attached to responses."""
         admission = self._gate.admission
         self._metrics.running.set(admission.running)
         self._metrics.waiting.set(admission.waiting)
@@ -272,8 +274,9 @@
     ) -> AsyncGenerator[pb.ServeEvent]:
         """Run under a claim; release it if nothing was sent to the target.
 
-        The release comes before "not run" is said: the next attempt, at another agent,
-        would else find the key claimed and tell the caller "outcome unknown".
+        The claim is released before "not run" is reported. Otherwise the next attempt,
+        at another agent, would find the key claimed, and the caller would receive
+        "outcome unknown".
         """
         key = hash_key(request.workspace, request.idempotency_key)
         cached_response = self._response_cache.start(key, request.fingerprint)
@@ -293,7 +296,7 @@
             else:
                 self._response_cache.discard(key)
             if may_have_run and not stream.detached:
-                # Cancelled before anything was sent.
+                # The attempt was cancelled before anything was sent to the target.
                 self._claims.abandon(service, granted)
 
     async def _run(
@@ -307,8 +310,8 @@
         started = time.monotonic()
         fetched = await self._context.fetch(request) if request.model.model else 0
         if time.monotonic() >= stream.deadline:
-            # This process or the platform stood still for so long that the gateway has
-            # told its caller the end; a thawed process must not run what came before.
+            # This process was suspended or the platform was slow for so long that the
+            # caller has its final response. A resumed process must not run the request.
             yield builder.make_not_run(pb.DEADLINE)
             return
         usage = UsageReader()
--- a/libraries/agent/src/bamboopier_agent/store_client.py
+++ b/libraries/agent/src/bamboopier_agent/store_client.py
@@ -1,4 +1,4 @@
-"""Calls to store VMs: sealed blocks under names."""
+"""HTTP client for store VMs, which store sealed blocks by name."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     from types import TracebackType
 
 CALL_TIMEOUT_SECONDS = 5.0
-# A longer list is cut here: some 50,000 names, oldest first.
+# A longer list is truncated to this size: about 50,000 names, oldest first.
 MAX_LIST_BYTES = 4 * 1024 * 1024
 READ_CHUNK_BYTES = 256 * 1024
 
 
 class StoreClient:
-    """Reads and writes sealed blocks; close it by leaving the context."""
+    """Reads and writes sealed blocks; an asynchronous context manager."""
 
     def __init__(self) -> None:
         self._session: aiohttp.ClientSession | None = None
@@ -52,29 +52,29 @@
     async def read(
         self, address: str, name: str, timeout: float, limit: int
     ) -> Result[bytes, StoreError]:
-        """Return whatever the VM has under ``name``; the caller proves it.
+        """Return the VM's content under ``name``; the caller has to verify it.
 
-        ``timeout`` is in seconds; more than ``limit`` bytes are no block.
+        ``timeout`` is in seconds. More than ``limit`` bytes are an error.
         """
         content = bytearray()
         try:
             async with self._call("GET", address, name, timeout=timeout) as response:
                 if response.status != 200:
                     return Err(_make_error(response.status))
-                # The store is not trusted with this process's memory: an endless body
-                # would otherwise grow it until the VM kills the agent.
+                # An endless body must not grow this process until the VM runs out of
+                # memory and kills the agent.
                 await _read_up_to(response, content, limit + 1)
         except TimeoutError:
-            # Bytes that came make it a slow link, none at all a store that hangs.
+            # With some bytes the link is too slow; with none the store hangs.
             return Err(TransferTimeoutError() if content else StoreHungError())
         except aiohttp.ClientError as error:
             return Err(StoreUnreachableError(str(error)))
         if len(content) > limit:
-            return Err(StoreResponseError(f"more than {limit} bytes"))
+            return Err(StoreResponseError(f"block larger than {limit} bytes"))
         return Ok(bytes(content))
 
     async def get_size(self, address: str, name: str) -> Result[int, StoreError]:
-        """Return how many bytes lie under ``name``."""
+        """Return the stored size under ``name`` in bytes."""
         try:
             async with self._call("HEAD", address, name) as response:
                 if response.status != 200:
@@ -92,11 +92,11 @@
         return await self._send_change("PUT", address, name, sealed)
 
     async def delete(self, address: str, name: str) -> Result[None, StoreError]:
-        """Free a block's space; one that is gone already is no failure."""
+        """Delete a block; one that does not exist is no error."""
         return await self._send_change("DELETE", address, name)
 
     async def list_names(self, address: str) -> Result[list[str], StoreError]:
-        """Return the names of stored blocks, oldest first, cut at a bound."""
+        """Return the names of stored blocks, oldest first, up to ``MAX_LIST_BYTES``."""
         try:
             async with self._call("GET", address, "") as response:
                 if response.status != 200:
--- a/libraries/agent/src/bamboopier_agent/store_errors.py
+++ b/libraries/agent/src/bamboopier_agent/store_errors.py
@@ -1,4 +1,4 @@
-"""Failures an agent meets at store VMs; each names the reason that metrics count."""
+"""Errors of an agent's calls to store VMs, each with the reason label of its metric."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class StoreFailure(StrEnum):
-    """Why a block was not had from, or not put into, a store."""
+    """Why a block could not be read from or written to a store."""
 
     MISSING = "missing"
     UNREACHABLE = "unreachable"
@@ -21,46 +21,46 @@
 
 
 class StoreError(BamboopierError):
-    """Base of the failures of calls to store VMs."""
+    """Base class for errors of calls to store VMs."""
 
     reason: ClassVar[StoreFailure] = StoreFailure.BAD_RESPONSE
 
 
 class BlockMissingError(StoreError):
-    """No store VM that should have the block has it."""
+    """No store VM that should have the block stores it."""
 
     reason = StoreFailure.MISSING
 
 
 class StoreUnreachableError(StoreError):
-    """No connection, or it broke."""
+    """No connection was established, or it broke."""
 
     reason = StoreFailure.UNREACHABLE
 
 
 class StoreHungError(StoreError):
-    """The VM did not begin to answer in time."""
+    """The VM sent no data in time."""
 
     reason = StoreFailure.HUNG
 
 
 class TransferTimeoutError(StoreError):
-    """The bytes, or the link's budget for them, came too slowly to be of use."""
+    """The transfer, or the wait for the link's budget, took too long."""
 
     reason = StoreFailure.TIMED_OUT
 
 
 class StoreFullError(StoreError):
-    """The VM has no space (507)."""
+    """The VM has no space left (status 507)."""
 
     reason = StoreFailure.FULL
 
 
 class BlockVerificationError(StoreError):
-    """The bytes are not the block: torn, reused, damaged or someone else's."""
+    """The bytes are not the block: truncated, overwritten, damaged or another block."""
 
     reason = StoreFailure.UNVERIFIED
 
 
 class StoreResponseError(StoreError):
-    """The VM answered with a status or a body that has no meaning here."""
+    """The VM responded with an unexpected status or body."""
--- a/libraries/agent/src/bamboopier_agent/store_evictor.py
+++ b/libraries/agent/src/bamboopier_agent/store_evictor.py
@@ -1,4 +1,4 @@
-"""Makes room on a full store VM, with no knowledge but the VM's own list."""
+"""Frees space on a full store VM, using only the VM's own list of blocks."""
 
 from __future__ import annotations
 
@@ -15,26 +15,27 @@
 
     from .store_link import StoreLink
 
-# Names chosen from one list. With the least seconds between lists this bounds the
-# calls: a full VM costs each writer one list in ten seconds and a delete a block.
+# Names chosen from one list. Together with the minimum interval between lists this
+# limits the calls to a full VM: for each writer one list in ten seconds, and one delete
+# for each block.
 EVICTION_BATCH_SIZE = 16
 MIN_LIST_INTERVAL_SECONDS = 10.0
 
 
 class StoreEvictor:
-    """Deletes what the policy names; one instance serves all VMs of an agent."""
+    """Deletes the blocks that the eviction policy chooses, on all VMs of an agent."""
 
     def __init__(self, link: StoreLink) -> None:
         self._link = link
-        # Chosen and not yet deleted, and when the list was read, by VM name.
+        # Names chosen and not yet deleted, and when the list was read, by VM name.
         self._victims: dict[str, list[str]] = {}
         self._listed_at: dict[str, float] = {}
 
     async def free_space(self, vm: StoreVm, writer: BlockName) -> bool:
-        """Delete one block for ``writer``; False when there is nothing to delete now.
+        """Delete one block for ``writer``; return False if none could be deleted.
 
-        Another agent may delete at the same moment: both then free a block, and a
-        block freed under a reader fails that reader's proof.
+        Other agents may delete at the same time; each then frees a block. A block that
+        is deleted while it is read fails the reader's verification.
         """
         if not self._victims.get(vm.name):
             await self._choose_victims(vm, writer)
--- a/libraries/agent/src/bamboopier_agent/store_link.py
+++ b/libraries/agent/src/bamboopier_agent/store_link.py
@@ -1,4 +1,4 @@
-"""The link from this target to its store VMs: budget, speed and health of each VM."""
+"""The link from a target to its store VMs: its budget, its rate and the VMs' health."""
 
 from __future__ import annotations
 
@@ -31,23 +31,23 @@
     from .metrics import AgentMetrics
     from .store_client import StoreClient
 
-# Assumed until a first block has been seen.
+# Size of a sealed block, assumed until the first one is read or written.
 INITIAL_BYTES_PER_TOKEN = 6400
 SIZE_SMOOTHING = 0.3
-# A block larger than this many times its expected size is not read to its end.
+# Reading stops once a block exceeds its expected size by this factor.
 MAX_SIZE_FACTOR = 8
-# Blocks on their way at once for all requests together. When a data centre returns,
-# dozens of prompts fetch at the same moment; over a slow link their blocks of some
-# 50 MB would pile up here until the VM kills the agent with every stream it carries.
+# Concurrent reads of all requests together. When a data centre recovers, dozens of
+# prompts fetch at the same moment. Over a slow link their blocks of about 50 MB each
+# would fill the memory until the VM kills the agent and all its streams.
 MAX_CONCURRENT_READS = 4
 MIN_READ_LIMIT = 64 * 1024 * 1024
-# How long blocks are looked for at the VMs that owned them before a change: most
-# prompts that return within the hour have moved their blocks by then.
+# How long blocks are also read from the VMs that owned them before a change. Within the
+# hour, most prompts that are sent again have moved their blocks to the new owners.
 FORMER_OWNER_SECONDS = 3600.0
 
 
 class StoreLink:
-    """Moves sealed blocks within the link's budget and proves what it reads."""
+    """Transfers sealed blocks within the link's budget and verifies those it reads."""
 
     def __init__(self, store: StoreClient, rate: Rate, metrics: AgentMetrics) -> None:
         self.store = store
@@ -62,7 +62,7 @@
         self._read_semaphore = asyncio.Semaphore(MAX_CONCURRENT_READS)
 
     def configure(self, view: ContextView) -> None:
-        """Take another view; the VMs of the one before are still looked at."""
+        """Apply a new view; blocks are also read from the former VMs for a while."""
         now = time.monotonic()
         if self.view.store_vms and set(view.store_vms) != set(self.view.store_vms):
             self._former_vms = self.view.store_vms
@@ -74,51 +74,53 @@
         self._metrics.link_budget.set(view.link_bytes_per_second)
 
     def estimate_rate(self, now: float) -> float:
-        """Return the bytes a second that a fetch can count on."""
+        """Return the estimated rate of a fetch in bytes per second."""
         return self._rate.estimate(now)
 
     def estimate_block_bytes(self, block_tokens: int = DEFAULT_BLOCK_TOKENS) -> float:
-        """Return the expected size of a sealed block."""
+        """Return the expected size of a sealed block in bytes."""
         return self._block_bytes or block_tokens * INITIAL_BYTES_PER_TOKEN
 
     def record_block_size(self, size: int) -> None:
-        """Learn from a whole block's size."""
+        """Update the expected block size from a complete block of ``size`` bytes."""
         previous = self._block_bytes or size
         self._block_bytes = previous + SIZE_SMOOTHING * (size - previous)
 
     def record_transfer(self, now: float, size: float, seconds: float) -> None:
-        """Learn from a fetch that came in time."""
+        """Update the rate from a completed fetch of ``size`` bytes."""
         self._rate.record(now, size, seconds)
 
     def record_timeout(self, now: float, size: float, seconds: float) -> None:
-        """Learn from a fetch of ``size`` bytes that was given up."""
+        """Update the rate from a fetch of ``size`` bytes that timed out."""
         self._rate.record_timeout(now, size, seconds)
 
     def list_owners(self, key: bytes) -> list[StoreVm]:
-        """Return the VMs a block is written to."""
+        """Return the VMs that a block is written to."""
         return place_block(key, self.view.store_vms, self.view.replicas)
 
     async def read_verified(
         self, name: BlockName, secret: bytes, version: str, deadline: float
     ) -> Result[bytes, StoreError]:
-        """Return the payload of a block that proved to be this very one.
+        """Return the payload of a block after verifying its digest.
 
-        ``deadline`` is on the monotonic clock; no wait in here goes beyond it.
+        ``deadline`` is a time on the monotonic clock in seconds.
         """
         sources = self._list_usable_sources(name.key)
         failure: StoreError = BlockMissingError()
         for position, vm in enumerate(sources):
             remaining = deadline - time.monotonic()
-            # A source that hangs leaves as much time for each of those behind it.
+            # Divides the remaining time equally, so that a source that hangs leaves
+            # time for the next ones.
             timeout = remaining / (len(sources) - position)
             result = await self._read_when_free(vm, name, timeout)
             if isinstance(result, Err):
                 failure = result.err_value
                 continue
-            # A store may hold half a write, space freed and reused, or damaged bytes;
-            # imported, they would become a wrong answer to some caller. The digest is
-            # keyed and covers key, version and length, so nothing else passes. It is
-            # computed in a thread: some 50 ms a block would stop every other stream.
+            # A store may return a partial write, reused space or damaged bytes.
+            # Imported, they would cause a wrong response. The digest is keyed and
+            # covers key, version and length, so only the block itself passes. It takes
+            # about 50 ms for a block and is computed in a thread, because it would
+            # block all other streams.
             payload = await asyncio.to_thread(
                 open_block, secret, name.key, version, result.ok_value
             )
@@ -132,14 +134,14 @@
     async def write(
         self, vm: StoreVm, name: BlockName, sealed: bytes
     ) -> Result[None, StoreError]:
-        """Write a block to one VM; the budget has been taken already."""
+        """Write a block to one VM; the caller has already spent the budget for it."""
         result = await self.store.write(vm.address, str(name), sealed)
         self._metrics.link_bytes.labels("export").inc(len(sealed))
         self._record_result(vm, result)
         return result
 
     def record_call(self, vm: StoreVm, error: StoreError | None) -> None:
-        """Learn the VM's health from a call; count its failure."""
+        """Update the VM's health after a call, and count the error if there is one."""
         if isinstance(error, StoreHungError | StoreUnreachableError):
             self.health.record_failure(time.monotonic(), vm.name)
         elif not isinstance(error, TransferTimeoutError):
@@ -168,7 +170,7 @@
             async with asyncio.timeout(timeout):
                 await self._read_semaphore.acquire()
         except TimeoutError:
-            error = TransferTimeoutError("other reads take all the time")
+            error = TransferTimeoutError("timed out waiting for other reads")
             self._count_failure(error)
             return Err(error)
         try:
@@ -186,7 +188,7 @@
         wait = self.budget.reserve_fetch(started, expected)
         try:
             if wait >= timeout:
-                error = TransferTimeoutError("the link's budget is spent")
+                error = TransferTimeoutError("the link's budget is exhausted")
                 self._count_failure(error)
                 return Err(error)
             if wait > 0:
--- a/libraries/agent/src/bamboopier_agent/target.py
+++ b/libraries/agent/src/bamboopier_agent/target.py
@@ -1,4 +1,4 @@
-"""HTTP client of the target beside this agent."""
+"""HTTP client for the agent's target."""
 
 from __future__ import annotations
 
@@ -32,21 +32,24 @@
 
 
 class TargetState(msgspec.Struct):
-    """What the target says of itself."""
+    """The state that a target reports: its instance and its weight version."""
 
     start_id: str
     version: str = ""
 
 
 class CacheEvent(msgspec.Struct):
-    """A block that entered or left the engine's prefix cache; late, with gaps."""
+    """A block that was added to or evicted from the engine's prefix cache.
+
+    Events arrive late and some are lost.
+    """
 
     kind: str
     key: str
 
 
 class CacheEvents(msgspec.Struct):
-    """Events after a position; a new start id means an empty cache."""
+    """The cache events after a position; a new start id means an empty cache."""
 
     start_id: str
     next: int
@@ -54,7 +57,7 @@
 
 
 class TargetClient:
-    """Calls the target at ``base_url``; close it by leaving the context."""
+    """Sends requests to the target at ``base_url``; an asynchronous context manager."""
 
     def __init__(
         self, base_url: str, ssl_context: ssl.SSLContext | None = None
@@ -72,8 +75,8 @@
         self._session = aiohttp.ClientSession(
             timeout=timeout, connector=connector, auto_decompress=False
         )
-        # A connection kept open may be closed by the target just as it is used again,
-        # which looks like a crash; each run has its own.
+        # The target may close a kept-alive connection just as it is reused, which looks
+        # like a crash. Each run therefore has a connection of its own.
         self._run_session = aiohttp.ClientSession(
             timeout=timeout,
             connector=aiohttp.TCPConnector(limit=0, force_close=True),
@@ -97,16 +100,17 @@
     async def open(
         self, method: str, path: str, headers: Sequence[tuple[str, str]], body: bytes
     ) -> AsyncIterator[aiohttp.ClientResponse]:
-        """Send a request and yield its answer; leaving early cancels it there.
+        """Send a request and yield its response; leaving the context early cancels it.
 
-        Raises ``TargetUnreachableError`` only when no connection was made.
+        Raises ``TargetUnreachableError`` only if no connection was established, and
+        ``BrokenResponseError`` for any failure after that.
         """
         if self._run_session is None:
             raise TargetUnreachableError("the target client is not open")
         try:
             async with self._run_session.request(
                 method,
-                # The caller's own spelling: decoding and quoting anew would change it.
+                # Kept as the caller encoded it; decoding and quoting could change it.
                 URL(self._base_url + path, encoded=True),
                 headers=list(headers),
                 data=body or None,
@@ -127,7 +131,7 @@
         return await self._get(f"/events?after={after}", CacheEvents)
 
     async def load_weights(self, version: str, fence: int) -> Result[None, TargetError]:
-        """Order the target to serve ``version``."""
+        """Order the target to load ``version``; ``fence`` is the fencing token."""
         order = msgspec.json.encode({"version": version, "fence": fence})
         timeout = aiohttp.ClientTimeout(total=LOAD_TIMEOUT_SECONDS)
         url = f"{self._base_url}/orders/load"
@@ -137,7 +141,7 @@
             ) as response:
                 await response.read()
                 if response.status == 409:
-                    return Err(OrderRefusedError(f"fencing number {fence} is old"))
+                    return Err(OrderRefusedError(f"fencing token {fence} is outdated"))
                 if response.status != 200:
                     return Err(OrderFailedError(f"status {response.status}"))
                 return Ok(None)
@@ -145,7 +149,7 @@
             return Err(BrokenResponseError(str(error) or type(error).__name__))
 
     async def export_block(self, salt: str, key: bytes, version: str) -> bytes | None:
-        """Return a block of ``version`` from the engine's cache, or None."""
+        """Return a block from the engine's cache; None unless it is of ``version``."""
         url = f"{self._base_url}/context/{key.hex()}?salt={salt}"
         timeout = aiohttp.ClientTimeout(total=CONTROL_TIMEOUT_SECONDS)
         try:
@@ -162,7 +166,7 @@
     async def import_block(
         self, salt: str, key: bytes, version: str, payload: bytes
     ) -> bool:
-        """Put a block into the engine's cache; False when the engine refused it."""
+        """Put a block into the engine's cache; return False if that failed."""
         url = f"{self._base_url}/context/{key.hex()}?salt={salt}"
         timeout = aiohttp.ClientTimeout(total=CONTROL_TIMEOUT_SECONDS)
         headers = {VERSION_HEADER: version}
@@ -195,11 +199,11 @@
 async def _prevent_resend(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Keep aiohttp from sending a request again by itself.
+    """Prevent aiohttp from resending a request by itself.
 
-    It repeats GET, PUT and DELETE when the connection breaks before an answer; the
+    It resends GET, PUT and DELETE if the connection breaks before a response. The
     operator may have declared such a route non-idempotent, and the target would run it
-    twice. An error that aiohttp does not know ends the request instead.
+    twice. Raising an error that aiohttp does not recognise ends the request instead.
     """
     try:
         return await handler(request)
--- a/libraries/agent/src/bamboopier_agent/target_monitor.py
+++ b/libraries/agent/src/bamboopier_agent/target_monitor.py
@@ -1,4 +1,4 @@
-"""Follows the target's start id, weight version and cache events."""
+"""Polls the target's start id, weight version and cache events."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class TargetMonitor:
-    """Knows the target as of its last answer."""
+    """Holds the state that the target reported last."""
 
     def __init__(
         self, target: TargetClient, gate: AdmissionGate, context: ContextBlockManager
@@ -33,13 +33,13 @@
         self.reachable = False
 
     async def run(self) -> None:
-        """Poll until cancelled; the target is on this VM, so no link is loaded."""
+        """Poll until cancelled; the target is on this VM, so this uses no network link."""
         while True:
             await self.refresh()
             await asyncio.sleep(POLL_SECONDS)
 
     async def refresh(self) -> None:
-        """Ask the target once."""
+        """Poll the target once."""
         result = await self._target.read_state()
         if isinstance(result, Err):
             self.reachable = False
@@ -65,7 +65,7 @@
         events = result.ok_value
         if events.start_id != self.start_id:
             return
-        # Fewer events than positions: some were lost, and any block may have left.
+        # With fewer events than positions some were lost, so any block may be evicted.
         gap = events.next - self._event_position != len(events.events)
         self._context.apply_events(events, gap=gap)
         self._event_position = events.next
--- a/libraries/agent/src/bamboopier_agent/weight_updater.py
+++ b/libraries/agent/src/bamboopier_agent/weight_updater.py
@@ -1,4 +1,8 @@
-"""Brings the target to the configured weight version, under lease and load slot."""
+"""Loads the configured weight version into the target, under its lease and a load slot.
+
+The lease ensures that one agent at a time sends orders to the target; the load slots
+limit how many targets of the service load at once.
+"""
 
 from __future__ import annotations
 
@@ -28,17 +32,18 @@
     from .target_monitor import TargetMonitor
 
 RECONCILE_INTERVAL_SECONDS = 0.5
-# 41 targets of a model that wait for two slots read 55 times a second.
+# With 41 targets of a model waiting for two slots, this makes 55 reads a second.
 SLOT_RETRY_SECONDS = 1.5
-# How long an engine may report its old version after it took an order, or after the
-# order's answer was lost; the slot stays taken meanwhile.
+# How long an engine may report its old version after it accepted an order, or after the
+# order's response was lost. The slot is held meanwhile.
 READ_BACK_TIMEOUT_SECONDS = 60.0
 READ_BACK_POLL_SECONDS = 0.1
-# The slot is kept this long after a load, so that gateways learn that the target is
-# open again before the next one closes. Without it callers are refused in between:
-# gateways know of no target with the new version while the last with the old one load.
+# How long the slot is held after a load, so that gateways receive the report that the
+# target is open again before the next target closes. Without this delay callers are
+# refused: gateways have no report of a target with the new version yet, and the last
+# targets with the old version are loading.
 SLOT_HOLD_SECONDS = 2.0
-# After a load that failed, doubled up to the maximum.
+# Delay after a failed load, doubled with each failure up to the maximum.
 INITIAL_RETRY_SECONDS = 1.0
 MAX_RETRY_SECONDS = 60.0
 
@@ -46,7 +51,7 @@
 
 
 class LoadOutcome(StrEnum):
-    """How an attempt to swap the weights ended."""
+    """The outcome of one reconciliation; LOADED also if there was nothing to load."""
 
     LOADED = "loaded"
     NO_LEASE = "no-lease"
@@ -89,7 +94,10 @@
             await asyncio.sleep(self._choose_delay(outcome, failures))
 
     def needs_lease(self) -> bool:
-        """Say whether the target takes orders, and how its lease may be taken over."""
+        """Return whether the target needs a lease, and set the lease's takeover policy.
+
+        A target that checks fencing tokens allows a takeover at once.
+        """
         service = self._follower.directory.services.get(self._service_name)
         if service is None or service.kind != "model":
             return False
@@ -120,22 +128,22 @@
         return outcome
 
     def find_configured_version(self, service: Service | None) -> str:
-        """Return the configured version; empty where there is not just one model."""
+        """Return the configured version; empty unless the service has one model."""
         if service is None or service.kind != "model" or len(service.models) != 1:
             return ""
         model = self._follower.directory.models.get(service.models[0])
         return model.version if model is not None else ""
 
     async def _load(self, configured_version: str, slot: LeaseManager) -> LoadOutcome:
-        """Order the load and read back what the engine says of itself.
+        """Order the load and wait until the engine reports the new version.
 
-        Between the order and the read-back the engine may serve either version, so no
-        new work goes in: a request made for one version could run on the other.
+        Until then the engine may serve either version. The gate is closed meanwhile,
+        because a request made for one version could run on the other.
         """
         self._availability_gate.set_loading(True)
         try:
-            # The write shows at once whether another process has taken the lease while
-            # this one, or its whole machine, stood still.
+            # The write detects whether another process has taken over the lease while
+            # this process or its machine was suspended.
             if not await self._lease.acquire():
                 return LoadOutcome.NO_LEASE
             if not slot.held or not self._lease.held:
@@ -153,7 +161,7 @@
             self._availability_gate.set_loading(False)
 
     async def _read_back(self, configured_version: str) -> LoadOutcome:
-        """Wait until the engine itself reports the version."""
+        """Wait until the engine reports the version."""
         tries = int(READ_BACK_TIMEOUT_SECONDS / READ_BACK_POLL_SECONDS)
         for _ in range(tries):
             await self._monitor.refresh()
--- a/tools/safeguards/orders.py
+++ b/tools/safeguards/orders.py
@@ -216,8 +216,8 @@
     Mutation(
         "orders carry the lease's fencing number",
         "libraries/agent/src/bamboopier_agent/weight_updater.py",
-        "self._target.load_weights(configured_version, self._lease.lease.fence)",
-        "self._target.load_weights(configured_version, 10**6)",
+        "configured_version, self._lease.lease.fence\n",
+        "configured_version, 10**6\n",
         "libraries/agent",
         "tests.test_weight_updater.WeightUpdaterTests."
         "test_an_engine_that_checks_refuses_the_older_token",
