--- a/libraries/agent/tests/builders.py
+++ b/libraries/agent/tests/builders.py
@@ -1,4 +1,4 @@
-"""A platform in memory whose calls fail as told."""
+"""An in-memory platform whose calls fail on request."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class FakeObjects:
-    """Versioned objects; ``write_faults`` are used up by one write each."""
+    """Stores versioned objects; each write consumes one of ``write_faults``."""
 
     def __init__(self) -> None:
         self.stored: dict[str, StoredObject] = {}
@@ -34,11 +34,12 @@
         self.down = False
         self.delayed: list[tuple[str, bytes, int]] = []
         self.writes = 0
-        # A write waits here; set ``writing`` shows that one does.
+        # Writes wait for ``may_write``; ``writing`` is set when one has started.
         self.may_write = asyncio.Event()
         self.may_write.set()
         self.writing = asyncio.Event()
-        # A write that took effect waits here with its answer; set ``written`` shows it.
+        # Writes that took effect wait for ``may_answer`` before they return; ``written``
+        # is set when one has taken effect.
         self.may_answer = asyncio.Event()
         self.may_answer.set()
         self.written = asyncio.Event()
@@ -67,7 +68,7 @@
         done = self.apply(key, value, expected_version)
         self.after_write()
         self.written.set()
-        # An answer is never there in the very step in which its write took effect.
+        # A response never arrives in the event-loop step in which its write takes effect.
         await asyncio.sleep(0)
         await self.may_answer.wait()
         if fault is CallFault.LOST_AFTER_EFFECT:
@@ -87,12 +88,12 @@
         return Ok(version + 1)
 
     def list_claim_ids(self) -> set[str]:
-        """Return the ids of the claims that stand in any partition."""
+        """Return the ids of the claims stored in all partitions."""
         values = [stored.value for stored in self.stored.values()]
         return {claim[2] for value in values for claim in msgspec.msgpack.decode(value)}
 
     def land_delayed(self) -> None:
-        """Let writes whose answer was lost take effect, if they still can."""
+        """Apply the delayed writes, if their versions are still current."""
         for write in self.delayed:
             self.apply(*write)
         self.delayed.clear()
--- a/libraries/agent/tests/context_builders.py
+++ b/libraries/agent/tests/context_builders.py
@@ -1,4 +1,4 @@
-"""An engine, store VMs and a context keeper in one event loop, for tests of context."""
+"""An engine, store VMs and a block manager in one event loop, for tests of context."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 BLOCK_SECRET = b"b" * 32
 MODEL = "pillar-8b"
 BLOCK_TOKENS = 4
-# Tokens and bytes a second. A caller would wait long for either, so that a busy machine
-# does not turn a fetch into a late one.
+# Tokens and bytes per second. Both give long timeouts, so that a fetch does not time out
+# on a busy machine.
 SLOW_PREFILL = 0.01
 SLOW_LINK = 100.0
-# The caller's patience for a fast link is the least there is.
+# A fast link gives the shortest timeout.
 FAST_LINK = 1e9
-# Recomputing is quicker than this: nothing is fetched.
+# Recomputing is faster than this link, so nothing is fetched.
 STALLED_LINK = 0.001
 HISTORY = tuple(f"visit-{n}" for n in range(3 * BLOCK_TOKENS))
 
@@ -44,7 +44,7 @@
 def build_request(
     words: Sequence[str] = HISTORY, workspace: str = "fosse", version: str = "v1"
 ) -> pb.ServeRequest:
-    """Return an agent's request for a prompt of ``words``."""
+    """Return the request that a gateway sends for a prompt of ``words``."""
     secret = derive_workspace_secret(BLOCK_SECRET, workspace)
     keys = compute_block_keys(secret, MODEL, version, "", words, BLOCK_TOKENS)
     work = pb.ModelWork(
@@ -61,13 +61,13 @@
 
 
 def list_names(request: pb.ServeRequest) -> list[str]:
-    """Return the names in the store of a request's blocks."""
+    """Return the names of a request's blocks in the store."""
     tag = get_workspace_tag(BLOCK_SECRET, request.workspace)
     return [str(BlockName(tag, n, k)) for n, k in enumerate(request.model.block_keys)]
 
 
 def list_digests(request: pb.ServeRequest, version: str = "v1") -> list[str]:
-    """Return the digests of the very blocks that belong to a request."""
+    """Return the digests of a request's correct blocks."""
     words = request.body.decode().split()
     ends = range(BLOCK_TOKENS, len(words) + 1, BLOCK_TOKENS)
     blocks = [make_block(version, words[:end], BLOCK_TOKENS) for end in ends]
@@ -75,7 +75,7 @@
 
 
 class FixedRate:
-    """A rate that no measurement changes: what is done may not depend on speed."""
+    """A rate that ignores measurements, so that tests do not depend on real speeds."""
 
     def __init__(self, rate: float) -> None:
         self.rate = rate
@@ -84,14 +84,14 @@
         """Ignore a measurement."""
 
     def record_timeout(self, now: float, amount: float, seconds: float) -> None:
-        """Ignore a late one."""
+        """Ignore a timeout."""
 
     def estimate(self, now: float) -> float:
         return self.rate
 
 
 class ContextHarness:
-    """One target with its keeper and some store VMs."""
+    """One target with its block manager and some store VMs."""
 
     def __init__(self, stores: int = 1, capacity: int = 1 << 20) -> None:
         options = EngineOptions(block_tokens=BLOCK_TOKENS, prefill_rate=1e6)
@@ -117,7 +117,7 @@
         await self._stack.aclose()
 
     def restart_agent(self, **view: Any) -> None:
-        """Put a new keeper in place, which remembers nothing."""
+        """Replace the block manager by a new one without state."""
         self.metrics = AgentMetrics()
         self.link_rate = FixedRate(SLOW_LINK)
         self.manager = ContextBlockManager(
@@ -130,12 +130,12 @@
         self.configure(**view)
 
     def configure(self, **view: Any) -> None:
-        """Publish a view; by default all store VMs, one replica."""
+        """Apply a view; by default with all store VMs and one replica."""
         values = {"store_vms": self.vms, "block_tokens": {MODEL: BLOCK_TOKENS}, **view}
         self.manager.configure(ContextView(**values))
 
     async def run(self, request: pb.ServeRequest, *, fetch: bool = True) -> int:
-        """Run a request as the agent does; return the tokens that were cached."""
+        """Run a request as the agent does; return the number of cached tokens."""
         if fetch:
             await self.manager.fetch(request)
         body = {
@@ -160,20 +160,20 @@
         return cached
 
     def restart_cold(self) -> None:
-        """A fresh engine process with a fresh agent beside it; the stores stay."""
+        """Restart engine and agent without their state; the stores keep their blocks."""
         self.engine.cache.clear()
         self.engine.imports.clear()
         self.restart_agent()
 
     def list_imported(self) -> list[str]:
-        """Return the digests of what the engine was given, in order."""
+        """Return the digests of the blocks imported into the engine, in order."""
         return [entry["digest"] for entry in self.engine.imports]
 
     def count_calls(self, method: str) -> int:
-        """Return how often the stores were asked with ``method``."""
+        """Return how many calls with ``method`` the stores received."""
         return sum(e["method"] == method for s in self.stores for e in s.log)
 
     def count_failures(self, reason: str) -> float:
-        """Return what operators see of failed calls to stores."""
+        """Return the metric of failed calls to stores."""
         name = "bamboopier_store_failures_total"
         return self.metrics.registry.get_sample_value(name, {"reason": reason}) or 0.0
--- a/libraries/agent/tests/order_builders.py
+++ b/libraries/agent/tests/order_builders.py
@@ -1,4 +1,4 @@
-"""Builds agents' order keepers over one platform and engines in memory."""
+"""Builds agents' weight updaters over an in-memory platform and engines."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Clock:
-    """A steady clock that tests move."""
+    """A monotonic clock that tests advance."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -47,7 +47,10 @@
 
 
 class Objects:
-    """Conditional objects in memory; ``after_write`` runs once, before the answer."""
+    """In-memory objects with conditional writes.
+
+    A hook in ``after_write`` runs once, after the write and before its response.
+    """
 
     def __init__(self) -> None:
         self.stored: dict[str, StoredObject] = {}
@@ -84,11 +87,11 @@
 
 @dataclass
 class Engine:
-    """Records orders; loads take until ``finish`` is set."""
+    """Records orders; loads end when ``finish`` is set."""
 
     checks_fencing: bool = True
     version: str = "v1"
-    # States answered with the old version after a load.
+    # How many states are reported with the old version after a load.
     late_reports: int = 0
     failing: bool = False
     fence: int = 0
@@ -116,7 +119,7 @@
 
 
 class FakeMonitor:
-    """Shows an engine as its agent's watch would."""
+    """Reports an engine's state like the agent's ``TargetMonitor``."""
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
@@ -134,13 +137,13 @@
 
 @dataclass
 class Published:
-    """Stands for the follower: the configuration in force at one agent."""
+    """Replaces the follower: holds the configuration in force at one agent."""
 
     directory: Directory
 
 
 class Agent:
-    """What one agent needs to order loads."""
+    """The parts of an agent that order weight loads."""
 
     def __init__(
         self,
@@ -184,7 +187,7 @@
 
 
 def build_settings(name: str) -> AgentSettings:
-    """Return settings whose addresses nobody uses."""
+    """Return settings whose addresses are not used."""
     address = Address("127.0.0.1", 0)
     return AgentSettings(
         vm=name,
--- a/libraries/agent/tests/service_builders.py
+++ b/libraries/agent/tests/service_builders.py
@@ -1,4 +1,4 @@
-"""An agent's service over a fake target and a platform in memory."""
+"""Builds an agent's service over a fake target and an in-memory platform."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class FakeTarget:
-    """Records each run; answers once ``may_answer`` is set."""
+    """Counts runs; responds once ``may_answer`` is set."""
 
     def __init__(self) -> None:
         self.runs = 0
@@ -101,7 +101,7 @@
 
 
 def make_recall(claim_id: str) -> pb.RecallRequest:
-    """Return the question what became of a claim; without an id, of the key."""
+    """Return a recall of a claim or, without an id, of the key."""
     return pb.RecallRequest(
         workspace="fosse",
         idempotency_key="key",
--- a/libraries/agent/tests/test_claims.py
+++ b/libraries/agent/tests/test_claims.py
@@ -1,9 +1,9 @@
-"""An agent's claims when the platform loses, delays and refuses its calls.
+"""An agent's claims while the platform loses, delays and refuses its calls.
 
-The caller sends one dispatch under one key to several agents. Each agent writes its
-claim and does not hear the answer, or is told too late, or is left by its gateway
-while it writes. At most one may run; and once the platform is well again, a key that
-nobody ran is granted to whoever asks next instead of being "outcome unknown" for a day.
+A caller sends one request under one key to several agents. Each agent writes its claim,
+and the response is lost or late, or the gateway disconnects during the write. At most
+one agent may run the request. Once the platform has recovered, a key that never ran has
+to be granted to the next claim instead of being "outcome unknown" for a day.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 from .builders import DISPATCH, FakeObjects
 
-# Only reached by a test that would hang.
+# Only reached by a test that hangs.
 HANG_SECONDS = 10.0
 
 
@@ -44,8 +44,9 @@
                 await table.wait_until_released()
 
     async def test_at_most_one_is_granted_and_no_key_is_lost(self) -> None:
-        # A lost first answer is tried again at once, so a cell needs two in a row; all
-        # tries lost is the cell that gives up.
+        # A write is retried at once after a lost response. Each cell is therefore run
+        # with its faults once and with them in all tries, after which the claim is
+        # abandoned.
         cells = list(
             itertools.product(CallFault, CallFault, (1, claim_writer.MAX_TRIES))
         )
@@ -82,8 +83,8 @@
     async def test_a_claim_cancelled_while_its_write_is_resent_is_released(
         self,
     ) -> None:
-        # The write takes effect, its answer is lost, the message layer sends it again
-        # and the platform answers with a conflict: that is no proof of no effect.
+        # The write takes effect, its response is lost, the message layer resends it and
+        # the platform reports a conflict, which does not prove that it had no effect.
         self.objects.may_write.clear()
         self.objects.write_faults.append(CallFault.RESENT)
         left = asyncio.create_task(self.claim(0))
@@ -119,8 +120,8 @@
         self.assertEqual(outcome and outcome.status, ClaimStatus.GRANTED)
 
     async def test_a_released_claim_is_still_reported_as_never_run(self) -> None:
-        # Agent 1 has read the claim of agent 0, which then releases it. Asked about
-        # that claim, agent 0 must not seem to have lost the answer of a run.
+        # Agent 1 has read the claim of agent 0, which then releases it. At a recall of
+        # that claim, agent 0 must not seem to have lost the response of a run.
         granted = await self.claim(0)
         assert granted is not None and granted.current is not None
         seen = await self.claim(1)
@@ -131,9 +132,10 @@
         self.assertTrue(self.agents[0].was_abandoned(seen.current.claim_id))
 
     async def test_a_stop_waits_for_a_claim_cancelled_as_it_is_granted(self) -> None:
-        # In one turn of the event loop a claim is granted, its gateway leaves, and the
-        # caller's resend comes to the same agent, which then stops. Left behind by the
-        # stop, the claim would make its key "outcome unknown" although nothing ran.
+        # In one iteration of the event loop a claim is granted, its gateway
+        # disconnects, and the caller's resend arrives at the same agent, which then
+        # stops. If the claim were not released, its key would be "outcome unknown"
+        # although nothing ran.
         self.objects.may_answer.clear()
         left = asyncio.create_task(self.claim(0))
         await self.objects.written.wait()
@@ -156,7 +158,7 @@
         await self.wait_until_settled()
 
     async def test_a_claim_outlives_the_longest_request(self) -> None:
-        # A lifetime of a second would grant the key again while its first run goes on.
+        # A lifetime of one second would grant the key again during its first run.
         short = Service(name="dispatch", kind="plain", key_lifetime_seconds=1.0)
         await self.agents[0].claim(short, "fosse", "key", b"A46")
         later = time.time() + 3600
--- a/libraries/agent/tests/test_context.py
+++ b/libraries/agent/tests/test_context.py
@@ -1,7 +1,7 @@
-"""Only proved blocks reach the engine, whatever the stores do.
+"""Only verified blocks are imported into the engine, whatever the stores return.
 
-The checks read what the engine stand-in recorded as imported: a block's bytes follow
-from its weight version and words, so a wrong block has another digest.
+The tests check the imports that the engine stand-in recorded. The bytes of a block
+depend on its weight version and words, so a wrong block has another digest.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
 
 class BlockIntegrityTests(unittest.IsolatedAsyncioTestCase):
     async def test_damaged_blocks_are_recomputed_and_written_again(self) -> None:
-        # A caller returns to a cold engine; the store flips, cuts, swaps or reuses
-        # the bytes between look-up and read. Imported, they would be another's words
-        # in the caller's answer, so the engine must be given nothing of it.
+        # A prompt is sent again to a cold engine. The store flips, truncates, swaps or
+        # reuses the bytes between look-up and read. Imported, they would put another
+        # caller's words into the response, so nothing of them may reach the engine.
         for fault in ("flip", "truncate", "swap", "splice"):
             with self.subTest(fault):
                 async with ContextHarness() as harness:
@@ -45,8 +45,9 @@
                     self.assertEqual(harness.list_imported(), list_digests(request))
 
     async def test_a_block_damaged_in_the_store_is_written_again(self) -> None:
-        # A bit of the stored block has turned; its length is right, so that a look at
-        # the store says "there". Unless it is written again every return recomputes.
+        # A bit of the stored block has flipped; its length is right, so the check
+        # before an export finds it stored. Unless it is written again, each request
+        # with this prompt recomputes.
         async with ContextHarness() as harness:
             request = build_request()
             await harness.run_and_export(request)
@@ -61,8 +62,8 @@
     async def test_a_foreign_or_older_block_under_the_name_is_not_imported(
         self,
     ) -> None:
-        # The store answers with a whole, sealed block: another workspace's, another
-        # weight version's, or a later block of the same prompt.
+        # The store returns a complete, sealed block of another workspace or weight
+        # version, or a later block of the same prompt.
         request = build_request()
         others = {
             "workspace": build_request(workspace="gouda"),
@@ -82,9 +83,9 @@
                     self.assertEqual(harness.list_imported(), [])
 
     async def test_a_writer_killed_at_any_byte_leaves_no_block(self) -> None:
-        # The agent dies while it writes: the store keeps what arrived under the
-        # block's name. The next reader must take it for a miss, and the next writer
-        # must not take the torn block for a stored one.
+        # The agent is killed during a write, and the store keeps the bytes received
+        # under the block's name. The next reader must treat them as a miss, and the
+        # next writer must not treat the truncated block as stored.
         async with ContextHarness() as harness:
             request = build_request(HISTORY[:BLOCK_TOKENS])
             await harness.run_and_export(request)
@@ -105,8 +106,8 @@
                 self.assertEqual(harness.list_imported(), list_digests(request), cut)
 
     async def test_a_torn_write_does_not_count_as_a_stored_block(self) -> None:
-        # The writer died half-way; its successor fetches nothing, because the engine
-        # has the blocks, and asks the store only whether the block is there.
+        # The writer was killed halfway. Its successor fetches nothing, because the
+        # engine has the blocks, and only checks whether the store has the block.
         async with ContextHarness() as harness:
             request = build_request()
             harness.stores[0].faults = {"cut": 200}
@@ -119,9 +120,9 @@
             self.assertEqual(harness.list_imported(), list_digests(request))
 
     async def test_a_swap_between_run_and_export_stores_nothing(self) -> None:
-        # The engine swaps weights while the agent still believes v1: the prompt runs
-        # with v2, and its block lies in the engine under v1's key. Stored, it would be
-        # served to a caller of v1, with a digest that proves it.
+        # The engine loads new weights while the agent still assumes v1. The prompt runs
+        # with v2, and the engine has its block under v1's key. If it were stored, it
+        # would be served to a caller of v1 with a valid digest.
         async with ContextHarness() as harness:
             harness.engine.version = "v2"
             await harness.run_and_export(build_request(version="v1"))
@@ -130,9 +131,10 @@
     async def test_a_stale_view_of_the_cache_costs_only_a_recomputation(
         self,
     ) -> None:
-        # The engine drops blocks and its events are lost: for the first prompt that
-        # returns the agent fetches nothing and the engine recomputes. Its count of
-        # cached tokens ends the belief in all older blocks, as a gap in events does.
+        # The engine evicts blocks and its events are lost. For the first prompt that is
+        # sent again the agent fetches nothing and the engine recomputes. The reported
+        # number of cached tokens invalidates all older blocks that are assumed
+        # resident, as a gap in the events does.
         async with ContextHarness() as harness:
             older, request = build_request(HISTORY[::-1]), build_request()
             for gap in (False, True):
@@ -150,9 +152,9 @@
 
 class StoreFailureTests(unittest.IsolatedAsyncioTestCase):
     async def test_a_hung_store_times_out_and_is_then_skipped(self) -> None:
-        # The store accepts the connection and never answers, or sends the head and
-        # then nothing. The caller waits for the plan's patience, not for the store;
-        # callers after it are not made to find out again.
+        # The store accepts the connection and never responds, or sends the head and
+        # then nothing. The caller waits for the plan's timeout, not for the store, and
+        # later callers do not wait for this store again.
         for fault in ("frozen", "drip"):
             with self.subTest(fault):
                 async with ContextHarness() as harness:
@@ -215,8 +217,8 @@
             self.assertEqual(reads, len(request.model.block_keys))
 
     async def test_many_returning_prompts_are_read_a_few_blocks_at_a_time(self) -> None:
-        # A data centre returns and twenty prompts with it. All at once, their blocks
-        # would take more memory than the agent's VM has.
+        # A data centre recovers and twenty prompts are sent again at the same time.
+        # Read all at once, their blocks would exceed the memory of the agent's VM.
         async with ContextHarness() as harness:
             requests = [build_request((f"p{n}", *HISTORY)) for n in range(20)]
             for request in requests:
@@ -237,9 +239,9 @@
             self.assertEqual(harness.count_calls("PUT"), writes)
 
     async def test_evicted_blocks_are_written_again_by_one_request(self) -> None:
-        # Another agent evicted a prompt's last two blocks. This one, which wrote them,
-        # meets the first as a miss; were the second still believed stored, each return
-        # would mend a single block.
+        # Another agent evicted a prompt's last two blocks. This agent, which wrote them,
+        # finds the first one missing. If the second were still assumed stored, each
+        # request with this prompt would restore only one block.
         async with ContextHarness() as harness:
             request = build_request()
             await harness.run_and_export(request)
@@ -251,8 +253,8 @@
             self.assertEqual(set(harness.stores[0].blocks), set(list_names(request)))
 
     async def test_a_slow_link_is_not_used_until_it_may_have_recovered(self) -> None:
-        # The link has become a thousand times slower than prefill: nothing is read,
-        # and nothing written that nobody would read.
+        # The link has become a thousand times slower than prefill, so nothing is read,
+        # and nothing is written because it would not be read.
         async with ContextHarness() as harness:
             request = build_request()
             harness.link_rate.rate = STALLED_LINK
@@ -270,7 +272,7 @@
 class WorkspaceTests(unittest.IsolatedAsyncioTestCase):
     async def test_the_same_prompt_in_two_workspaces_shares_nothing(self) -> None:
         # Two workspaces send the same words. Neither the engine's cache nor the store
-        # may let one see, by speed or by content, that the other sent them.
+        # may reveal to one, by timing or content, that the other sent them.
         async with ContextHarness() as harness:
             first, second = build_request(), build_request(workspace="gouda")
             await harness.run_and_export(first)
@@ -282,8 +284,8 @@
             self.assertEqual(salts, {"salt-gouda"})
 
     def test_a_caller_cannot_choose_the_salt_or_the_keys(self) -> None:
-        # A caller's own field of that name would open another workspace's blocks in
-        # the engine's cache.
+        # A field of this name set by the caller would give access to another
+        # workspace's blocks in the engine's cache.
         request = build_request()
         request.body = (
             b'{"prompt": "p", "cache_salt": "salt-gouda", "block_keys": ["aa"]}'
@@ -293,8 +295,9 @@
         self.assertEqual(len(body["block_keys"]), len(request.model.block_keys))
 
     async def test_a_workspace_that_fills_the_store_evicts_only_itself(self) -> None:
-        # One workspace writes ten times what the store holds, through an agent that
-        # meets 507 again and again; the other has one prompt there, below its share.
+        # One workspace writes ten times the store's capacity, through an agent that
+        # receives 507 repeatedly. The other workspace has one prompt there, below its
+        # share.
         async with ContextHarness() as harness:
             quiet = build_request(workspace="gouda")
             await harness.run_and_export(quiet)
@@ -306,7 +309,7 @@
             calls = {
                 m: harness.count_calls(m) for m in ("HEAD", "PUT", "DELETE", "GET")
             }
-            # A block costs at most a look, two writes and a delete; lists are bounded.
+            # A block costs at most a check, two writes and a delete; lists are limited.
             self.assertLessEqual(calls["HEAD"] + calls["DELETE"], 2 * 41 * 3)
             self.assertLessEqual(calls["PUT"], 2 * 41 * 3)
             self.assertLessEqual(calls["GET"], 41 * 3 + 5)
--- a/libraries/agent/tests/test_response_cache.py
+++ b/libraries/agent/tests/test_response_cache.py
@@ -1,4 +1,4 @@
-"""Answers kept for repeated keys stay within their memory, also while they run."""
+"""The response cache stays within its capacity, also with responses in flight."""
 
 from __future__ import annotations
 
--- a/libraries/agent/tests/test_service.py
+++ b/libraries/agent/tests/test_service.py
@@ -1,7 +1,7 @@
-"""One attempt at an agent: left, repeated, frozen, or before a target that is gone.
+"""Attempts whose gateway disconnects, that are repeated or suspended, or without target.
 
-What the gateway is told must be true of the target's own record, and a key under which
-nothing ran must be free again when "not run" is said.
+The outcome reported to the gateway must agree with the runs that the target counted,
+and a key under which nothing ran must be released when "not run" is reported.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
     serve,
 )
 
-# Only reached by a test that would hang.
+# Only reached by a test that hangs.
 HANG_SECONDS = 10.0
-# Turns of the event loop; more than an attempt takes.
+# Iterations of the event loop; more than an attempt takes.
 MAX_STEPS = 60
 
 
@@ -55,8 +55,8 @@
         return await self.service.Recall(make_recall(claim_id), None)
 
     async def test_an_attempt_that_arrives_twice_runs_once(self) -> None:
-        # A message layer repeats the call after a lost connection. The first copy may
-        # have run, so the second is told "unknown" and not "not run".
+        # A message layer resends the call after a lost connection. The first copy may
+        # have run, so the second receives "unknown" and not "not run".
         for key in ("", "key"):
             with self.subTest(key=key):
                 self.setUp()
@@ -119,8 +119,8 @@
         self.assertEqual((await self.recall()).state, pb.RecallReply.NEVER_RAN)
 
     async def test_a_process_resumed_after_the_deadline_does_not_run(self) -> None:
-        # The platform's answer is held until the deadline has passed, as it is for a
-        # process that was stopped in between; the caller has its final answer by then.
+        # The platform's response is delayed until the deadline has passed, as for a
+        # process that was suspended. The caller has its final response by then.
         self.objects.may_write.clear()
         task = await self.start(timeout_ms=20)
         await self.objects.writing.wait()
@@ -142,10 +142,11 @@
         self.assertEqual(self.service._gate.admission.running, 0)
 
     async def test_a_claim_with_its_write_in_flight_is_running(self) -> None:
-        # A gateway sends a dispatch, and the platform takes the claim. Before its
-        # answer is back at the agent, the caller asks again at another agent, which
-        # reads the claim. Its holder may yet run the dispatch or give it up: told
-        # "outcome unknown" as of a lost run, the caller would never ask again.
+        # A gateway sends a request, and the platform stores its claim. Before the
+        # platform's response arrives at the agent, the caller repeats the request at
+        # another agent, which reads the claim. The claim's holder may still run the
+        # request or abandon it: after "outcome unknown", as for a lost run, the caller
+        # would never repeat it.
         for disconnects in (False, True):
             with self.subTest(disconnects=disconnects):
                 self.setUp()
@@ -167,8 +168,8 @@
                 self.assertEqual(reply.state, wanted)
 
     async def test_a_claim_of_an_earlier_process_stays_unknown(self) -> None:
-        # Its agent died with the claim: nobody can say whether it ran, however often
-        # the caller asks.
+        # The agent that held the claim has ended, so it stays unknown whether the
+        # request ran, however often the caller repeats it.
         self.objects.may_answer.clear()
         task = await self.start()
         await self.objects.written.wait()
@@ -180,11 +181,11 @@
 
 
 class RecallTests(unittest.IsolatedAsyncioTestCase):
-    """A caller asks about a claim, at every step, while its holder works on it.
+    """A claim is recalled at every step of its holder's work.
 
-    Another agent may have read the claim at any moment since it stood, also long before
-    the question arrives. The holder knows of its run, or that there will be none, or
-    waits to hear; it never says that it lost the answer.
+    Another agent may have read the claim at any time after it was stored, also long
+    before the recall arrives. The holder has recorded the run, or that there will be
+    none, or waits for the outcome; it never reports that it has lost the response.
     """
 
     def setUp(self) -> None:
@@ -208,18 +209,18 @@
             with self.subTest(steps=steps):
                 self.setUp()
                 ended = await self.follow(disconnect_after=steps)
-        # The last one ran undisturbed, so that no step was left out.
+        # The last one ended before its disconnect, so no step was left out.
         self.assertTrue(ended)
 
     async def test_the_holder_reports_a_claim_that_timed_out(self) -> None:
-        # The platform answers only once the agent has told its gateway "not run".
+        # The platform responds only after the agent has reported "not run".
         self.objects.may_answer.clear()
         with mock.patch.object(claims, "CLAIM_TIMEOUT_SECONDS", 0.01):
             await self.follow()
         self.assertIn(pb.RecallReply.NEVER_RAN, self.states)
 
     async def follow(self, disconnect_after: int | None = None) -> bool:
-        """Ask all the time about each claim seen; say whether the attempt ended."""
+        """Recall each stored claim at every step; return whether the attempt ended."""
         task = asyncio.create_task(serve(self.service, make_request("first")))
         steps = 0
         async with asyncio.timeout(HANG_SECONDS):
@@ -240,7 +241,7 @@
         await self.service._claims.wait_until_released()
 
     async def step(self) -> None:
-        """Let each task go on once, then ask."""
+        """Run each task for one step, then recall all claims."""
         await asyncio.sleep(0)
         self.claim_ids |= self.objects.list_claim_ids()
         for claim_id in self.claim_ids:
--- a/libraries/agent/tests/test_target.py
+++ b/libraries/agent/tests/test_target.py
@@ -1,8 +1,8 @@
-"""A target that closes its connections at the wrong moment.
+"""A target that closes its connections without a response.
 
-The target reads a request, runs it, and closes the connection without an answer. HTTP
-clients send PUT, GET and DELETE again by themselves then; where the operator declared
-the route non-idempotent, the order would run twice although nobody asked for it.
+The target reads a request, runs it, and closes the connection. HTTP clients then resend
+PUT, GET and DELETE by themselves. On a route that the operator declared non-idempotent
+the request would run twice although the caller sent it once.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class ClosingTarget:
-    """Counts requests; answers the first ``answers`` of a connection, then closes."""
+    """Counts requests; closes a connection after responding to ``answers`` of them."""
 
     def __init__(self, answers: int) -> None:
         self._answers = answers
--- a/libraries/agent/tests/test_weight_updater.py
+++ b/libraries/agent/tests/test_weight_updater.py
@@ -1,6 +1,6 @@
-"""Orders to load weights under pauses, deaths, refusals and late reports.
+"""Orders to load weights with suspended and killed agents, refusals and late reports.
 
-Judged by the orders that the engines recorded.
+The tests check the orders that the engines recorded.
 """
 
 from __future__ import annotations
@@ -31,21 +31,22 @@
         self.objects = Objects()
 
     async def load(self, agent: Agent) -> LoadOutcome:
-        """Let one load run to its end."""
+        """Run one load to its end."""
         agent.engine.finish.set()
         return await agent.weight_updater.reconcile()
 
     async def start_loading(self, agent: Agent) -> asyncio.Task[LoadOutcome]:
-        """Return once the engine has the order."""
+        """Start a load and return once the engine has received the order."""
         task = asyncio.create_task(agent.weight_updater.reconcile())
         async with asyncio.timeout(10):
             await agent.engine.started.wait()
         return task
 
     async def test_no_more_loads_at_once_than_allowed(self) -> None:
-        """Six targets of a service see a new version in the same moment.
+        """Six targets of a service receive a new version at the same time.
 
-        Loading all together would overrun the weight store and leave nobody to serve.
+        If all loaded at once, the weight store would be overloaded and no target would
+        serve.
         """
         agents = [Agent(self.objects, Engine(), f"desk-{n}") for n in range(6)]
         for agent in agents:
@@ -62,7 +63,7 @@
         self.assertEqual([len(agent.engine.orders) for agent in agents], [1] * 6)
 
     async def test_the_last_serving_target_waits(self) -> None:
-        """Two targets, two loads allowed: one goes on serving."""
+        """With two targets and two allowed loads, one target continues to serve."""
         agents = [
             Agent(self.objects, Engine(), f"desk-{n}", targets=2) for n in range(2)
         ]
@@ -74,9 +75,9 @@
         await first
 
     async def test_the_slot_of_a_killed_agent_is_free_after_its_lease(self) -> None:
-        """An agent dies while its engine loads; the engine goes on loading.
+        """An agent is killed while its engine loads, and the engine continues to load.
 
-        Given away at once, the slot would let one more load run beside it.
+        If the slot were free at once, one load too many would run.
         """
         killed = Agent(self.objects, Engine(), "desk-1", loads_at_once=1)
         other = Agent(self.objects, Engine(), "desk-2", loads_at_once=1)
@@ -96,9 +97,9 @@
         self.assertIs(await self.load(other), LoadOutcome.LOADED)
 
     async def test_a_suspended_holder_that_resumes_sends_no_order(self) -> None:
-        """An agent is frozen with a slot; another agent of the target takes over.
+        """An agent is suspended with a slot, and another agent of the target takes over.
 
-        It wakes and goes on where it was. Its order would put v1 back over v2.
+        When it resumes, its order would replace v2 by v1.
         """
         for checks_fencing in (True, False):
             objects = Objects()
@@ -118,9 +119,9 @@
             self.assertEqual([version for version, _ in engine.orders], ["v2"])
 
     async def test_a_holder_suspended_before_the_order_sends_none(self) -> None:
-        """The machine stands still between the last renewal and the order.
+        """The machine is suspended between the last renewal and the order.
 
-        Its steady clock ran on, so the agent sees that its lease has passed.
+        Its monotonic clock continued, so the agent detects that its lease has expired.
         """
         engine = Engine(checks_fencing=False)
         agent = Agent(self.objects, engine)
@@ -134,10 +135,11 @@
         self.assertEqual(engine.orders, [])
 
     async def test_a_renewal_detects_a_takeover_despite_a_stopped_clock(self) -> None:
-        """The agent's machine is frozen, clocks and all, while it has a slot.
+        """The agent's machine is suspended with its clocks while it holds a slot.
 
-        Another agent waits the lease out and loads v2; awake, the first one's clock
-        says that its lease still runs, and the engine would take its order.
+        Another agent waits until the lease expires and loads v2. When the first agent
+        resumes, its lease is still valid by its clock, and the engine would accept its
+        order.
         """
         engine = Engine(checks_fencing=False, version="v0", reported="v0")
         frozen = Agent(self.objects, engine, vm="old", version="v1")
@@ -157,7 +159,7 @@
         self.assertEqual([version for version, _ in engine.orders], ["v2"])
 
     async def test_a_slot_that_expired_during_a_suspension_is_not_used(self) -> None:
-        """The agent is paused after it took its slot; the slot may be another's now."""
+        """The agent is suspended after it acquired a slot that another may hold now."""
         agent = Agent(self.objects, Engine())
         await agent.acquire_lease()
         close = agent.availability_gate.set_loading
@@ -171,7 +173,7 @@
         self.assertEqual(agent.engine.orders, [])
 
     async def test_a_second_agent_waits_until_the_lease_expires(self) -> None:
-        """Two agents for one target whose engine ignores fencing numbers."""
+        """Two agents for one target whose engine ignores fencing tokens."""
         engine = Engine(checks_fencing=False)
         first = Agent(self.objects, engine, vm="first")
         second = Agent(self.objects, engine, vm="second")
@@ -184,10 +186,10 @@
         self.assertGreater(second.lease.lease.fence, first.lease.lease.fence)
 
     async def test_an_engine_that_checks_refuses_the_older_token(self) -> None:
-        """The older agent's machine stands still, clock and all, before its order.
+        """The older agent's machine is suspended with its clock before its order.
 
-        The newer agent takes over at once, as the engine checks numbers. The older one
-        cannot notice; the engine refuses its order.
+        The newer agent takes over at once, because the engine checks tokens. The older
+        agent cannot detect this, but the engine refuses its order.
         """
         engine = Engine(version="v0", reported="v0")
         older = Agent(self.objects, engine, vm="older", version="v1")
@@ -212,9 +214,9 @@
         self.assertTrue(agent.gate.admission.accepting)
 
     async def test_no_request_is_admitted_until_the_version_is_reported(self) -> None:
-        """The engine has v2 and reports v1 a few times more.
+        """The engine has loaded v2 and still reports v1 a few times.
 
-        A request made for v1 would be let in on that report and run on v2.
+        A request for v1 would be admitted because of that report and run on v2.
         """
         agent = Agent(self.objects, Engine(late_reports=3))
         await agent.acquire_lease()
@@ -235,7 +237,7 @@
         for agent in (failed, other):
             await agent.acquire_lease()
         self.assertIs(await self.load(failed), LoadOutcome.FAILED)
-        # The engine has answered; nobody has to wait for what it reports.
+        # The engine has reported the failure, so its version is not awaited.
         self.assertFalse(failed.monitor.refreshed.is_set())
         self.assertTrue(failed.gate.admission.accepting)
         self.assertIs(await self.load(other), LoadOutcome.LOADED)
