--- a/libraries/agent/src/bamboopier_agent/block_fetcher.py
+++ b/libraries/agent/src/bamboopier_agent/block_fetcher.py
@@ -20,8 +20,8 @@
 # Concurrent reads of one request: enough to use the full bandwidth of a link with a few
 # milliseconds of latency, and few enough that a missing block wastes little.
 MAX_PARALLEL_READS = 4
-# Bytes in concurrent reads of one request: a single large block uses the full bandwidth,
-# and four of them would exhaust the agent's memory.
+# Bytes in concurrent reads of one request: one large block uses the full bandwidth, and
+# four of them would exhaust the agent's memory.
 MAX_PARALLEL_BYTES = 64 * 1024 * 1024
 
 
@@ -77,7 +77,7 @@
         """Remove one waiting request; cancel the read if it was the last one."""
         pending_read.waiters -= 1
         if pending_read.waiters == 0 and not pending_read.task.done():
-            # Removed first, so that no new request joins the read while it is cancelled.
+            # Removed first, so that no new request joins a read that is cancelled.
             self._remove(key, pending_read.task)
             pending_read.task.cancel()
 
--- a/libraries/agent/src/bamboopier_agent/claim_writer.py
+++ b/libraries/agent/src/bamboopier_agent/claim_writer.py
@@ -170,7 +170,7 @@
     def _abandon_batch(
         self, batch: list[_PendingClaim], error: Err[PlatformError]
     ) -> None:
-        """Fail the whole batch; claims that may still take effect are released later."""
+        """Fail the batch; claims that may still take effect are released later."""
         for entry in batch:
             self._partition.abandon(entry.claim)
             if not entry.future.done():
--- a/libraries/agent/src/bamboopier_agent/claims.py
+++ b/libraries/agent/src/bamboopier_agent/claims.py
@@ -78,7 +78,7 @@
     async def _submit(
         self, writer: ClaimWriter, claim: Claim
     ) -> Result[ClaimOutcome, PlatformError]:
-        """Wait for a claim's outcome; abandon a claim whose outcome will not be used."""
+        """Wait for a claim's outcome; abandon the claim if it will not be used."""
         try:
             async with asyncio.timeout(CLAIM_TIMEOUT_SECONDS):
                 result = await writer.submit(claim)
@@ -93,7 +93,7 @@
         return result
 
     async def release(self, service: Service, granted: ClaimOutcome) -> None:
-        """Abandon a grant under which nothing was sent; wait a while for its release."""
+        """Abandon a grant under which nothing was sent; wait briefly until released."""
         settled = self.abandon(service, granted)
         if settled is not None:
             await asyncio.wait({settled}, timeout=RELEASE_TIMEOUT_SECONDS)
--- a/libraries/agent/src/bamboopier_agent/gate.py
+++ b/libraries/agent/src/bamboopier_agent/gate.py
@@ -45,7 +45,7 @@
         self._gate = gate
         self._request_id = request_id
         self.reject: Reject | None = None
-        # Both False: the caller disconnected or the request was refused after admission.
+        # Both False: the caller disconnected, or the request was refused afterwards.
         self.succeeded = False
         self.failed = False
         self.output_tokens = 0
@@ -111,7 +111,7 @@
         await self._idle.wait()
 
     def _cancel(self, request_id: str) -> None:
-        """Cancel a request whose gateway disconnected before or during its admission."""
+        """Cancel a request whose gateway disconnected before or at its admission."""
         self._waiters.pop(request_id, None)
         now = time.monotonic()
         self.handle(RequestCancelled(now, request_id))
--- a/libraries/agent/src/bamboopier_agent/service.py
+++ b/libraries/agent/src/bamboopier_agent/service.py
@@ -355,29 +355,23 @@
             self._log_outcome(request, "unknown", 0)
             yield builder.make_unknown(pb.TARGET_CRASHED, str(error))
             return
-        usage_counts = usage.read()
+        counts = usage.read()
         entry.succeeded = True
         if request.model.model:
-            prefill_tokens = max(
-                0, usage_counts.prompt_tokens - usage_counts.cached_tokens
-            )
+            prefill_tokens = max(0, counts.prompt_tokens - counts.cached_tokens)
             self._context.record_response(
-                request, usage_counts.cached_tokens, prefill_tokens, first_byte
+                request, counts.cached_tokens, prefill_tokens, first_byte
             )
-        entry.output_tokens = usage_counts.completion_tokens
-        entry.prefill_tokens = max(
-            0, usage_counts.prompt_tokens - usage_counts.cached_tokens
-        )
-        self._count_tokens(
-            usage_counts.prompt_tokens, usage_counts.cached_tokens, fetched
-        )
-        self._log_outcome(request, "finished", usage_counts.cached_tokens)
+        entry.output_tokens = counts.completion_tokens
+        entry.prefill_tokens = max(0, counts.prompt_tokens - counts.cached_tokens)
+        self._count_tokens(counts.prompt_tokens, counts.cached_tokens, fetched)
+        self._log_outcome(request, "finished", counts.cached_tokens)
         yield builder.make_finished(
             pb.Finished(
-                prompt_tokens=usage_counts.prompt_tokens,
-                cached_tokens=usage_counts.cached_tokens,
+                prompt_tokens=counts.prompt_tokens,
+                cached_tokens=counts.cached_tokens,
                 fetched_tokens=fetched * self._context.find_block_tokens(request),
-                output_tokens=usage_counts.completion_tokens,
+                output_tokens=counts.completion_tokens,
             )
         )
 
--- a/libraries/agent/src/bamboopier_agent/target_monitor.py
+++ b/libraries/agent/src/bamboopier_agent/target_monitor.py
@@ -33,7 +33,7 @@
         self.reachable = False
 
     async def run(self) -> None:
-        """Poll until cancelled; the target is on this VM, so this uses no network link."""
+        """Poll until cancelled; the target is on this VM, so no link is used."""
         while True:
             await self.refresh()
             await asyncio.sleep(POLL_SECONDS)
--- a/libraries/agent/tests/builders.py
+++ b/libraries/agent/tests/builders.py
@@ -38,10 +38,10 @@
         self.may_write = asyncio.Event()
         self.may_write.set()
         self.writing = asyncio.Event()
-        # Writes that took effect wait for ``may_answer`` before they return; ``written``
-        # is set when one has taken effect.
-        self.may_answer = asyncio.Event()
-        self.may_answer.set()
+        # Writes that took effect wait for ``may_respond`` before they return;
+        # ``written`` is set when one has taken effect.
+        self.may_respond = asyncio.Event()
+        self.may_respond.set()
         self.written = asyncio.Event()
         self.after_write: Callable[[], None] = lambda: None
 
@@ -68,9 +68,9 @@
         done = self.apply(key, value, expected_version)
         self.after_write()
         self.written.set()
-        # A response never arrives in the event-loop step in which its write takes effect.
+        # A response never arrives in the same step of the event loop as its write.
         await asyncio.sleep(0)
-        await self.may_answer.wait()
+        await self.may_respond.wait()
         if fault is CallFault.LOST_AFTER_EFFECT:
             return Err(PlatformOutcomeUnknownError("cut"))
         if fault is CallFault.RESENT:
--- a/libraries/agent/tests/context_builders.py
+++ b/libraries/agent/tests/context_builders.py
@@ -30,8 +30,8 @@
 BLOCK_SECRET = b"b" * 32
 MODEL = "pillar-8b"
 BLOCK_TOKENS = 4
-# Tokens and bytes per second. Both give long timeouts, so that a fetch does not time out
-# on a busy machine.
+# Tokens and bytes per second. Both give long timeouts, so that a fetch does not time
+# out on a busy machine.
 SLOW_PREFILL = 0.01
 SLOW_LINK = 100.0
 # A fast link gives the shortest timeout.
@@ -160,7 +160,7 @@
         return cached
 
     def restart_cold(self) -> None:
-        """Restart engine and agent without their state; the stores keep their blocks."""
+        """Restart engine and agent without their state; the stores keep blocks."""
         self.engine.cache.clear()
         self.engine.imports.clear()
         self.restart_agent()
--- a/libraries/agent/tests/service_builders.py
+++ b/libraries/agent/tests/service_builders.py
@@ -25,19 +25,19 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-PIECES = (b"van ", b"sent")
+CHUNKS = (b"van ", b"sent")
 
 
 class FakeTarget:
-    """Counts runs; responds once ``may_answer`` is set."""
+    """Counts runs; responds once ``may_respond`` is set."""
 
     def __init__(self) -> None:
         self.runs = 0
         self.cancelled = 0
         self.reachable = True
         self.running = asyncio.Event()
-        self.may_answer = asyncio.Event()
-        self.may_answer.set()
+        self.may_respond = asyncio.Event()
+        self.may_respond.set()
 
     @asynccontextmanager
     async def open(self, *request: object) -> AsyncIterator[Any]:
@@ -46,16 +46,16 @@
         self.runs += 1
         self.running.set()
         try:
-            await self.may_answer.wait()
+            await self.may_respond.wait()
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
-        content = SimpleNamespace(iter_any=self._list_pieces)
+        content = SimpleNamespace(iter_any=self._list_chunks)
         yield SimpleNamespace(status=201, headers={}, content=content)
 
-    async def _list_pieces(self) -> AsyncIterator[bytes]:
-        for piece in PIECES:
-            yield piece
+    async def _list_chunks(self) -> AsyncIterator[bytes]:
+        for chunk in CHUNKS:
+            yield chunk
 
 
 def make_service(objects: FakeObjects, target: FakeTarget, name: str) -> AgentService:
--- a/libraries/agent/tests/test_claims.py
+++ b/libraries/agent/tests/test_claims.py
@@ -71,10 +71,10 @@
 
     async def test_a_claim_cancelled_during_its_write_is_released(self) -> None:
         self.objects.may_write.clear()
-        left = asyncio.create_task(self.claim(0))
+        task = asyncio.create_task(self.claim(0))
         await self.objects.writing.wait()
-        left.cancel()
-        await asyncio.wait({left})
+        task.cancel()
+        await asyncio.wait({task})
         self.objects.may_write.set()
         await self.wait_until_settled()
         outcome = await self.claim(1)
@@ -87,10 +87,10 @@
         # the platform reports a conflict, which does not prove that it had no effect.
         self.objects.may_write.clear()
         self.objects.write_faults.append(CallFault.RESENT)
-        left = asyncio.create_task(self.claim(0))
+        task = asyncio.create_task(self.claim(0))
         await self.objects.writing.wait()
-        left.cancel()
-        await asyncio.wait({left})
+        task.cancel()
+        await asyncio.wait({task})
         self.objects.may_write.set()
         await self.wait_until_settled()
         outcome = await self.claim(1)
@@ -136,18 +136,18 @@
         # disconnects, and the caller's resend arrives at the same agent, which then
         # stops. If the claim were not released, its key would be "outcome unknown"
         # although nothing ran.
-        self.objects.may_answer.clear()
-        left = asyncio.create_task(self.claim(0))
+        self.objects.may_respond.clear()
+        task = asyncio.create_task(self.claim(0))
         await self.objects.written.wait()
         await asyncio.sleep(0)
         (claim_id,) = self.objects.list_claim_ids()
-        self.objects.may_answer.set()
-        asyncio.get_running_loop().call_soon(left.cancel)
+        self.objects.may_respond.set()
+        asyncio.get_running_loop().call_soon(task.cancel)
         again = asyncio.create_task(self.claim(0))
         self.objects.may_write.clear()
         asyncio.get_running_loop().call_later(0.01, self.objects.may_write.set)
-        await asyncio.wait({left, again})
-        self.assertTrue(left.cancelled())
+        await asyncio.wait({task, again})
+        self.assertTrue(task.cancelled())
         await self.wait_until_settled()
         self.assertNotIn(claim_id, self.objects.list_claim_ids())
 
--- a/libraries/agent/tests/test_context.py
+++ b/libraries/agent/tests/test_context.py
@@ -89,8 +89,8 @@
         async with ContextHarness() as harness:
             request = build_request(HISTORY[:BLOCK_TOKENS])
             await harness.run_and_export(request)
-            whole = len(harness.stores[0].blocks[list_names(request)[0]])
-            for cut in range(0, whole, 17):
+            complete_size = len(harness.stores[0].blocks[list_names(request)[0]])
+            for cut in range(0, complete_size, 17):
                 harness.stores[0].blocks.clear()
                 harness.restart_cold()
                 harness.stores[0].faults = {"cut": cut}
@@ -168,8 +168,8 @@
                         self.assertEqual(await harness.run(request), 0)
                         harness.engine.cache.clear()
                         harness.manager.clear_resident()
-                    asked = harness.count_calls("GET") - reads
-                    self.assertLessEqual(asked, 2 * len(request.model.block_keys))
+                    read_calls = harness.count_calls("GET") - reads
+                    self.assertLessEqual(read_calls, 2 * len(request.model.block_keys))
                     self.assertGreater(harness.count_failures("hung"), 0)
                     self.assertEqual(harness.list_imported(), [])
 
@@ -239,9 +239,9 @@
             self.assertEqual(harness.count_calls("PUT"), writes)
 
     async def test_evicted_blocks_are_written_again_by_one_request(self) -> None:
-        # Another agent evicted a prompt's last two blocks. This agent, which wrote them,
-        # finds the first one missing. If the second were still assumed stored, each
-        # request with this prompt would restore only one block.
+        # Another agent evicted a prompt's last two blocks. This agent, which wrote
+        # them, finds the first one missing. If the second were still assumed stored,
+        # each request with this prompt would restore only one block.
         async with ContextHarness() as harness:
             request = build_request()
             await harness.run_and_export(request)
--- a/libraries/agent/tests/test_response_cache.py
+++ b/libraries/agent/tests/test_response_cache.py
@@ -7,17 +7,17 @@
 from bamboopier_agent.response_cache import ENTRY_BYTES, ResponseCache
 
 CAPACITY = 4 * ENTRY_BYTES
-PIECE = b"x" * 100
+CHUNK = b"x" * 100
 
 
 class ResponseCacheTests(unittest.TestCase):
     def setUp(self) -> None:
         self.cache = ResponseCache(CAPACITY)
 
-    def store(self, key: bytes, pieces: int) -> None:
+    def store(self, key: bytes, chunks: int) -> None:
         response = self.cache.start(key, b"body")
-        for _ in range(pieces):
-            self.cache.add(response, PIECE)
+        for _ in range(chunks):
+            self.cache.add(response, CHUNK)
         self.cache.finish(key)
 
     def test_a_response_larger_than_the_cache_is_not_kept(self) -> None:
@@ -25,13 +25,13 @@
         self.assertIsNone(self.cache.find(b"huge"))
         self.store(b"small", 1)
         small = self.cache.find(b"small")
-        self.assertEqual(small and bytes(small.body), PIECE)
+        self.assertEqual(small and bytes(small.body), CHUNK)
 
     def test_running_responses_share_the_capacity(self) -> None:
         running = [self.cache.start(bytes([n]), b"body") for n in range(3)]
         for _ in range(100):
             for response in running:
-                self.cache.add(response, PIECE)
+                self.cache.add(response, CHUNK)
         self.assertLessEqual(sum(len(response.body) for response in running), CAPACITY)
         for response in running:
             self.assertFalse(response.overflowed and response.body)
@@ -44,6 +44,6 @@
 
     def test_a_partial_response_is_never_replayed(self) -> None:
         response = self.cache.start(b"k", b"body")
-        self.cache.add(response, PIECE)
+        self.cache.add(response, CHUNK)
         self.cache.discard(b"k")
         self.assertIsNone(self.cache.find(b"k"))
--- a/libraries/agent/tests/test_service.py
+++ b/libraries/agent/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Attempts whose gateway disconnects, that are repeated or suspended, or without target.
+"""Attempts that are disconnected, repeated or suspended, or whose target is down.
 
 The outcome reported to the gateway must agree with the runs that the target counted,
 and a key under which nothing ran must be released when "not run" is reported.
@@ -17,7 +17,7 @@
 
 from .builders import FakeObjects
 from .service_builders import (
-    PIECES,
+    CHUNKS,
     FakeTarget,
     make_recall,
     make_request,
@@ -66,20 +66,20 @@
                 self.assertEqual(self.target.runs, 1)
 
     async def test_a_run_continues_after_its_gateway_disconnects(self) -> None:
-        self.target.may_answer.clear()
+        self.target.may_respond.clear()
         task = await self.start()
         await self.target.running.wait()
         await self.disconnect(task)
         self.assertEqual((await self.recall()).state, pb.RecallReply.RUNNING)
-        self.target.may_answer.set()
+        self.target.may_respond.set()
         async with asyncio.timeout(HANG_SECONDS):
             await self.service._gate.wait_until_idle()
         reply = await self.recall()
-        self.assertEqual((reply.state, reply.body), (reply.KEPT, b"".join(PIECES)))
+        self.assertEqual((reply.state, reply.body), (reply.KEPT, b"".join(CHUNKS)))
         self.assertEqual((self.target.runs, self.target.cancelled), (1, 0))
 
     async def test_an_idempotent_run_is_cancelled_with_its_gateway(self) -> None:
-        self.target.may_answer.clear()
+        self.target.may_respond.clear()
         task = await self.start(idempotent=True)
         await self.target.running.wait()
         await self.disconnect(task)
@@ -133,7 +133,7 @@
         self.assertTrue(events[-1].HasField("finished"))
 
     async def test_a_hung_target_does_not_hold_its_slot_forever(self) -> None:
-        self.target.may_answer.clear()
+        self.target.may_respond.clear()
         no_grace = mock.patch.object(service_module, "DEADLINE_GRACE_SECONDS", 0)
         async with asyncio.timeout(HANG_SECONDS):
             with no_grace:
@@ -150,7 +150,7 @@
         for disconnects in (False, True):
             with self.subTest(disconnects=disconnects):
                 self.setUp()
-                self.objects.may_answer.clear()
+                self.objects.may_respond.clear()
                 task = await self.start()
                 await self.objects.written.wait()
                 second = (await serve(self.other, make_request("second")))[-1].not_run
@@ -159,7 +159,7 @@
                 self.assertEqual(reply.state, pb.RecallReply.RUNNING)
                 if disconnects:
                     await self.disconnect(task)
-                self.objects.may_answer.set()
+                self.objects.may_respond.set()
                 await asyncio.wait({task})
                 wanted = (
                     pb.RecallReply.NEVER_RAN if disconnects else pb.RecallReply.KEPT
@@ -170,7 +170,7 @@
     async def test_a_claim_of_an_earlier_process_stays_unknown(self) -> None:
         # The agent that held the claim has ended, so it stays unknown whether the
         # request ran, however often the caller repeats it.
-        self.objects.may_answer.clear()
+        self.objects.may_respond.clear()
         task = await self.start()
         await self.objects.written.wait()
         (claim_id,) = self.objects.list_claim_ids()
@@ -214,7 +214,7 @@
 
     async def test_the_holder_reports_a_claim_that_timed_out(self) -> None:
         # The platform responds only after the agent has reported "not run".
-        self.objects.may_answer.clear()
+        self.objects.may_respond.clear()
         with mock.patch.object(claims, "CLAIM_TIMEOUT_SECONDS", 0.01):
             await self.follow()
         self.assertIn(pb.RecallReply.NEVER_RAN, self.states)
@@ -229,7 +229,7 @@
                 steps += 1
             ended = task.done()
             task.cancel()
-            self.objects.may_answer.set()
+            self.objects.may_respond.set()
             settled = asyncio.create_task(self.wait_until_released())
             while not settled.done():
                 await self.step()
--- a/libraries/agent/tests/test_target.py
+++ b/libraries/agent/tests/test_target.py
@@ -14,14 +14,14 @@
 from bamboopier_agent.target import TargetClient
 
 METHODS = ("GET", "HEAD", "PUT", "DELETE", "POST", "PATCH")
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 class ClosingTarget:
-    """Counts requests; closes a connection after responding to ``answers`` of them."""
+    """Counts requests; closes a connection after ``responses`` responses."""
 
-    def __init__(self, answers: int) -> None:
-        self._answers = answers
+    def __init__(self, responses: int) -> None:
+        self._responses = responses
         self.requests = 0
         self.connections = 0
 
@@ -29,14 +29,14 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.connections += 1
-        for number in range(self._answers + 1):
+        for number in range(self._responses + 1):
             try:
                 await reader.readuntil(b"\r\n\r\n")
             except asyncio.IncompleteReadError:
                 break
             self.requests += 1
-            if number < self._answers:
-                writer.write(ANSWER)
+            if number < self._responses:
+                writer.write(RESPONSE)
         writer.close()
 
 
@@ -51,7 +51,7 @@
     async def test_no_method_is_sent_twice(self) -> None:
         for method in METHODS:
             with self.subTest(method):
-                target = ClosingTarget(answers=0)
+                target = ClosingTarget(responses=0)
                 client = await self.start(target)
                 with self.assertRaises(BrokenResponseError):
                     async with client.open(method, "/vans", [], b""):
@@ -59,7 +59,7 @@
                 self.assertEqual(target.requests, 1)
 
     async def test_a_connection_closed_after_a_response_is_not_reused(self) -> None:
-        target = ClosingTarget(answers=1)
+        target = ClosingTarget(responses=1)
         client = await self.start(target)
         for _ in range(2):
             async with client.open("POST", "/vans", [], b"") as response:
--- a/libraries/agent/tests/test_weight_updater.py
+++ b/libraries/agent/tests/test_weight_updater.py
@@ -87,9 +87,9 @@
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         self.assertIs(await self.load(other), LoadOutcome.NO_SLOT)
-        started_anew = Agent(self.objects, Engine(), "desk-1", loads_at_once=1)
-        self.assertTrue(await started_anew.acquire_lease())
-        self.assertIs(await self.load(started_anew), LoadOutcome.NO_SLOT)
+        restarted = Agent(self.objects, Engine(), "desk-1", loads_at_once=1)
+        self.assertTrue(await restarted.acquire_lease())
+        self.assertIs(await self.load(restarted), LoadOutcome.NO_SLOT)
         self.clock.now += SLOT_LEASE_SECONDS - 1
         await other.acquire_lease()
         self.assertIs(await self.load(other), LoadOutcome.NO_SLOT)
@@ -97,25 +97,25 @@
         self.assertIs(await self.load(other), LoadOutcome.LOADED)
 
     async def test_a_suspended_holder_that_resumes_sends_no_order(self) -> None:
-        """An agent is suspended with a slot, and another agent of the target takes over.
+        """An agent is suspended with a slot, and another agent takes over the target.
 
         When it resumes, its order would replace v2 by v1.
         """
         for checks_fencing in (True, False):
             objects = Objects()
             engine = Engine(checks_fencing, version="v0", reported="v0")
-            paused = Agent(objects, engine, vm="old", version="v1")
+            suspended = Agent(objects, engine, vm="old", version="v1")
             successor = Agent(objects, engine, vm="new", version="v2")
-            await paused.acquire_lease()
+            await suspended.acquire_lease()
             await successor.lease.observe()
 
-            async def pass_on(successor: Agent = successor) -> None:
+            async def take_over(successor: Agent = successor) -> None:
                 self.clock.now += DURATION
                 await successor.acquire_lease()
                 await self.load(successor)
 
-            objects.after_write["loads"] = pass_on
-            self.assertIs(await self.load(paused), LoadOutcome.NO_LEASE)
+            objects.after_write["loads"] = take_over
+            self.assertIs(await self.load(suspended), LoadOutcome.NO_LEASE)
             self.assertEqual([version for version, _ in engine.orders], ["v2"])
 
     async def test_a_holder_suspended_before_the_order_sends_none(self) -> None:
@@ -127,10 +127,10 @@
         agent = Agent(self.objects, engine)
         await agent.acquire_lease()
 
-        async def freeze() -> None:
+        async def suspend() -> None:
             self.clock.now += DURATION
 
-        self.objects.after_write["targets"] = freeze
+        self.objects.after_write["targets"] = suspend
         self.assertIs(await self.load(agent), LoadOutcome.NO_LEASE)
         self.assertEqual(engine.orders, [])
 
@@ -142,20 +142,20 @@
         order.
         """
         engine = Engine(checks_fencing=False, version="v0", reported="v0")
-        frozen = Agent(self.objects, engine, vm="old", version="v1")
+        suspended = Agent(self.objects, engine, vm="old", version="v1")
         successor = Agent(self.objects, engine, vm="new", version="v2")
-        await frozen.acquire_lease()
+        await suspended.acquire_lease()
         await successor.lease.observe()
 
-        async def pass_on() -> None:
+        async def take_over() -> None:
             before = self.clock.now
             self.clock.now += DURATION
             await successor.acquire_lease()
             await self.load(successor)
             self.clock.now = before
 
-        self.objects.after_write["loads"] = pass_on
-        self.assertIs(await self.load(frozen), LoadOutcome.NO_LEASE)
+        self.objects.after_write["loads"] = take_over
+        self.assertIs(await self.load(suspended), LoadOutcome.NO_LEASE)
         self.assertEqual([version for version, _ in engine.orders], ["v2"])
 
     async def test_a_slot_that_expired_during_a_suspension_is_not_used(self) -> None:
@@ -164,11 +164,11 @@
         await agent.acquire_lease()
         close = agent.availability_gate.set_loading
 
-        def pause(loading: bool) -> None:
+        def suspend(loading: bool) -> None:
             self.clock.now += SLOT_LEASE_SECONDS
             close(loading)
 
-        with mock.patch.object(agent.availability_gate, "set_loading", pause):
+        with mock.patch.object(agent.availability_gate, "set_loading", suspend):
             self.assertIs(await self.load(agent), LoadOutcome.NO_LEASE)
         self.assertEqual(agent.engine.orders, [])
 
@@ -196,11 +196,11 @@
         newer = Agent(self.objects, engine, vm="newer", version="v2")
         await older.acquire_lease()
 
-        async def pass_on() -> None:
+        async def take_over() -> None:
             await newer.acquire_lease()
             await self.load(newer)
 
-        self.objects.after_write["targets"] = pass_on
+        self.objects.after_write["targets"] = take_over
         self.assertIs(await self.load(older), LoadOutcome.REFUSED)
         self.assertEqual([version for version, _ in engine.orders], ["v2"])
 
