--- a/libraries/agent/src/bamboopier_agent/claims.py
+++ b/libraries/agent/src/bamboopier_agent/claims.py
@@ -84,7 +84,7 @@
                 result = await writer.submit(claim)
         except TimeoutError:
             self._abandon(writer, claim)
-            return Err(PlatformUnavailableError("the claim timed out"))
+            return Err(PlatformUnavailableError("the platform is slow"))
         except asyncio.CancelledError:
             self._abandon(writer, claim)
             raise
--- a/libraries/agent/tests/order_builders.py
+++ b/libraries/agent/tests/order_builders.py
@@ -78,11 +78,11 @@
             return Err(VersionConflictError(key, expected_version, found))
         self.revision += 1
         self.stored[key] = StoredObject(key, self.revision, value)
-        answer = Ok(self.revision)
+        result = Ok(self.revision)
         hook = self.after_write.pop(key.split("/")[1], None)
         if hook is not None:
             await hook()
-        return answer
+        return result
 
 
 @dataclass
--- a/libraries/agent/tests/test_target.py
+++ b/libraries/agent/tests/test_target.py
@@ -55,7 +55,7 @@
                 client = await self.start(target)
                 with self.assertRaises(BrokenResponseError):
                     async with client.open(method, "/vans", [], b""):
-                        self.fail("an answer from nowhere")
+                        self.fail("unexpected response")
                 self.assertEqual(target.requests, 1)
 
     async def test_a_connection_closed_after_a_response_is_not_reused(self) -> None:
@@ -74,4 +74,4 @@
         async with TargetClient(f"http://127.0.0.1:{port}") as client:
             with self.assertRaises(TargetUnreachableError):
                 async with client.open("POST", "/vans", [], b""):
-                    self.fail("an answer from nowhere")
+                    self.fail("unexpected response")
