--- a/tests/fleet_builders.py
+++ b/tests/fleet_builders.py
@@ -27,7 +27,12 @@
 FAULT_DESK = "fault-desk"
 # Events that say which targets take work, whatever the request.
 TURNING_POINTS = frozenset(
-    {"agent started", "gateway started", "target availability changed", "weights ordered"}
+    {
+        "agent started",
+        "gateway started",
+        "target availability changed",
+        "weights ordered",
+    }
 )
 
 
