--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -91,7 +91,8 @@
     Mutation(
         "concurrent requests share a read",
         "libraries/agent/src/bamboopier_agent/block_fetcher.py",
-        "        pending_read = self._pending_reads.get(name.key)\n        if pending_read is None:",
+        "        pending_read = self._pending_reads.get(name.key)\n"
+        "        if pending_read is None:",
         "        pending_read = None\n        if pending_read is None:",
         "libraries/agent",
         "tests.test_context.LinkUseTests.test_concurrent_requests_fetch_a_block_once",
--- a/tools/safeguards/at_most_once.py
+++ b/tools/safeguards/at_most_once.py
@@ -83,9 +83,11 @@
     Mutation(
         "a granted claim is noted as a run before anything is awaited",
         "libraries/agent/src/bamboopier_agent/service.py",
-        "        cached_response = self._response_cache.start(key, request.fingerprint)\n",
+        "        cached_response = "
+        "self._response_cache.start(key, request.fingerprint)\n",
         "        await asyncio.sleep(0)\n"
-        "        cached_response = self._response_cache.start(key, request.fingerprint)\n",
+        "        cached_response = "
+        "self._response_cache.start(key, request.fingerprint)\n",
         "libraries/agent",
         "tests.test_service.RecallTests.test_the_holder_reports_its_claim_at_every_step",
     ),
--- a/tools/safeguards/orders.py
+++ b/tools/safeguards/orders.py
@@ -197,7 +197,8 @@
     Mutation(
         "the version that the engine reports is awaited",
         "libraries/agent/src/bamboopier_agent/weight_updater.py",
-        "            if self._monitor.reachable and self._monitor.version == configured_version:\n",
+        "            if self._monitor.reachable and "
+        "self._monitor.version == configured_version:\n",
         "            if self._monitor.reachable:\n",
         "libraries/agent",
         "tests.test_weight_updater.WeightUpdaterTests."
