--- a/libraries/agent/tests/service_builders.py
+++ b/libraries/agent/tests/service_builders.py
@@ -1,4 +1,4 @@
-"""An agent's service over a fake target and a platform in memory."""
+"""Builds an agent's service over a fake target and an in-memory platform."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-PIECES = (b"van ", b"sent")
+CHUNKS = (b"van ", b"sent")
 
 
 class FakeTarget:
-    """Records each run; answers once ``may_answer`` is set."""
+    """Counts runs; responds once ``may_respond`` is set."""
 
     def __init__(self) -> None:
         self.runs = 0
         self.cancelled = 0
         self.reachable = True
         self.running = asyncio.Event()
-        self.may_answer = asyncio.Event()
-        self.may_answer.set()
+        self.may_respond = asyncio.Event()
+        self.may_respond.set()
 
     @asynccontextmanager
     async def open(self, *request: object) -> AsyncIterator[Any]:
@@ -46,16 +46,16 @@
         self.runs += 1
         self.running.set()
         try:
-            await self.may_answer.wait()
+            await self.may_respond.wait()
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
-        content = SimpleNamespace(iter_any=self._list_pieces)
+        content = SimpleNamespace(iter_any=self._list_chunks)
         yield SimpleNamespace(status=201, headers={}, content=content)
 
-    async def _list_pieces(self) -> AsyncIterator[bytes]:
-        for piece in PIECES:
-            yield piece
+    async def _list_chunks(self) -> AsyncIterator[bytes]:
+        for chunk in CHUNKS:
+            yield chunk
 
 
 def make_service(objects: FakeObjects, target: FakeTarget, name: str) -> AgentService:
@@ -101,7 +101,7 @@
 
 
 def make_recall(claim_id: str) -> pb.RecallRequest:
-    """Return the question what became of a claim; without an id, of the key."""
+    """Return a recall of a claim or, without an id, of the key."""
     return pb.RecallRequest(
         workspace="fosse",
         idempotency_key="key",
--- a/libraries/agent/tests/test_target.py
+++ b/libraries/agent/tests/test_target.py
@@ -1,8 +1,8 @@
-"""A target that closes its connections at the wrong moment.
+"""A target that closes its connections without a response.
 
-The target reads a request, runs it, and closes the connection without an answer. HTTP
-clients send PUT, GET and DELETE again by themselves then; where the operator declared
-the route non-idempotent, the order would run twice although nobody asked for it.
+The target reads a request, runs it, and closes the connection. HTTP clients then resend
+PUT, GET and DELETE by themselves. On a route that the operator declared non-idempotent
+the request would run twice although the caller sent it once.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from bamboopier_agent.target import TargetClient
 
 METHODS = ("GET", "HEAD", "PUT", "DELETE", "POST", "PATCH")
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 class ClosingTarget:
-    """Counts requests; answers the first ``answers`` of a connection, then closes."""
+    """Counts requests; closes a connection after ``responses`` responses."""
 
-    def __init__(self, answers: int) -> None:
-        self._answers = answers
+    def __init__(self, responses: int) -> None:
+        self._responses = responses
         self.requests = 0
         self.connections = 0
 
@@ -29,14 +29,14 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.connections += 1
-        for number in range(self._answers + 1):
+        for number in range(self._responses + 1):
             try:
                 await reader.readuntil(b"\r\n\r\n")
             except asyncio.IncompleteReadError:
                 break
             self.requests += 1
-            if number < self._answers:
-                writer.write(ANSWER)
+            if number < self._responses:
+                writer.write(RESPONSE)
         writer.close()
 
 
@@ -51,15 +51,15 @@
     async def test_no_method_is_sent_twice(self) -> None:
         for method in METHODS:
             with self.subTest(method):
-                target = ClosingTarget(answers=0)
+                target = ClosingTarget(responses=0)
                 client = await self.start(target)
                 with self.assertRaises(BrokenResponseError):
                     async with client.open(method, "/vans", [], b""):
-                        self.fail("an answer from nowhere")
+                        self.fail("unexpected response")
                 self.assertEqual(target.requests, 1)
 
     async def test_a_connection_closed_after_a_response_is_not_reused(self) -> None:
-        target = ClosingTarget(answers=1)
+        target = ClosingTarget(responses=1)
         client = await self.start(target)
         for _ in range(2):
             async with client.open("POST", "/vans", [], b"") as response:
@@ -74,4 +74,4 @@
         async with TargetClient(f"http://127.0.0.1:{port}") as client:
             with self.assertRaises(TargetUnreachableError):
                 async with client.open("POST", "/vans", [], b""):
-                    self.fail("an answer from nowhere")
+                    self.fail("unexpected response")
