--- a/libraries/gateway/src/bamboopier_gateway/__init__.py
+++ b/libraries/gateway/src/bamboopier_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The entry process: callers' HTTP in, attempts at agents out."""
+"""The gateway process: accepts callers' HTTP and forwards it to agents."""
--- a/libraries/gateway/src/bamboopier_gateway/agent_connections.py
+++ b/libraries/gateway/src/bamboopier_gateway/agent_connections.py
@@ -1,4 +1,4 @@
-"""Connections to agents, one channel each, opened at first use."""
+"""Manages gRPC connections to agents: one channel each, opened on first use."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
     from types import TracebackType
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-# gRPC waits this long at the most, give or take a fifth, before it tries again.
+# Longest back-off of gRPC between connection attempts; gRPC varies it by up to a fifth.
 MAX_BACKOFF_MS = 200
-# Long enough for a fresh try after a failure that was there before: a refused
-# connection then costs a caller this once, and the router passes the target over.
+# Long enough for a new attempt after an earlier failure: a refused connection delays
+# one caller by this time, and the router then skips the target.
 RECONNECT_TIMEOUT_SECONDS = 0.3
-# Between tries for an agent that no other can stand in for.
+# Between attempts to connect to an agent that no other agent can replace.
 RETRY_INTERVAL_SECONDS = 0.1
 CHANNEL_OPTIONS = [
     *GRPC_OPTIONS,
-    # gRPC would send a call again by itself when a connection breaks early; whether a
+    # gRPC would otherwise resend a call when a connection fails early; whether a
     # request may be repeated is the router's decision.
     ("grpc.enable_retries", 0),
-    # An agent that was replaced is reached again within a second.
+    # An agent that was replaced is reconnected within a second.
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.min_reconnect_backoff_ms", 100),
     ("grpc.max_reconnect_backoff_ms", MAX_BACKOFF_MS),
 ]
 
-# A stream may outlast its target's place in the VM list, or its channel's certificate,
+# A stream may outlive its target's entry in the VM list, or its channel's certificate,
 # by this long: a week, which is the longest timeout a service may have.
 CLOSE_GRACE_SECONDS = 7 * 86_400.0
 
 
 class AgentConnections:
-    """Hands out stubs by address; closes what it opened."""
+    """Provides stubs by address and closes the channels that it opened."""
 
     def __init__(self, certificates: Certificates | None = None) -> None:
         self._certificates = certificates or Certificates(None)
@@ -70,11 +70,12 @@
     async def connect(
         self, address: str, timeout: float = CONNECT_TIMEOUT_SECONDS
     ) -> agent_pb2_grpc.AgentStub | None:
-        """Return a stub once its connection stands; None when nothing can be sent.
+        """Return a stub once its connection is ready; None when nothing can be sent.
 
-        gRPC gives one status for a connection that was never made and for one that
-        broke with the request under way. Waiting for the connection first tells them
-        apart: without it a dead agent makes every non-idempotent call end "unknown".
+        gRPC reports the same status for a connection that was never established and for
+        one that was lost with the request in flight. Waiting for the connection first
+        distinguishes them: without it, every non-idempotent call to a dead agent ends
+        as "unknown".
         """
         channel = self._find_channel(address)
         with suppress(TimeoutError, grpc.aio.UsageError):
@@ -87,12 +88,13 @@
     async def connect_with_retries(
         self, address: str, timeout: float = CONNECT_TIMEOUT_SECONDS
     ) -> agent_pb2_grpc.AgentStub | None:
-        """Return a stub as ``connect`` does, for what no other agent can answer.
+        """Return a stub as ``connect`` does, for a request only this agent can answer.
 
-        gRPC gives a try up after a tenth of a second, which an agent on a busy VM may
-        stand still. Taken for gone by then, the holder of a claim is never asked, and
-        its caller is told "outcome unknown" with most of its time left. Tries go on
-        until the time is over, a second at the most.
+        gRPC abandons an attempt after a tenth of a second, and an agent on a busy VM
+        may be stalled for that long. If it counted as gone after one attempt, the
+        holder of a claim would never be queried, and its caller would receive "outcome
+        unknown" with most of its time remaining. Attempts continue for ``timeout``, a
+        second at most.
         """
         limit = time.monotonic() + min(timeout, CONNECT_TIMEOUT_SECONDS)
         while (remaining := limit - time.monotonic()) > 0:
@@ -105,20 +107,21 @@
     async def connect_and_probe(
         self, address: str, timeout: float
     ) -> agent_pb2_grpc.AgentStub | None:
-        """Return a stub once its agent has answered; None when nothing can be sent.
-
-        A connection that was cut counts as standing until gRPC has read the cut, and a
-        call written to it fails like one that was under way: the caller of an order
-        that no agent had is told "unknown", and no other agent is tried. A question
-        that runs nothing goes first and meets such a cut. When it fails, the request
-        itself has not been written, so "not run" holds whatever thaws later.
+        """Return a stub once its agent has answered a probe; None when it has not.
+
+        A closed connection counts as ready until gRPC has read its end, and a call
+        written to it fails like one in flight: the caller of an order that no agent
+        received is told "unknown", and no other agent is tried. A probe that executes
+        nothing is therefore sent first and detects such a connection. When the probe
+        fails, the request itself was never written, so "not run" stays true even if
+        the connection resumes later.
         """
         end = time.monotonic() + min(timeout, CONNECT_TIMEOUT_SECONDS)
         while stub := await self.connect(address, end - time.monotonic()):
             channel = self._channels.get(address)
             if not await _probe(stub, end - time.monotonic()):
                 return None
-            # One that was replaced meanwhile takes no new calls.
+            # A channel that was replaced in the meantime accepts no new calls.
             if channel is not None and self._channels.get(address) is channel:
                 return stub
         return None
@@ -126,9 +129,9 @@
     async def _discard(self, address: str, channel: grpc.aio.Channel) -> None:
         """Close a channel that has no connection; the next call opens another.
 
-        Left open, gRPC goes on connecting by itself five times a second. A gateway
-        that knows the 146 targets of a lost data centre would spend several times what
-        it may on that.
+        gRPC keeps reconnecting an open channel five times a second. A gateway with the
+        146 targets of a failed data centre would spend several times its processor
+        budget on that.
         """
         if self._channels.get(address) is channel:
             del self._channels[address]
@@ -142,17 +145,17 @@
         return channel
 
     def keep_only(self, addresses: set[str]) -> None:
-        """Close the channels of agents that are gone, each once its streams have ended.
+        """Close the channels of other agents, each once its streams have ended.
 
-        The VM list may drop a target while it still answers; cutting its streams would
-        leave callers with half an answer. Never closing would keep a connection for
-        each of the 84 VMs replaced a day.
+        The VM list may drop a target that is still responding; aborting its streams
+        would leave callers with truncated responses. Never closing the channels would
+        leave one open connection for each of the 84 VMs that are replaced per day.
         """
         for address in set(self._channels) - addresses:
             self._close_gracefully(self._channels.pop(address))
 
     def _replace_channels(self) -> None:
-        """Connect anew with the replaced certificate at the next call of each agent."""
+        """Close all channels, so that the next calls use the replaced certificate."""
         for channel in self._channels.values():
             self._close_gracefully(channel)
         self._channels.clear()
@@ -165,10 +168,11 @@
 
 
 async def _probe(stub: agent_pb2_grpc.AgentStub, timeout: float) -> bool:
-    """Ask the agent for its load; False when no answer comes in time.
+    """Request the agent's load report; return False when none arrives in time.
 
-    The code is waited for, not the answer: a channel that another call closes cancels
-    this one, and its error would be taken for a caller who left.
+    This awaits the status code, not the response: when another call closes the
+    channel, this call is cancelled, and awaiting its response would raise the same
+    exception as a disconnected caller does.
     """
     with suppress(grpc.aio.UsageError):
         probe = stub.Report(pb.ReportRequest(), timeout=timeout)
@@ -177,11 +181,11 @@
 
 
 async def _wait_for_connection(channel: grpc.aio.Channel) -> bool:
-    """Wait while the channel connects; False at the first failure from now on.
+    """Wait while the channel connects; return False at the first new failure.
 
-    A failure that lies in the past says nothing: the agent may have come up since, and
-    gRPC is only waiting out its backoff. Taken for an answer it refuses a request as
-    overloaded although its only target is idle.
+    A failure from before this call is not conclusive: the agent may have started since,
+    and gRPC may only be waiting for the end of its back-off. If it counted, a request
+    would be refused as overloaded although its only target is idle.
     """
     if channel.get_state() is grpc.ChannelConnectivity.TRANSIENT_FAILURE:
         with suppress(TimeoutError):
@@ -192,7 +196,7 @@
 
 
 async def _wait_until_ready(channel: grpc.aio.Channel, *, until_failure: bool) -> bool:
-    """Follow the channel's states to a connection, or to a failure if that counts."""
+    """Wait for a connection, or for a failure if ``until_failure``."""
     state = channel.get_state(try_to_connect=True)
     while state is not grpc.ChannelConnectivity.READY:
         failed = state is grpc.ChannelConnectivity.TRANSIENT_FAILURE
--- a/libraries/gateway/src/bamboopier_gateway/application.py
+++ b/libraries/gateway/src/bamboopier_gateway/application.py
@@ -1,4 +1,4 @@
-"""The HTTP application that callers talk to."""
+"""Serves callers' HTTP requests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from .body import BodyBudget
 from .delivery import Delivery, SlowCallerError
-from .error_responses import REQUEST_ID, abort, answer_errors
+from .error_responses import REQUEST_ID, abort_connection, answer_errors
 from .errors import CallerError, ErrorCode
 from .model_list import list_models
 from .prompt import CHAT_PATH
@@ -35,12 +35,12 @@
 
     ReadCall = Callable[[web.Request, str, Directory], Awaitable[Call]]
 
-# The largest body any service may allow; the service's own limit is checked later.
+# The largest body that any service may allow; the service's own limit is checked later.
 MAX_BODY_BYTES = 64 * 1024 * 1024
-# For the last answers of requests that are cut when the process ends.
+# For the final responses of requests that are aborted when the process ends.
 ABORT_TIMEOUT_SECONDS = 2.0
-# Seconds after which a caller should come back to a gateway that knows nothing yet:
-# the platform's first answer takes less, and the balancer sends callers elsewhere.
+# Retry-After of a gateway that has no configuration yet: the platform's first response
+# takes less, and the load balancer sends callers to other gateways.
 STARTUP_RETRY_AFTER_SECONDS = 1.0
 REQUEST_ID_HEADER = "X-Request-Id"
 
@@ -48,7 +48,7 @@
 
 
 class GatewayApplication:
-    """Routes callers' requests and counts those under way."""
+    """Routes callers' requests and counts those in flight."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
 
     @property
     def ready(self) -> bool:
-        """Say whether the balancer should send callers here."""
+        """Return whether the load balancer should send callers to this gateway."""
         directory = self._follower.directory
         drained = self._settings.data_centre in (
             directory.configuration.drains.data_centres
@@ -98,7 +98,7 @@
 
     @property
     def open_requests(self) -> int:
-        """Return the number of requests without a final answer."""
+        """Return the number of requests without a final response."""
         return self._open_count
 
     def stop(self) -> None:
@@ -106,11 +106,11 @@
         self._stopping = True
 
     async def wait_until_idle(self) -> None:
-        """Return once every request has its final answer."""
+        """Return once every request has its final response."""
         await self._idle.wait()
 
     async def abort_requests(self) -> None:
-        """End every open request now with an answer that says what is known."""
+        """End every open request now with a response that states its outcome."""
         self._aborting = True
         for task in self._tasks:
             task.cancel()
@@ -125,10 +125,10 @@
         )
 
     def _check_configured(self) -> None:
-        """Refuse while no configuration is known.
+        """Refuse requests while no configuration is loaded.
 
-        A gateway that starts while the platform hangs knows no key: it would answer
-        401 to a good one, and the caller would not come back.
+        A gateway that starts while the platform does not respond has no API keys: it
+        would answer 401 to a valid one, and the caller would not retry.
         """
         if self._follower.directory.generation == 0:
             message = "no configuration is known yet"
@@ -145,7 +145,7 @@
         return await self._serve(request, self._reader.read_plain_call)
 
     async def _list_models(self, request: web.Request) -> web.StreamResponse:
-        """Answer with the models that the caller's workspace may use."""
+        """Respond with the models that the caller's workspace may use."""
         self._check_configured()
         directory = self._follower.directory
         workspace = authenticate(request, directory)
@@ -197,7 +197,7 @@
         except asyncio.CancelledError:
             if not self._aborting:
                 raise
-            message = "cut by the end of this process"
+            message = "request aborted: the gateway is shutting down"
             abort_error = CallerError(
                 ErrorCode.OUTCOME_UNKNOWN, message, ExecutionStatus.UNKNOWN
             )
@@ -205,14 +205,14 @@
         except SlowCallerError:
             log.info("caller too slow", request_id=call.request_id)
             self._metrics.responses.labels(call.service, "slow-caller").inc()
-            # A plain close would wait for the caller to take what is buffered.
-            abort(request)
+            # A plain close would wait for the caller to read the buffered bytes.
+            abort_connection(request)
             raise ConnectionResetError("caller too slow") from None
         except ConnectionError:
             raise
         except Exception:
             log.exception("request failed", request_id=call.request_id)
-            # An attempt may have been made, and nothing more is known about it.
+            # An attempt may have been made, and its outcome is unknown.
             internal_error = CallerError(
                 ErrorCode.INTERNAL, "internal error", ExecutionStatus.UNKNOWN
             )
--- a/libraries/gateway/src/bamboopier_gateway/attempt.py
+++ b/libraries/gateway/src/bamboopier_gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one agent: proves the answer whole and says what is known."""
+"""Sends one attempt to one agent and verifies that its response is complete."""
 
 from __future__ import annotations
 
@@ -25,24 +25,26 @@
     from .delivery import Delivery
 
 _MILLISECONDS = 1000
-# The agent answers a passed deadline itself and knows whether the request ran; this is
-# how long its word is waited for. A frozen agent says nothing.
+# The agent itself responds when the deadline has passed and reports whether the request
+# ran; an attempt waits this long for that report. A suspended agent sends none.
 DEADLINE_GRACE_SECONDS = 0.25
-# gRPC's word for a call that waited for a connection and got none. With its retries off
-# (``agents.OPTIONS``) a call is given to one connection at most, so none had it.
+# gRPC's message for a call that waited for a connection and got none. With its retries
+# disabled (``agent_connections.CHANNEL_OPTIONS``) a call is assigned to one connection
+# at most, so with this message no connection carried it.
 _NO_CONNECTION = "failed to connect to all addresses"
-# An answer that has begun may go on past the deadline for as long as it makes progress.
+# A response that has started may exceed the deadline while it makes progress: while no
+# gap between its events is longer than this.
 STALL_TIMEOUT_SECONDS = 30.0
 
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended."""
+    """The outcome of an attempt; times in seconds."""
 
     ran: ExecutionStatus
     cause: int = pb.CAUSE_UNSPECIFIED
     detail: str = ""
-    # Seconds after which the target expects room again; 0 when it did not say.
+    # Seconds after which the target expects free capacity; 0 when it gave none.
     retry_after: float = 0.0
     claimed_by: str = ""
     claim_id: str = ""
@@ -54,15 +56,15 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """Sends a call to an agent and passes its answer to the delivery."""
+    """Sends a call to an agent and forwards its response to the delivery."""
 
     call: Call
     stub: AgentStub
     generation: int
-    # Told of the load and the seconds that came with the answer's head: a long answer
-    # would otherwise bring them only at its end.
+    # Called with the load report and the seconds until the response's head: a long
+    # response would otherwise report them only at its end.
     report_head: Callable[[pb.LoadReport, float], None] = lambda _load, _seconds: None
-    # Seconds the target may let the call wait before it turns it away.
+    # Seconds for which the target may queue the call before it refuses it.
     max_wait: float = math.inf
     attempt_id: str = field(default_factory=lambda: uuid.uuid4().hex)
     _result: AttemptResult = field(
@@ -70,13 +72,13 @@
     )
     _expected_sequence: int = 0
     _body_bytes: int = 0
-    # The body's length where the target gave one, and what completes it.
+    # The body's length where the target sent one, and the chunks that complete it.
     _content_length: int | None = None
     _last_chunk: bytes = b""
     _started: bool = False
 
     async def run(self, delivery: Delivery) -> AttemptResult:
-        """Run to the end; leaving early cancels the call at the agent."""
+        """Run until the response ends; a cancellation cancels the call at the agent."""
         remaining = self.call.deadline - time.monotonic() + DEADLINE_GRACE_SECONDS
         loop = asyncio.get_running_loop()
         stream = self.stub.Serve(self._make_request())
@@ -84,8 +86,8 @@
             async with asyncio.timeout_at(loop.time() + remaining) as timeout:
                 return await self._read_events(stream, delivery, timeout)
         except TimeoutError:
-            self._mark_broken("no answer by the deadline")
-            # A long answer is no sign of a broken target.
+            self._mark_broken("no response by the deadline")
+            # A long response does not indicate a failed target.
             self._result.broken = not self._started
             self._result.cause = pb.DEADLINE
             return self._result
@@ -104,7 +106,7 @@
         loop = asyncio.get_running_loop()
         async for event in stream:
             if not self._is_expected(event):
-                return self._mark_broken("an event of another answer or out of order")
+                return self._mark_broken("event of another response or out of order")
             if event.HasField("load"):
                 self._result.load = event.load
             if event.HasField("head"):
@@ -115,7 +117,7 @@
             timeout.reschedule(
                 max(timeout.when() or 0.0, loop.time() + STALL_TIMEOUT_SECONDS)
             )
-        return self._mark_broken("the answer ended early")
+        return self._mark_broken("the response ended early")
 
     def _make_request(self) -> pb.ServeRequest:
         call = self.call
@@ -150,11 +152,11 @@
         return request
 
     def _is_expected(self, event: pb.ServeEvent) -> bool:
-        """Guard against late, crossed, repeated and lost events.
+        """Return whether an event may follow; detect misdirected and lost events.
 
         An event of another attempt or out of sequence would put foreign bytes into
-        this caller's answer; nothing after it can be trusted. The same goes for an
-        answer without a head, with two, or refused after it began.
+        this caller's response, so nothing after it can be trusted. The same holds for a
+        response without a head, with two heads, or refused after it started.
         """
         expected = (self.attempt_id, self._expected_sequence)
         self._expected_sequence += 1
@@ -166,7 +168,7 @@
         return kind == "unknown" or (kind is not None and self._started)
 
     async def _handle_event(self, event: pb.ServeEvent, delivery: Delivery) -> bool:
-        """Handle one event; True when the answer is over."""
+        """Handle one event; return True when the response has ended."""
         kind = event.WhichOneof("event")
         if kind == "head":
             self._started = True
@@ -178,8 +180,8 @@
                 self._content_length is not None
                 and self._body_bytes >= self._content_length
             ):
-                # A caller that counts bytes takes these for the end, and leaves before
-                # the answer is proved whole and counted.
+                # A caller that counts bytes would treat these as the end and disconnect
+                # before the response is verified as complete and recorded.
                 self._last_chunk += event.chunk
             else:
                 await delivery.write(event.chunk)
@@ -197,7 +199,7 @@
 
     async def _finish(self, finished: pb.Finished, delivery: Delivery) -> bool:
         if finished.body_bytes != self._body_bytes:
-            self._mark_broken("the answer is not whole")
+            self._mark_broken("the response is incomplete")
             return True
         self._result.ran = ExecutionStatus.EXECUTED
         self._result.finished = finished
@@ -206,8 +208,8 @@
                 await delivery.write(self._last_chunk)
             await delivery.finish()
         except asyncio.CancelledError:
-            # The caller has the whole answer and closes at once, before this task runs
-            # again. It is served all the same, and the answer has to be counted.
+            # The caller has the complete response and closes at once, before this task
+            # runs again. The request still counts as served and is recorded.
             task = asyncio.current_task()
             if task is not None:
                 task.uncancel()
@@ -231,26 +233,27 @@
         return self._result
 
     def _classify(self, error: grpc.aio.AioRpcError) -> AttemptResult:
-        """Say what a failed call proves about the request.
+        """Return the result of a failed call, with whether the request may have run.
 
-        A connection stood when the request was handed to gRPC. Once gRPC has given it
-        to one, any failure leaves open how far it came.
+        A connection was ready when the request was handed to gRPC. Once gRPC has
+        assigned the request to a connection, no failure shows how far it got.
         """
         result = self._mark_broken(f"{error.code().name}: {error.details()}")
-        # Only the agent's check of this gateway's certificate refuses permission, and
-        # it comes before anything else.
+        # Only the agent's check of this gateway's certificate denies permission, and
+        # it runs before anything else.
         refused = error.code() is grpc.StatusCode.PERMISSION_DENIED
         if refused or self._was_never_sent(error):
             result.ran = ExecutionStatus.NOT_EXECUTED
         return result
 
     def _was_never_sent(self, error: grpc.aio.AioRpcError) -> bool:
-        """Say whether gRPC found no connection to send the request on.
+        """Return whether gRPC found no connection to send the request on.
 
-        A connection that was just cut still shows as ready, and gRPC may notice before
-        the call is its own. Taken for lost under way, a dispatch that was never sent
-        ends "unknown" and is tried at no other agent. gRPC tells the two apart in
-        words only; other words than these end "unknown", which is never false.
+        A connection that was just closed still shows as ready, and gRPC may detect the
+        close before it accepts the call. If that counted as lost in flight, a request
+        that was never sent would end as "unknown" and be tried at no other agent. gRPC
+        distinguishes the two only by its message; any other message counts as
+        "unknown", which is never false.
         """
         return (
             error.code() is grpc.StatusCode.UNAVAILABLE
--- a/libraries/gateway/src/bamboopier_gateway/body.py
+++ b/libraries/gateway/src/bamboopier_gateway/body.py
@@ -1,4 +1,4 @@
-"""Reads callers' bodies within a size, a time and a sum over all requests."""
+"""Reads callers' bodies within limits of size, time and total memory."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class BodyBudget:
-    """Bounds the bytes of bodies that all open requests hold together.
+    """Limits the total bytes of the bodies of all open requests.
 
-    A body is held until its request ends, for it may be sent again. Connections times
-    the largest body would be many times a VM's memory, and the process would be killed
-    with every request it has; refusing the next one costs that one a retry.
+    A body is held until its request ends, because it may be resent. The number of
+    connections times the largest body is many times a VM's memory, and the process
+    would be killed with all its requests; refusing the next request costs one retry.
     """
 
     def __init__(self, limit: int, held_bytes: Gauge) -> None:
@@ -34,7 +34,7 @@
 
     @contextmanager
     def open(self, request: web.BaseRequest) -> Iterator[None]:
-        """Hold what ``request`` reads for as long as the context is open."""
+        """Account for what ``request`` reads until the context ends."""
         share = BodyShare(self)
         request[BODY_SHARE] = share
         try:
@@ -43,9 +43,9 @@
             self._held -= share.held
 
     def acquire(self, size: int) -> None:
-        """Hold ``size`` bytes more; raises ``CallerError`` when that is too much."""
+        """Acquire ``size`` more bytes; raises ``CallerError`` above the limit."""
         if self._held + size > self._limit:
-            message = "the bodies of all open requests fill this gateway's memory"
+            message = "the bodies of all open requests fill this gateway's body memory"
             raise CallerError(
                 ErrorCode.OVERLOADED, message, retry_after=RETRY_AFTER_SECONDS
             )
@@ -53,7 +53,7 @@
 
 
 class BodyShare:
-    """The part of the budget that one request holds."""
+    """The bytes of the budget that one request holds."""
 
     __slots__ = ("_budget", "held")
 
@@ -62,7 +62,7 @@
         self.held = 0
 
     def acquire(self, size: int) -> None:
-        """Hold ``size`` bytes more; raises ``CallerError``."""
+        """Acquire ``size`` more bytes; raises ``CallerError``."""
         self._budget.acquire(size)
         self.held += size
 
@@ -73,8 +73,8 @@
 async def read_body(request: web.BaseRequest, limit: int, timeout: float) -> bytes:
     """Return the body; raises ``CallerError``, and stops reading, above ``limit``.
 
-    ``timeout`` in seconds is for the whole body, so that a caller that sends a byte now
-    and then cannot hold its connection for ever.
+    ``limit`` is in bytes. ``timeout``, in seconds, applies to the complete body, so
+    that a caller that sends single bytes cannot keep its connection open for ever.
     """
     declared = request.content_length
     if declared is not None and declared > limit:
@@ -86,7 +86,7 @@
         message = f"the body did not arrive within {timeout:g} seconds"
         raise CallerError(ErrorCode.BODY_TIMEOUT, message) from error
     except (web.RequestPayloadError, HttpProcessingError) as error:
-        message = "the body is cut or its framing is broken"
+        message = "the body is truncated or its framing is invalid"
         raise CallerError(ErrorCode.BAD_REQUEST, message) from error
 
 
--- a/libraries/gateway/src/bamboopier_gateway/call.py
+++ b/libraries/gateway/src/bamboopier_gateway/call.py
@@ -1,4 +1,4 @@
-"""A caller's request after authentication and parsing."""
+"""Types of a caller's request after authentication and parsing."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelCall:
-    """What a request asks of a model."""
+    """The model-specific part of a call."""
 
     model: str
     weight_version: str
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One request on its way to a target. ``deadline`` is on the monotonic clock."""
+    """One request to a target; ``deadline`` in seconds of the monotonic clock."""
 
     request_id: str
     workspace: str
     service: str
     method: str
-    # Path and query at the target.
+    # Path and query, as the target receives them.
     path: str
     headers: tuple[tuple[str, str], ...]
     body: bytes
@@ -40,7 +40,7 @@
 
     @property
     def fingerprint(self) -> bytes:
-        """Return the digest that tells a repeated request from another one."""
+        """Return the digest that identifies repeats of the same request."""
         hashed = hashlib.blake2b(digest_size=16)
         for part in (self.method.encode(), self.path.encode(), self.body):
             hashed.update(len(part).to_bytes(8, "big"))
--- a/libraries/gateway/src/bamboopier_gateway/connection.py
+++ b/libraries/gateway/src/bamboopier_gateway/connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: time limits, and typed errors for what is no HTTP."""
+"""Limits one caller's connection in time and rejects invalid HTTP with typed errors."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from .errors import CallerError, ErrorCode
 
-# A connection that is refused stays this long, so that its caller can read why.
+# A refused connection stays open this long, so that its caller can read the reason.
 REFUSAL_SECONDS = 1.0
 KEEPALIVE_PROBES = 3
 _MILLISECONDS = 1000
@@ -22,7 +22,7 @@
 
 
 class ConnectionLimits(Protocol):
-    """What one caller's connection may take, in seconds."""
+    """The time limits of one caller's connection, in seconds."""
 
     @property
     def header_timeout_seconds(self) -> float:
@@ -36,28 +36,28 @@
 
     @property
     def write_timeout_seconds(self) -> float:
-        """Return how long a peer may take no byte."""
+        """Return how long a peer may accept no byte."""
         ...
 
 
 class ConnectionCounter(Protocol):
-    """Keeps count of open connections."""
+    """Counts open connections."""
 
     def add(self) -> bool:
-        """Note a connection that opened; False when there are too many."""
+        """Count an opened connection; return False when there are too many."""
         ...
 
     def remove(self) -> None:
-        """Note a connection that is gone."""
+        """Count a closed connection."""
         ...
 
 
 class CallerConnection(web.RequestHandler):
     """aiohttp's connection with this gateway's limits.
 
-    aiohttp closes an idle connection, but lets a request trickle in a byte at a time
-    for ever and so hold a place under the connection limit (slow loris). Here a request
-    has ``header_timeout_seconds`` from its first byte to its last header.
+    aiohttp closes idle connections, but lets a request arrive one byte at a time for
+    ever and so occupy one of ``max_connections`` (slow loris). Here a request has
+    ``header_timeout_seconds`` from its first byte to its last header.
     """
 
     __slots__ = ("_count", "_header_timeout", "_header_timer", "_write_timeout")
@@ -81,7 +81,7 @@
         self._header_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to watch the connection, or refuse it."""
+        """Start to serve the connection, or refuse it."""
         set_dead_peer_timeout(transport, self._write_timeout)
         if self._count.add():
             super().connection_made(transport)
@@ -91,13 +91,13 @@
         refusal.connection_made(transport)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Forget the connection."""
+        """Stop the header timer and count the connection as closed."""
         self._stop_header_timer()
         self._count.remove()
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes; between two requests the first one starts the header timer."""
+        """Process received bytes; the first of a request starts the header timer."""
         was_waiting = self._is_waiting_for_request()
         super().data_received(data)
         if not self._is_waiting_for_request():
@@ -109,10 +109,10 @@
             )
 
     def close_when_idle(self) -> None:
-        """Close if no request is under way.
+        """Close if no request is in flight.
 
-        aiohttp's own ``close`` ends the task that reads requests and leaves the
-        transport open: what the caller sends then is never answered.
+        aiohttp's own ``close`` ends the task that reads requests but leaves the
+        transport open: what the caller sends afterwards is never answered.
         """
         if self._is_waiting_for_request():
             self.force_close()
@@ -124,13 +124,13 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answer what is no HTTP, or what no handler caught, with a typed error."""
+        """Answer invalid HTTP and unhandled exceptions with a typed error."""
         request_id = uuid.uuid4().hex
         if request.writer.output_size > 0:
-            raise ConnectionError("an answer was already begun")
+            raise ConnectionError("a response was already started")
         if isinstance(exc, ConnectionError):
-            # The caller is gone, which the handler has logged: nobody reads an answer,
-            # and an error in the log would pass for a failure of this process.
+            # The caller has disconnected, which the handler has logged: nobody reads a
+            # response, and a logged error would look like a failure of this process.
             raise exc
         if isinstance(exc, LineTooLong):
             error = CallerError(ErrorCode.HEADERS_TOO_LARGE, "a header is too long")
@@ -144,8 +144,8 @@
         return response
 
     def _is_waiting_for_request(self) -> bool:
-        # aiohttp offers no public word for this. Its version is pinned, and a test of
-        # headers that trickle in shows when the attribute means something else.
+        # aiohttp has no public interface for this. Its version is pinned, and a test of
+        # slowly arriving headers fails when the meaning of the attribute changes.
         return self._waiter is not None and not self._waiter.done()
 
     def _stop_header_timer(self) -> None:
@@ -161,21 +161,21 @@
 
 
 class RefusedConnection(asyncio.Protocol):
-    """Answers a connection above the limit at once, whatever it sends, and closes."""
+    """Refuses a connection above the limit at once, whatever it sends, and closes."""
 
     def __init__(self) -> None:
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the refusal; reading goes on for a moment.
+        """Send the refusal; reading continues for ``REFUSAL_SECONDS``.
 
-        Closing with unread bytes in the socket would reset it, and the caller would
-        lose the refusal that is on its way.
+        Closing a socket with unread bytes resets it, and the caller would lose the
+        refusal in transit.
         """
         open_transport = cast("asyncio.Transport", transport)
         error = CallerError(
             ErrorCode.TOO_MANY_CONNECTIONS,
-            "this gateway has its largest number of connections",
+            "this gateway has reached its connection limit",
             retry_after=REFUSAL_SECONDS,
         )
         open_transport.write(error.make_raw_response(uuid.uuid4().hex))
@@ -185,18 +185,18 @@
         self._timer = loop.call_later(REFUSAL_SECONDS, open_transport.abort)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Stop waiting for the caller."""
+        """Cancel the close timer."""
         if self._timer is not None:
             self._timer.cancel()
 
 
 def set_dead_peer_timeout(transport: asyncio.BaseTransport, seconds: float) -> None:
-    """Let the kernel end a connection whose peer is gone or takes nothing.
+    """Let the kernel close a connection whose peer is gone or acknowledges nothing.
 
-    Without it a caller that vanished without a word, or that never reads the last
-    bytes of its answer, keeps its connection for hours: nothing is left to write, so no
-    timeout of ours runs. The user timeout covers bytes that are not acknowledged, the
-    probes a peer that is silent.
+    Without it, a caller that disappears without closing, or never reads the last bytes
+    of its response, keeps its connection for hours: nothing remains to be written, so
+    no timeout of this process applies. The user timeout covers bytes that are not
+    acknowledged, the keep-alive probes cover a silent peer.
     """
     connection = transport.get_extra_info("socket")
     if connection is None:
--- a/libraries/gateway/src/bamboopier_gateway/daemon.py
+++ b/libraries/gateway/src/bamboopier_gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The gateway process: settings in, callers served until SIGTERM."""
+"""Runs the gateway process: serves callers until SIGTERM."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 if TYPE_CHECKING:
     from bamboopier_configuration.settings import GatewaySettings
 
-# After not-ready shows, the balancer needs a moment to stop sending callers here.
+# Time for the load balancer to see "not ready" and stop sending callers here.
 STOP_DELAY_SECONDS = 0.5
 
 log = structlog.get_logger()
 
 
 async def run_gateway(settings: GatewaySettings) -> None:
-    """Run until SIGTERM or SIGINT, then let every request finish."""
+    """Serve until SIGTERM or SIGINT, then let open requests finish."""
     generator = random.Random(f"{settings.vm}:{settings.seed}:{os.getpid()}")
     async with AsyncExitStack() as stack:
         certificates = Certificates(settings.tls, allow_plain=settings.allow_plain)
@@ -89,8 +89,8 @@
         )
 
         def is_ready() -> bool:
-            # With the configuration alone there is no target to send to: callers that
-            # the balancer sent here would all be refused.
+            # Without the VM list there is no target to send to, and all callers from
+            # the load balancer would be refused.
             return application.ready and vms.is_known
 
         add_process_metrics(
@@ -122,4 +122,4 @@
 
 
 def _discard_decision(_: object) -> None:
-    """Drop a decision: a changed fleet calls for none."""
+    """Ignore a decision: a change of the fleet requires none."""
--- a/libraries/gateway/src/bamboopier_gateway/delivery.py
+++ b/libraries/gateway/src/bamboopier_gateway/delivery.py
@@ -1,4 +1,4 @@
-"""Writes an answer to the caller as it arrives."""
+"""Writes a target's response to its caller; a truncated one never looks complete."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class SlowCallerError(Exception):
-    """The caller did not take its answer in time."""
+    """The caller did not read its response in time."""
 
 
 class Delivery:
-    """One caller's answer: at most one head, then bytes, then the end."""
+    """One caller's response: at most one head, then chunks, then the end."""
 
     def __init__(
         self, request: web.Request, request_id: str, write_timeout: float
@@ -30,19 +30,19 @@
         self._request_id = request_id
         self._write_timeout = write_timeout
         self._response: web.StreamResponse | None = None
-        # Monotonic time of the first piece of the body; 0 before it.
+        # Monotonic time of the first chunk of the body; 0 before it.
         self.first_written_at = 0.0
 
     @property
     def started(self) -> bool:
-        """Say whether the caller has received anything."""
+        """Return whether any part of the response was sent."""
         return self._response is not None
 
     @property
     def response(self) -> web.StreamResponse:
-        """Return the response object for the HTTP server."""
+        """Return the response for the HTTP server."""
         if self._response is None:
-            raise RuntimeError("no answer was begun")
+            raise RuntimeError("no response was started")
         return self._response
 
     async def start(self, head: ResponseHead) -> None:
@@ -60,7 +60,7 @@
         await response.prepare(self._request)
 
     async def write(self, chunk: bytes) -> None:
-        """Send a piece of the body; a caller that stops reading is given up."""
+        """Send a chunk of the body; raises ``SlowCallerError``."""
         try:
             async with asyncio.timeout(self._write_timeout):
                 await self.response.write(chunk)
@@ -69,14 +69,14 @@
             raise SlowCallerError(self._request_id) from error
 
     async def finish(self) -> None:
-        """Close a whole answer."""
+        """End a complete response."""
         await self.response.write_eof()
 
     async def fail(self, error: CallerError) -> web.StreamResponse:
-        """End an answer that cannot become whole so that the caller notices.
+        """End a response that cannot be completed, visibly for the caller.
 
-        A stream of events gets a last error event; any other body is cut, so that its
-        reader does not take a part for the whole.
+        An event stream ends with an error event; for any other body the connection is
+        aborted, so that a truncated response does not look complete.
         """
         response = self.response
         content_type = response.headers.get("Content-Type", "")
@@ -90,9 +90,9 @@
 
 
 def find_content_length(head: ResponseHead) -> int | None:
-    """Return the body's length where the target gave one.
+    """Return the body's length in bytes where the target sent one.
 
-    A caller that knows the length sees by itself that a cut answer is not whole.
+    A caller that knows the length detects a truncated response by itself.
     """
     for header in head.headers:
         if header.name.lower() == "content-length" and header.value.isdecimal():
--- a/libraries/gateway/src/bamboopier_gateway/error_responses.py
+++ b/libraries/gateway/src/bamboopier_gateway/error_responses.py
@@ -1,4 +1,4 @@
-"""Gives each request its id and turns every failure into a typed answer."""
+"""Assigns request ids and converts every failure into a typed error response."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     from aiohttp.typedefs import Handler
 
 MAX_HEADER_BYTES = 32 * 1024
-# Bytes of answers that may wait for a caller before its next request is read.
+# Bytes of responses that may be buffered for a caller before its next request is read.
 MAX_BUFFERED_BYTES = 256 * 1024
-# Key of the id that the gateway gave a request; a caller's own is never taken for it.
+# Key of the id that the gateway assigns to a request; it never comes from the caller.
 REQUEST_ID = web.RequestKey("request_id", str)
-# The rest of the request is not read, so nothing can follow it.
+# The rest of the request is not read, so the connection cannot be reused.
 _CLOSING_CODES = frozenset(
     {ErrorCode.TOO_LARGE, ErrorCode.BODY_TIMEOUT, ErrorCode.HEADERS_TOO_LARGE}
     | {ErrorCode.OVERLOADED}
@@ -29,15 +29,15 @@
 
 @web.middleware
 async def answer_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Give the request its id and turn every failure into a typed answer.
+    """Assign the request's id and convert every failure into a typed error response.
 
-    Nothing has been sent to a target when an exception gets here: the attempts have a
-    handler of their own, so "ran: no" is true.
+    Nothing has been sent to a target when an exception reaches this function: failures
+    of attempts are handled before, so "ran: no" is true.
     """
     request[REQUEST_ID] = uuid.uuid4().hex
     if _exceeds_write_buffer(request):
-        abort(request)
-        raise ConnectionResetError("answers are not taken")
+        abort_connection(request)
+        raise ConnectionResetError("caller does not read its responses")
     try:
         _check_headers(request)
         return await handler(request)
@@ -76,10 +76,10 @@
 
 
 def _exceeds_write_buffer(request: web.Request) -> bool:
-    """Say whether a caller pipelines requests and takes none of their answers.
+    """Return whether a caller pipelines requests without reading their responses.
 
-    Short answers are buffered without waiting; without this check their number, and so
-    the gateway's memory, would be the caller's choice.
+    Short responses are buffered without waiting; without this check the caller would
+    control their number and so the gateway's memory use.
     """
     transport = request.transport
     if transport is None:
@@ -87,7 +87,7 @@
     return transport.get_write_buffer_size() > MAX_BUFFERED_BYTES
 
 
-def abort(request: web.Request) -> None:
-    """Cut the caller's connection without waiting for what is buffered."""
+def abort_connection(request: web.Request) -> None:
+    """Abort the caller's connection and discard what is buffered."""
     if request.transport is not None:
         request.transport.abort()
--- a/libraries/gateway/src/bamboopier_gateway/errors.py
+++ b/libraries/gateway/src/bamboopier_gateway/errors.py
@@ -1,4 +1,4 @@
-"""Every error a caller can receive, with its stable code."""
+"""Defines every error that a caller can receive, with its stable code."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from bamboopier_decisions.routing.messages import Refuse
 
-# Longest piece of a request that a message repeats.
+# Longest excerpt of a request in an error message.
 MAX_QUOTED_CHARS = 60
 
 
@@ -53,7 +53,7 @@
 
     @property
     def error_type(self) -> str:
-        """Return the error type that OpenAI's client libraries know."""
+        """Return the error type that OpenAI's client libraries expect."""
         return _ERROR_TYPES.get(self.status) or (
             "server_error" if self.status >= 500 else "invalid_request_error"
         )
@@ -117,7 +117,7 @@
 
 
 class CallerError(BamboopierError):
-    """A failure with its final answer. ``retry_after`` in seconds, 0 when useless."""
+    """A failure reported to the caller; ``retry_after`` in seconds, 0 for none."""
 
     def __init__(
         self,
@@ -145,13 +145,13 @@
         return msgspec.json.encode(_ErrorBody(detail))
 
     def make_response(self, request_id: str) -> web.Response:
-        """Return the whole HTTP answer."""
+        """Return the complete HTTP response."""
         body = self.make_body(request_id)
         headers = self._make_headers(request_id)
         return web.Response(status=self.status, body=body, headers=headers)
 
     def make_raw_response(self, request_id: str) -> bytes:
-        """Return the answer as bytes, for a connection that has no HTTP server yet."""
+        """Return the response as bytes, for a connection without an HTTP server."""
         body = self.make_body(request_id)
         headers = {
             **self._make_headers(request_id),
@@ -174,12 +174,12 @@
     code = _CODES_BY_REASON[refuse.reason]
     if refuse.ran is ExecutionStatus.UNKNOWN:
         code = ErrorCode.OUTCOME_UNKNOWN
-    message = f"request given up: {refuse.reason.value}"
+    message = f"request refused: {refuse.reason.value}"
     return CallerError(code, message, refuse.ran, refuse.retry_after)
 
 
 def quote(text: str) -> str:
-    """Return a piece of a request as it may stand in a message: short and ASCII."""
+    """Return an excerpt of a request for an error message: short and ASCII."""
     return ascii(
         text if len(text) <= MAX_QUOTED_CHARS else text[:MAX_QUOTED_CHARS] + "..."
     )
--- a/libraries/gateway/src/bamboopier_gateway/fleet.py
+++ b/libraries/gateway/src/bamboopier_gateway/fleet.py
@@ -1,4 +1,4 @@
-"""Which targets this gateway may use: the VM list less what operators drained."""
+"""Tracks the targets this gateway may use: the VM list without drained targets."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Fleet:
-    """Tells the router of each change of the VM list and of the drains."""
+    """Reports each change of the VM list and of the drains to the router."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         return self._addresses[target]
 
     def apply_configuration(self, directory: Directory) -> None:
-        """Take drains and services of a new generation."""
+        """Apply the drains and services of a new configuration generation."""
         self._directory = directory
         now = time.monotonic()
         for model in directory.models.values():
@@ -70,7 +70,7 @@
         self._update()
 
     def choose_version(self, model: Model) -> str:
-        """Return the weight version that a new request for ``model`` is made for."""
+        """Return the weight version to request for a new call to ``model``."""
         versions = self._versions.get(model.name)
         if versions is None or self._directory is None:
             return model.version
@@ -82,7 +82,7 @@
         return versions.choose(now, reported, unreported, max_loads, self._random)
 
     def _list_reported_versions(self, services: Iterable[Service]) -> list[str]:
-        """Return the weight version of each target that takes work."""
+        """Return the weight version of each accepting target."""
         return [v for s in services for v in self.reports.list_versions(s.name)]
 
     def _update(self) -> None:
@@ -117,7 +117,7 @@
 
 
 def _list_services(directory: Directory, model: Model) -> list[Service]:
-    """Return the services whose targets offer a model."""
+    """Return the services that offer a model."""
     return [s for s in directory.services.values() if model.name in s.models]
 
 
--- a/libraries/gateway/src/bamboopier_gateway/forwarder.py
+++ b/libraries/gateway/src/bamboopier_gateway/forwarder.py
@@ -1,4 +1,4 @@
-"""Carries a call through its attempts as the router decides."""
+"""Executes a call's attempts as the router decides."""
 
 from __future__ import annotations
 
@@ -38,22 +38,22 @@
     from .metrics import GatewayMetrics
     from .shared_quarantine import SharedQuarantine
 
-# For an agent that still runs; one that is gone or frozen must not hold the caller.
+# For an agent that still runs; one that is gone or suspended must not delay the caller.
 RECALL_TIMEOUT_SECONDS = 2.0
-# Causes that another target cannot help: all claim in the same platform.
+# Causes that no other target can avoid: all agents claim keys at the same platform.
 _CLAIM_MESSAGES: dict[int, str] = {
-    pb.PLATFORM_DOWN: "the platform does not answer, so the key cannot be claimed",
-    pb.KEY_TABLE_FULL: "no more idempotency keys can be kept at present",
+    pb.PLATFORM_DOWN: "the platform does not respond, so the key cannot be claimed",
+    pb.KEY_TABLE_FULL: "the table of idempotency keys is full",
 }
 
-# The target, or its whole VM, went down while it had the request.
+# The target, or its VM, crashed while it had the request.
 _CRASH_CAUSES = frozenset({pb.TARGET_CRASHED, pb.CONNECTION_LOST})
 
 log = structlog.get_logger()
 
 
 class Forwarder:
-    """Runs attempts until the caller has its final answer."""
+    """Runs attempts until the caller has its final response."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         self._quarantine = quarantine
 
     async def forward(self, call: Call, delivery: Delivery) -> web.StreamResponse:
-        """Answer the caller; raises ``CallerError`` when no answer was begun."""
+        """Respond to the caller; raises ``CallerError`` if no response was started."""
         wait = self._quarantine.find_wait(call)
         if wait > 0:
             raise _make_quarantine_error(call, wait)
@@ -98,7 +98,7 @@
         if delivery.response.prepared and result.ran is not ExecutionStatus.EXECUTED:
             error = CallerError(
                 ErrorCode.OUTCOME_UNKNOWN,
-                "the answer broke off",
+                "the response was truncated",
                 ExecutionStatus.UNKNOWN,
             )
             return await delivery.fail(error)
@@ -109,7 +109,7 @@
     ) -> AttemptResult:
         remaining = call.deadline - time.monotonic()
         address = self._fleet.find_address(send.target)
-        # What may be repeated needs no proof of the connection, nor pays for one.
+        # A request that may be repeated needs no probe of the connection.
         agents = self._agents
         connect = agents.connect if call.idempotent else agents.connect_and_probe
         stub = await connect(address, remaining)
@@ -185,7 +185,7 @@
     async def _recall(
         self, call: Call, result: AttemptResult, delivery: Delivery
     ) -> web.StreamResponse:
-        """Answer a repeated idempotency key without running it again."""
+        """Answer a repeated idempotency key without running the request again."""
         if result.cause == pb.KEY_REUSED:
             message = "this idempotency key was used for another request"
             raise CallerError(ErrorCode.KEY_REUSED, message)
@@ -212,7 +212,7 @@
                 ErrorCode.CLAIM_UNAVAILABLE, message, ExecutionStatus.NOT_EXECUTED, 1.0
             )
         if reply.state == pb.RecallReply.RUNNING:
-            message = "a request with this idempotency key is under way"
+            message = "a request with this idempotency key is in progress"
             raise CallerError(
                 ErrorCode.KEY_IN_PROGRESS, message, ExecutionStatus.UNKNOWN, 1.0
             )
@@ -252,7 +252,7 @@
 
 
 def _log_failure(call: Call, send: Send, result: AttemptResult) -> None:
-    """Log an attempt that gave no answer: a dead agent logs nothing itself."""
+    """Log an attempt without a response: a crashed agent logs nothing itself."""
     log.info(
         "attempt failed",
         request_id=call.request_id,
@@ -268,7 +268,7 @@
 
 
 def _get_weight_version(call: Call) -> str:
-    """Return the weight version a call was made for; empty for plain services."""
+    """Return the weight version of a call; empty for plain services."""
     return call.model.weight_version if call.model is not None else ""
 
 
@@ -290,7 +290,7 @@
         ran=ExecutionStatus.NOT_EXECUTED.value,
         retry_after=round(wait, 3),
     )
-    message = "this request broke the targets that ran it"
+    message = "this request crashed the targets that ran it"
     return CallerError(
         ErrorCode.QUARANTINED, message, ExecutionStatus.NOT_EXECUTED, wait
     )
@@ -320,7 +320,7 @@
 
 
 def make_target_load(report: pb.LoadReport) -> TargetLoad:
-    """Return a report as the router takes it."""
+    """Convert a load report to the router's ``TargetLoad``."""
     return TargetLoad(
         running=report.running,
         waiting=report.waiting,
--- a/libraries/gateway/src/bamboopier_gateway/headers.py
+++ b/libraries/gateway/src/bamboopier_gateway/headers.py
@@ -1,4 +1,4 @@
-"""Which of a caller's headers go on to a target."""
+"""Selects which of a caller's headers are forwarded to a target."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# The caller's own credentials stay here; the target is reached as bamboopier.
+# The caller's own credentials are not forwarded; the target authenticates bamboopier.
 PRIVATE_HEADERS = frozenset({"authorization", "cookie", "idempotency-key"})
-# With these a target would run another method than the one whose route was looked up.
+# These would make a target run another method or route than the one checked here.
 OVERRIDE_HEADERS = frozenset(
     {"x-http-method-override", "x-http-method", "x-method-override"}
     | {"x-original-url", "x-rewrite-url"}
@@ -23,7 +23,7 @@
 def list_request_headers(
     headers: Iterable[tuple[str, str]],
 ) -> tuple[tuple[str, str], ...]:
-    """Return what a target gets of a caller's headers; raises ``CallerError``."""
+    """Return the headers to forward to a target; raises ``CallerError``."""
     forwarded = drop_hop_headers(headers)
     for name, value in forwarded:
         if name.lower() in OVERRIDE_HEADERS:
--- a/libraries/gateway/src/bamboopier_gateway/listener.py
+++ b/libraries/gateway/src/bamboopier_gateway/listener.py
@@ -1,4 +1,4 @@
-"""The callers' side of the gateway: listens, and limits connections."""
+"""Listens for callers and limits their number of connections."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
     from .metrics import GatewayMetrics
 
-# Longest request line and longest header, in bytes, and the number of headers.
+# Longest request line and longest header.
 MAX_FIELD_BYTES = 8190
 MAX_HEADERS = 100
-# How long the rest of a refused body is read and dropped before the connection closes.
+# For this time the rest of a refused body is read and discarded before the close.
 LINGERING_SECONDS = 2.0
 BACKLOG = 1024
 
 
 class CallerListener:
-    """Listens while its context is open; above ``max_connections`` refuses at once."""
+    """Listens while its context is open; refuses above ``max_connections``."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         await self._runner.cleanup()
 
     def add(self) -> bool:
-        """Note a connection that opened; False when there are too many."""
+        """Count an opened connection; return False when there are too many."""
         if self._open_count >= self._settings.max_connections:
             self._metrics.refused_connections.inc()
             return False
@@ -84,7 +84,7 @@
         return True
 
     def remove(self) -> None:
-        """Note a connection that is gone."""
+        """Count a closed connection."""
         self._open_count -= 1
         self._metrics.connections.set(self._open_count)
 
@@ -106,7 +106,7 @@
             max_field_size=MAX_FIELD_BYTES,
             max_headers=MAX_HEADERS,
             lingering_time=LINGERING_SECONDS,
-            # A compressed body is passed on as it is: its size is what was sent, and
-            # a small one cannot unfold into gigabytes here.
+            # A compressed body is forwarded as received: its size is that on the wire,
+            # and a small one cannot expand to gigabytes here.
             auto_decompress=False,
         )
--- a/libraries/gateway/src/bamboopier_gateway/metrics.py
+++ b/libraries/gateway/src/bamboopier_gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of one gateway, for the measures of the brief."""
+"""Defines the metrics of one gateway."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
         self.registry = CollectorRegistry()
         self.responses = Counter(
             "bamboopier_answers",
-            "Final answers to callers by service and code",
+            "Final responses to callers by service and code",
             ["service", "code"],
             registry=self.registry,
         )
         self.first_byte = Histogram(
             "bamboopier_first_byte_seconds",
-            "Seconds from sending an attempt to the head of its answer",
+            "Seconds from sending an attempt to the head of its response",
             ["service"],
             buckets=FIRST_BYTE_BUCKETS,
             registry=self.registry,
@@ -34,7 +34,7 @@
         )
         self.open_requests = Gauge(
             "bamboopier_open_requests",
-            "Requests without a final answer now",
+            "Requests without a final response now",
             registry=self.registry,
         )
         self.held_body_bytes = Gauge(
--- a/libraries/gateway/src/bamboopier_gateway/model_list.py
+++ b/libraries/gateway/src/bamboopier_gateway/model_list.py
@@ -1,4 +1,4 @@
-"""The models that a workspace may use, in the form of OpenAI's API."""
+"""Lists the models that a workspace may use, in the format of OpenAI's API."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ModelList(msgspec.Struct):
-    """The answer of ``/v1/models``."""
+    """The response of ``/v1/models``."""
 
     data: list[ModelEntry]
     object: str = "list"
--- a/libraries/gateway/src/bamboopier_gateway/paths.py
+++ b/libraries/gateway/src/bamboopier_gateway/paths.py
@@ -1,4 +1,4 @@
-"""The path of a plain call in one form only, so that no spelling dodges a route."""
+"""Normalises the path of a plain call, so that no spelling bypasses a route."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     from bamboopier_configuration.model import Route, Service
 
 _INCOMPLETE_ESCAPE = re.compile(r"%(?![0-9A-Fa-f]{2})")
-# Once decoded these divide or end a path, or decode once more at a careless target.
+# Decoded, these separate or end a path, or a target may decode them a second time.
 _FORBIDDEN_CHARACTERS = re.compile(r"[\x00-\x1f\x7f/\\?#]|%[0-9A-Fa-f]{2}")
 
 
@@ -20,8 +20,8 @@
     """Return a raw path decoded for comparison; raises ``CallerError``.
 
     A target may resolve ``/boxes/../vans``, ``/boxes/%2e%2e/vans`` or ``//vans`` to
-    another route than a text comparison here. Such a call could pass as idempotent and
-    be repeated, so every path with more than one reading is refused.
+    another route than a text comparison here finds. Such a call could pass as
+    idempotent and be repeated, so every ambiguous path is refused.
     """
     if not raw_path.startswith("/") or not raw_path.isascii():
         raise _make_bad_path_error(
@@ -33,14 +33,14 @@
     decoded = [_decode(segment) for segment in segments]
     if "" in decoded[:-1]:
         raise _make_bad_path_error("has an empty segment")
-    # Some servers cut a segment at ';' before they resolve dots.
+    # Some servers truncate a segment at ';' before they resolve dots.
     if {".", ".."} & {segment.partition(";")[0] for segment in decoded}:
         raise _make_bad_path_error("has a '.' or '..' segment")
     return "/" + "/".join(decoded)
 
 
 def check_query(raw_query: str) -> str:
-    """Return a raw query as it is; raises ``CallerError`` when it is not ASCII."""
+    """Return a raw query unchanged; raises ``CallerError`` when it is not ASCII."""
     if not raw_query.isascii():
         raise _make_bad_path_error("has a query that is not ASCII with percent escapes")
     return raw_query
@@ -49,9 +49,9 @@
 def find_route(service: Service, method: str, path: str) -> Route | None:
     """Return the first declared route at or above a checked path.
 
-    A route that may not be repeated matches in any letter case: a target that ignores
-    case would run ``/VANS`` as ``/vans``. One that may be repeated matches exactly, for
-    the mistake of not repeating costs a retry and the other one a second van.
+    A non-idempotent route matches in any letter case: a target that ignores case would
+    run ``/VANS`` as ``/vans``. An idempotent route matches exactly: a missed match only
+    costs a retry, whereas a false one would run a non-idempotent call twice.
     """
     route: Route
     for route in service.routes:
@@ -65,7 +65,7 @@
 
 
 def is_idempotent(service: Service, method: str, path: str, *, default: bool) -> bool:
-    """Return what the operator declared for the first route that matches."""
+    """Return what the operator declared for the first matching route."""
     route = find_route(service, method, path)
     return default if route is None else route.idempotent
 
@@ -81,9 +81,7 @@
     except UnicodeDecodeError:
         raise _make_bad_path_error("is not UTF-8") from None
     if _FORBIDDEN_CHARACTERS.search(decoded):
-        raise _make_bad_path_error(
-            "has an escape of a divider, of '%' or of a control character"
-        )
+        raise _make_bad_path_error("has an escaped separator, '%' or control character")
     return decoded
 
 
--- a/libraries/gateway/src/bamboopier_gateway/prompt.py
+++ b/libraries/gateway/src/bamboopier_gateway/prompt.py
@@ -1,4 +1,4 @@
-"""Reads a completion or chat request far enough to route it."""
+"""Parses the parts of a completion or chat request that routing needs."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 DEFAULT_MAX_TOKENS = 256
 MAX_TOKENS = 131_072
-# Of objects and lists in each other; tools have the deepest schemas, some 20 levels.
+# Levels of nested objects and lists; schemas of tools have some 20, the most.
 MAX_JSON_DEPTH = 64
 CHAT_PATH = "/v1/chat/completions"
 
@@ -31,7 +31,7 @@
 
 
 class _TextPart(msgspec.Struct):
-    """A piece of a message's content; pieces of other kinds are refused."""
+    """A text part of a message's content; parts of other types are refused."""
 
     type: Literal["text"]
     text: str
@@ -39,24 +39,24 @@
 
 class _Message(msgspec.Struct):
     role: str
-    # Null where the message only calls tools.
+    # Null for a message that only calls tools.
     content: str | list[_TextPart] | None = None
 
 
 class _ModelBody(msgspec.Struct):
-    """The fields that routing needs; all others pass through untouched."""
+    """The fields that routing needs; all others are forwarded unchanged."""
 
     model: str
     messages: list[_Message] | None = None
     prompt: str | list[Any] | None = None
     max_tokens: TokenCount | None = None
-    # The newer name of the same limit.
+    # The newer name of ``max_tokens``.
     max_completion_tokens: TokenCount | None = None
     stream: bool | None = None
 
 
 class Tokenizer(Protocol):
-    """Splits text as the model does, or near enough to find equal prefixes."""
+    """Splits text like the model, or closely enough to find equal prefixes."""
 
     def split(self, text: str) -> Sequence[str]:
         """Return the tokens of ``text``."""
@@ -64,10 +64,10 @@
 
 
 class WordTokenizer:
-    """Takes white-space separated words as tokens.
+    """Uses words separated by white space as tokens.
 
     Equal prefixes give equal blocks whatever the model's own tokens are; only counts
-    are approximate, and the engine's own counts correct the accounting.
+    are approximate, and the engine's own counts correct them in the accounting.
     """
 
     def split(self, text: str) -> Sequence[str]:
@@ -76,7 +76,7 @@
 
 
 class PromptReader:
-    """Turns request bodies into model calls."""
+    """Converts request bodies to model calls."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
     def read(
         self, path: str, body: bytes, workspace: str, directory: Directory
     ) -> ModelCall:
-        """Return the model call; raises ``CallerError`` for a body that is none."""
+        """Return the model call; raises ``CallerError`` for an invalid body."""
         parsed = _parse(body)
         text = _extract_text(path, parsed)
         model = directory.models.get(parsed.model)
@@ -116,17 +116,18 @@
 
 
 def _parse(body: bytes) -> _ModelBody:
-    """Return the fields that routing needs of a body that is JSON in every part.
+    """Return the fields that routing needs, after checking that all of it is JSON.
 
-    Decoding into the class alone skips unknown fields without looking at their bytes.
-    The agent, which reads the whole body, would stumble over them: that ends "unknown"
-    and counts as the target's failure, and the retries would carry it to the next one.
+    Decoding into the class alone skips the bytes of unknown fields without validating
+    them. The agent, which decodes the complete body, would fail on them: the call would
+    end as "unknown" and count as a failure of the target, and retries would send it to
+    further targets.
     """
     try:
         decoded = msgspec.json.decode(body)
         parsed = msgspec.convert(decoded, _ModelBody)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        message = f"the body is no request for a model: {error}"
+        message = f"the body is not a valid model request: {error}"
         raise CallerError(ErrorCode.BAD_REQUEST, message) from error
     if not _is_depth_allowed(decoded):
         message = f"the body is nested deeper than {MAX_JSON_DEPTH} levels"
@@ -135,7 +136,7 @@
 
 
 def _is_depth_allowed(value: Any) -> bool:
-    """Say whether a decoded body stays far from any reader's recursion limit."""
+    """Return whether a decoded body is far below any parser's recursion limit."""
     level = [value]
     for _ in range(MAX_JSON_DEPTH):
         next_level: list[Any] = []
@@ -155,7 +156,7 @@
 
 
 def _extract_text(path: str, body: _ModelBody) -> str:
-    """Return the text whose leading blocks are looked for; never empty."""
+    """Return the text whose leading blocks are looked up; never empty."""
     if path == CHAT_PATH:
         if not body.messages:
             raise CallerError(ErrorCode.BAD_REQUEST, "'messages' is missing or empty")
@@ -165,7 +166,7 @@
         prompt = prompt[0]
     if not isinstance(prompt, str) or not prompt:
         message = (
-            "'prompt' must be one text, or a list of one; token lists are not read"
+            "'prompt' must be one string or a list of one; token lists are unsupported"
         )
         raise CallerError(ErrorCode.BAD_REQUEST, message)
     return prompt
--- a/libraries/gateway/src/bamboopier_gateway/reader.py
+++ b/libraries/gateway/src/bamboopier_gateway/reader.py
@@ -1,4 +1,4 @@
-"""Reads a caller's HTTP request into a ``Call``."""
+"""Parses a caller's HTTP request into a ``Call``."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 PRIORITY_HEADER = "X-Priority"
 MAX_IDEMPOTENCY_KEY_LENGTH = 255
 MAX_TIMEOUT_SECONDS = 3600.0
-# Others, such as CONNECT and TRACE, mean something to the connection itself.
+# Others, such as CONNECT and TRACE, concern the connection itself.
 PLAIN_METHODS = frozenset({"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"})
 PRIORITIES = range(-10, 11)
 
 
 class CallReader:
-    """Authenticates, checks and parses requests against the configuration in force."""
+    """Authenticates, checks and parses requests against the active configuration."""
 
     def __init__(self, prompts: PromptReader, body_timeout: float) -> None:
         self._prompts = prompts
@@ -44,8 +44,8 @@
         """Read a completion or chat request."""
         workspace = authenticate(request, directory)
         _check_encoding(request)
-        # The service is known only by the model in the body, so the largest limit of
-        # the workspace's services holds until then.
+        # Only the model in the body determines the service, so the largest limit of the
+        # workspace's services applies until the body has been read.
         limit = _find_max_body_bytes(directory, workspace)
         body = await read_body(request, limit, self._body_timeout)
         model = self._prompts.read(request.path, body, workspace.name, directory)
@@ -61,8 +61,8 @@
             body=body,
             deadline=_parse_deadline(request, service),
             priority=_parse_priority(request),
-            # Generating text again changes nothing outside, unless the operator
-            # declared the route otherwise.
+            # Generating text again has no side effects, unless the operator declared
+            # the route otherwise.
             idempotent=is_idempotent(service, "POST", request.path, default=True),
             idempotency_key=_parse_idempotency_key(request),
             model=model,
@@ -83,7 +83,7 @@
             )
         if request.method not in PLAIN_METHODS:
             allowed = ", ".join(sorted(PLAIN_METHODS))
-            message = f"{quote(request.method)} is not passed on; allowed: {allowed}"
+            message = f"{quote(request.method)} is not forwarded; allowed: {allowed}"
             raise CallerError(ErrorCode.METHOD_NOT_ALLOWED, message)
         path = check_path(raw_path)
         headers = list_request_headers(request.headers.items())
@@ -109,13 +109,13 @@
     scheme, _, key = request.headers.get("Authorization", "").partition(" ")
     workspace = directory.find_workspace(key) if scheme.lower() == "bearer" else None
     if workspace is None:
-        message = "send a known API key as 'Authorization: Bearer KEY'"
+        message = "send a valid API key as 'Authorization: Bearer KEY'"
         raise CallerError(ErrorCode.UNAUTHENTICATED, message)
     return workspace
 
 
 def _split_plain_path(request: web.Request) -> tuple[str, str]:
-    """Return the service's name and the raw rest of ``/services/NAME/PATH``."""
+    """Return the service's name and the raw path of ``/services/NAME/PATH``."""
     _, _, name, *rest = request.rel_url.raw_path.split("/")
     return name, "/" + "/".join(rest)
 
@@ -140,7 +140,9 @@
         service = directory.services.get(name)
         if service is not None and model in service.models:
             return service
-    raise CallerError(ErrorCode.FORBIDDEN, f"no service of yours offers '{model}'")
+    raise CallerError(
+        ErrorCode.FORBIDDEN, f"no service of this workspace offers '{model}'"
+    )
 
 
 def _check_size(body: bytes, service: Service) -> None:
--- a/libraries/gateway/src/bamboopier_gateway/shared_quarantine.py
+++ b/libraries/gateway/src/bamboopier_gateway/shared_quarantine.py
@@ -1,4 +1,4 @@
-"""Shares through one platform object which requests are refused everywhere."""
+"""Shares the quarantine of requests among all gateways through a platform object."""
 
 from __future__ import annotations
 
@@ -23,27 +23,27 @@
     from .call import Call
 
 OBJECT_KEY = "quarantine/requests"
-# One waiting call for each gateway in this time: 340 gateways make 11 calls a second.
+# Duration of one long poll: 340 gateways send 11 calls a second.
 WATCH_SECONDS = 30.0
 RETRY_DELAY_SECONDS = (0.5, 3.0)
 PUBLISH_INTERVAL_SECONDS = 1.0
-# Other gateways write at the same time after one crash; the next round tries again.
+# After a crash other gateways write at the same time; the next round tries again.
 MAX_TRIES = 4
-# 32 bytes each, so the object stays far below a megabyte; the oldest go first.
+# 32 bytes each, so the object stays far below a megabyte; the oldest are removed first.
 MAX_ENTRIES = 2000
 
 log = structlog.get_logger()
 
 
 class _StoredEntry(msgspec.Struct, array_like=True):
-    """A refused request; ``until`` is in wall-clock seconds, the same everywhere."""
+    """A refused request; ``until`` in wall-clock seconds, for all gateways alike."""
 
     fingerprint: bytes
     until: float
 
 
 class SharedQuarantine:
-    """One gateway's quarantine, kept in step with the other gateways'."""
+    """One gateway's quarantine, synchronised with the other gateways'."""
 
     def __init__(self, objects: ObjectStore, random: random.Random) -> None:
         self._objects = objects
@@ -52,15 +52,15 @@
         self._shared_entries: list[QuarantineEntry] = []
 
     def find_wait(self, call: Call) -> float:
-        """Return for how many seconds the call is refused; 0 when it is not."""
+        """Return for how many seconds the call is refused; 0 if it is not."""
         return self._quarantine.find_wait(time.time(), make_fingerprint(call))
 
     def record_crash(self, call: Call, target: str) -> None:
-        """Take in that ``target`` broke while it had the call."""
+        """Record that ``target`` crashed while it had the call."""
         self._quarantine.record_crash(time.time(), make_fingerprint(call), target)
 
     async def publish(self) -> None:
-        """Tell the others of what was found here, until cancelled."""
+        """Publish the entries that this gateway adds, until cancelled."""
         while True:
             await asyncio.sleep(PUBLISH_INTERVAL_SECONDS)
             unpublished = self._quarantine.list_unpublished(time.time())
@@ -69,7 +69,7 @@
                 log.warning("requests quarantined", count=len(unpublished))
 
     async def follow(self) -> None:
-        """Learn what the others have found, until cancelled."""
+        """Apply the entries of other gateways, until cancelled."""
         revision = 0
         while True:
             await self._refresh()
@@ -106,7 +106,7 @@
         return False
 
     async def _refresh(self) -> int | None:
-        """Learn the object's content; None when it could not be read."""
+        """Apply the object's content; return its version, None on failure."""
         result = await self._objects.read(OBJECT_KEY)
         if isinstance(result, Err):
             return None
@@ -123,14 +123,15 @@
             QuarantineEntry(e.fingerprint, e.until) for e in entries
         ]
         self._quarantine.set_shared_entries(self._shared_entries)
-        log.info("quarantine learned", count=len(entries), version=stored.version)
+        log.info("quarantine updated", count=len(entries), version=stored.version)
         return stored.version
 
 
 def make_fingerprint(call: Call) -> bytes:
-    """Return the digest by which a request that is sent again is recognised.
+    """Return the digest that identifies repeats of a request.
 
-    The workspace is part of it: nobody can have another's requests refused.
+    It includes the workspace, so that no workspace can cause the refusal of another's
+    requests.
     """
     hashed = hashlib.blake2b(digest_size=16)
     for part in (call.workspace.encode(), call.service.encode(), call.fingerprint):
--- a/libraries/gateway/src/bamboopier_gateway/status.py
+++ b/libraries/gateway/src/bamboopier_gateway/status.py
@@ -1,4 +1,4 @@
-"""What a gateway tells operators' commands of itself."""
+"""The status that a gateway reports to operators' commands."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class GatewayStatus(msgspec.Struct, frozen=True):
-    """The answer of ``/v1/status``; it names no workspace and no target."""
+    """The response of ``/v1/status``; it names no workspace and no target."""
 
     generation: int
     ready: bool
--- a/libraries/gateway/src/bamboopier_gateway/target_poll.py
+++ b/libraries/gateway/src/bamboopier_gateway/target_poll.py
@@ -1,4 +1,4 @@
-"""Asks targets that get no work whether they would take some again."""
+"""Polls targets that receive no requests for their load reports."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
     from .agent_connections import AgentConnections
     from .fleet import Fleet
 
-# Reports come with answers; a target that closed or serves another version gets no
-# requests, so without asking it would never be used again. 340 gateways that ask
-# four targets a second each make two calls a second to each of 730 agents, and 34 to
-# each of the 41 of a model that is being rolled out: some 5 KB a second.
+# Reports arrive with responses; a target that is closed or serves another version gets
+# no requests, so without polling it would never be used again. 340 gateways that poll
+# four targets a second each send two calls a second to each of 730 agents, and 34 to
+# each of the 41 agents of a model during a rollout: some 5 KB a second.
 POLLS_PER_SECOND = 4.0
 REPORT_TIMEOUT_SECONDS = 2.0
-# Added after a target that could not be reached. A failed connection costs some 6 ms:
-# four a second, as when a data centre is lost, would be 2.8% of a core, measured by
-# `make capacity`, and a node may spend 2.2% on all control.
+# Added after a target that could not be reached. A failed connection costs some 6 ms of
+# processor time: four a second, as when a data centre fails, would use 2.8% of a core,
+# and a node may use 2.2% for all control traffic.
 UNREACHABLE_DELAY_SECONDS = 0.5
 
 
 class TargetPoll:
-    """Polls one waiting target after another."""
+    """Polls one target without requests after another."""
 
     def __init__(
         self,
--- a/libraries/gateway/src/bamboopier_gateway/target_reports.py
+++ b/libraries/gateway/src/bamboopier_gateway/target_reports.py
@@ -1,4 +1,4 @@
-"""The last report of each target that this gateway may use."""
+"""Stores the last report of each target that this gateway may use."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class TargetReports:
-    """Knows which targets serve which version and which have to be asked again."""
+    """Tracks which targets serve which weight version and which to poll next."""
 
     def __init__(self) -> None:
-        # By target, in the order in which they were last asked.
+        # By target, in the order in which they were last polled.
         self._reports: dict[str, pb.LoadReport | None] = {}
         self._by_service: dict[str, list[str]] = {}
         self._configured_versions: dict[str, frozenset[str]] = {}
-        # Targets that have reported at least once, whatever came of them since.
+        # Targets that have reported at least once, whatever their state since.
         self._reported: set[str] = set()
         self._poll_closed = False
 
@@ -28,7 +28,7 @@
         views: Iterable[TargetView],
         configured_versions: Mapping[str, frozenset[str]],
     ) -> None:
-        """Take the usable targets and the configured versions by service."""
+        """Set the usable targets and the configured versions by service."""
         self._by_service = {}
         self._configured_versions = {}
         for view in views:
@@ -36,7 +36,7 @@
             self._configured_versions[view.target] = configured_versions.get(
                 view.service, frozenset()
             )
-        # The order stays, or those asked last would be asked first after each change.
+        # The order is retained; otherwise the last polled would be polled first again.
         retained = {
             t: r for t, r in self._reports.items() if t in self._configured_versions
         }
@@ -46,7 +46,7 @@
         self._reported &= self._configured_versions.keys()
 
     def record(self, target: str, report: pb.LoadReport | None) -> None:
-        """Take a report; None when the target could not be reached."""
+        """Record a report; None when the target could not be reached."""
         if target not in self._reports:
             return
         self._reports[target] = report
@@ -54,21 +54,21 @@
             self._reported.add(target)
 
     def list_versions(self, service: str) -> list[str]:
-        """Return the weight version of each target of a service that takes work."""
+        """Return the weight version of each accepting target of a service."""
         reports = (self._reports[t] for t in self._by_service.get(service, ()))
         return [r.weight_version for r in reports if r is not None and r.accepting]
 
     def count_unreported(self, service: str) -> int:
-        """Return how many targets of a service have never reported here."""
+        """Return how many targets of a service have never reported to this gateway."""
         targets = self._by_service.get(service, ())
         return sum(target not in self._reported for target in targets)
 
     def find_poll_target(self) -> str | None:
-        """Return the target to ask next, of those that get no requests by themselves.
+        """Return the target to poll next, of those that receive no requests.
 
-        Targets that are closed or unknown take turns with those that serve another
-        version than the configured one: neither many of the one kind nor many of the
-        other keep the gateway from noticing a target that opens again.
+        Targets that are closed or unreported alternate with those that serve another
+        version than the configured one, so that many targets of one group do not delay
+        the detection of a target of the other group that accepts requests again.
         """
         self._poll_closed = not self._poll_closed
         closed = [t for t, report in self._reports.items() if _is_closed(report)]
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -66,7 +66,7 @@
         limit = time.monotonic() + HANG_SECONDS
         while time.monotonic() < limit:
             events = [line["event"] for line in daemon.read_log()]
-            if "quarantine learned" in events:
+            if "quarantine updated" in events:
                 return
             time.sleep(0.05)
         self.fail("the other gateway was not told")
--- a/tools/safeguards/at_most_once.py
+++ b/tools/safeguards/at_most_once.py
@@ -137,7 +137,7 @@
         "the end of an answer proves its length",
         "libraries/gateway/src/bamboopier_gateway/attempt.py",
         "        if finished.body_bytes != self._body_bytes:\n"
-        '            self._mark_broken("the answer is not whole")\n'
+        '            self._mark_broken("the response is incomplete")\n'
         "            return True\n",
         "",
         "libraries/gateway",
