--- a/libraries/gateway/src/bamboopier_gateway/prompt.py
+++ b/libraries/gateway/src/bamboopier_gateway/prompt.py
@@ -166,7 +166,7 @@
         prompt = prompt[0]
     if not isinstance(prompt, str) or not prompt:
         message = (
-            "'prompt' must be one string or a list of one; token lists are unsupported"
+            "'prompt' must be a string or a list of one; token lists are unsupported"
         )
         raise CallerError(ErrorCode.BAD_REQUEST, message)
     return prompt
--- a/libraries/gateway/tests/builders.py
+++ b/libraries/gateway/tests/builders.py
@@ -1,4 +1,4 @@
-"""Calls, and fakes for an agent's stream and for the caller's side."""
+"""Builders of calls, and fakes of an agent's stream and of a delivery."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def make_call(**changes: Any) -> Call:
-    """Return a dispatch, which may not be repeated."""
+    """Return a non-idempotent call."""
     call = Call(
         request_id="request-1",
         workspace="fosse",
@@ -37,12 +37,12 @@
 
 
 def make_event(sequence: int, attempt: str = ATTEMPT, **kind: Any) -> pb.ServeEvent:
-    """Return one event of an answer."""
+    """Return one event of a response."""
     return pb.ServeEvent(attempt_id=attempt, sequence=sequence, **kind)
 
 
 def make_response(body: bytes = BODY, attempt: str = ATTEMPT) -> list[pb.ServeEvent]:
-    """Return a whole answer in four events."""
+    """Return a complete response in four events."""
     half = len(body) // 2
     finished = pb.Finished(body_bytes=len(body))
     return [
@@ -54,7 +54,7 @@
 
 
 class FakeStream:
-    """A stream of prepared events, then an error, an end or silence."""
+    """A stream of given events that then raises an error, ends or stays silent."""
 
     def __init__(self, events: Iterable[pb.ServeEvent], end: Exception | None) -> None:
         self._events = list(events)
@@ -76,7 +76,7 @@
 
 @dataclass
 class FakeStub:
-    """Answers every ``Serve`` with what ``make_stream`` returns."""
+    """Answers every ``Serve`` with the stream that ``make_stream`` returns."""
 
     make_stream: Callable[[pb.ServeRequest], FakeStream]
     requests: list[pb.ServeRequest] = field(default_factory=list)
--- a/libraries/gateway/tests/relayed_agents.py
+++ b/libraries/gateway/tests/relayed_agents.py
@@ -1,4 +1,4 @@
-"""Agents on real gRPC behind relays that lose their connections."""
+"""Fake agents on real gRPC behind relays that can close or stall connections."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 
 
 class Relay:
-    """Passes connections to an agent until it is cut, and refuses them from then on."""
+    """Forwards connections to an agent until ``disconnect``, then refuses them."""
 
     def __init__(self, port: int) -> None:
         self._port = port
-        # Connections are taken, and lead nowhere, until this is set.
+        # Until this is set, connections are accepted but not forwarded.
         self.may_accept = asyncio.Event()
         self.may_accept.set()
         self._writers: list[asyncio.StreamWriter] = []
         self._server: asyncio.Server
-        # What came from the gateway, passed on or not.
+        # All bytes from the gateway, forwarded or not.
         self.received = b""
         self._is_forwarding = asyncio.Event()
         self._is_forwarding.set()
@@ -44,31 +44,31 @@
         self._disconnects_at_next_call = False
 
     async def start(self) -> str:
-        """Listen; return the address."""
+        """Start to listen; return the address."""
         self._server = await asyncio.start_server(self._serve, HOST, 0)
         return f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
 
     def disconnect(self) -> None:
-        """Refuse connections and drop those there are."""
+        """Refuse new connections and abort the open ones."""
         self._server.close()
         for writer in self._writers:
             writer.transport.abort()
 
     def disconnect_at_next_call(self) -> None:
-        """Cut, but let gRPC see it only once it has written its next call.
+        """Disconnect, but visibly for gRPC only after it has written its next call.
 
-        That is what a cut comes to that gRPC has not read yet: the call goes to a
-        connection that leads nowhere, and fails.
+        This reproduces a closed connection whose end gRPC has not read yet: the call is
+        written to a connection that reaches no agent, and fails.
         """
         self._server.close()
         self._disconnects_at_next_call = True
 
     def pause(self) -> None:
-        """Keep what comes from the gateway; connections stand."""
+        """Stop forwarding data from the gateway; connections stay open."""
         self._is_forwarding.clear()
 
     def resume(self) -> None:
-        """Pass on what was held, and what comes."""
+        """Forward the held data, and all later data."""
         self._is_forwarding.set()
 
     async def _serve(
@@ -108,7 +108,7 @@
 
 
 def _has_call(data: bytes) -> bool:
-    """Say whether one of these whole HTTP/2 frames opens a call."""
+    """Return whether one of these complete HTTP/2 frames starts a call."""
     while len(data) >= FRAME_HEADER_BYTES:
         if data[3] == HEADERS_FRAME_TYPE:
             return True
@@ -117,12 +117,12 @@
 
 
 def make_refusal_events(attempt: str) -> list[pb.ServeEvent]:
-    """Return the answer of an agent that runs nothing."""
+    """Return the response of an agent that runs nothing."""
     return [make_event(0, attempt, not_run=pb.NotRun())]
 
 
 class FakeAgent(AgentServicer):
-    """Notes what it is given, then does as it is told."""
+    """Records the attempts it receives, calls ``act`` and sends prepared events."""
 
     def __init__(
         self,
@@ -133,7 +133,7 @@
         self._make_events = make_events
         self.received: list[str] = []
         self.probe_count = 0
-        # Called at the first question.
+        # Called at the first probe.
         self.on_first_probe: Callable[[], None] | None = None
 
     async def Serve(  # noqa: N802 (the name is the protocol's)
@@ -155,7 +155,7 @@
 
 @asynccontextmanager
 async def start_relayed_agent(agent: FakeAgent) -> AsyncIterator[tuple[Relay, str]]:
-    """Start an agent behind a relay; give the relay and its address."""
+    """Start an agent behind a relay; yield the relay and its address."""
     server = grpc.aio.server()
     add_AgentServicer_to_server(agent, server)
     relay = Relay(server.add_insecure_port(f"{HOST}:0"))
@@ -169,7 +169,7 @@
 async def start_agent(
     agent: FakeAgent,
 ) -> AsyncIterator[tuple[Relay, grpc.aio.Channel]]:
-    """Start an agent behind a relay; give a channel whose connection stands."""
+    """Start an agent behind a relay; yield the relay and a connected channel."""
     async with (
         start_relayed_agent(agent) as (relay, address),
         grpc.aio.insecure_channel(address, options=CHANNEL_OPTIONS) as channel,
--- a/libraries/gateway/tests/test_agent_connections.py
+++ b/libraries/gateway/tests/test_agent_connections.py
@@ -1,4 +1,4 @@
-"""Connections to agents that come and go."""
+"""Tests of connections to agents that start, stop or do not respond."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from .relayed_agents import FakeAgent, start_relayed_agent
 
-# Only reached by a test that would hang.
+# Reached only by a test that would otherwise hang.
 HANG_SECONDS = 10.0
 
 
@@ -34,8 +34,8 @@
 
 class AgentConnectionsTests(unittest.IsolatedAsyncioTestCase):
     async def test_a_lost_agent_is_not_reconnected_to_in_the_background(self) -> None:
-        # A data centre is lost. A gateway that kept its channels open would go on
-        # connecting to each lost agent, five times a second, with nobody asking.
+        # Guards against reconnecting to each agent of a failed data centre five times a
+        # second without any request, as gRPC does while a channel stays open.
         attempts = 0
 
         async def count(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -54,9 +54,10 @@
         server.close()
 
     async def test_an_unresponsive_agent_is_sent_nothing(self) -> None:
-        # A frozen VM's kernel still takes connections, and nothing answers on them. A
-        # call handed to gRPC would wait there until its deadline and end "unknown";
-        # found without a connection in time, it is "not run" and goes elsewhere.
+        # The kernel of a suspended VM still accepts connections, but nothing responds
+        # on them. A call handed to gRPC would wait there until its deadline and end as
+        # "unknown"; without an established connection it is "not run" and is sent to
+        # another agent.
         accepted = asyncio.Event()
 
         async def accept_silently(
@@ -73,9 +74,9 @@
         server.close()
 
     async def test_a_channel_closed_during_a_probe(self) -> None:
-        # An agent that says nothing is asked for one order when the gateway closes its
-        # channel. That cancels the question. The order is "not run"; taken for a caller
-        # who left, it would get no answer at all.
+        # A silent agent is probed for one order when the gateway closes its channel,
+        # which cancels the probe. The order is "not run"; if the cancellation counted
+        # as a disconnected caller, the caller would get no response at all.
         agent = FakeAgent(block_forever)
         async with (
             asyncio.timeout(HANG_SECONDS),
@@ -95,9 +96,9 @@
     async def test_an_agent_started_after_the_last_failure_is_connected(
         self,
     ) -> None:
-        # A gateway asks an agent that is not up yet; the agent starts; a request comes.
-        # While gRPC waits out its backoff the channel still shows the old failure, and
-        # the caller was told "overloaded" with its only target idle.
+        # A gateway connects to an agent that has not started yet; the agent starts, and
+        # a request arrives. During gRPC's back-off the channel still shows the old
+        # failure. Guards against "overloaded" while the only target is idle.
         server, port = await start_agent("127.0.0.1:0")
         await server.stop(None)
         address = f"127.0.0.1:{port}"
--- a/libraries/gateway/tests/test_application.py
+++ b/libraries/gateway/tests/test_application.py
@@ -1,4 +1,4 @@
-"""What callers receive when the gateway itself is at fault."""
+"""Tests of the responses to callers after errors in the gateway itself."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class FailingForwarder:
-    """Fails as a programming error would, before or after the answer began."""
+    """Fails with a programming error before or after the response has started."""
 
     def __init__(self, *, fails_after_start: bool) -> None:
         self.fails_after_start = fails_after_start
@@ -69,9 +69,9 @@
     async def test_a_gateway_without_a_configuration_refuses_with_retry_after(
         self,
     ) -> None:
-        # The platform hangs while a gateway starts, and a caller with a good key comes.
-        # It knows no key at all, so "unauthenticated" would be false and final; the
-        # caller is told that nothing ran and to come back.
+        # The platform does not respond while a gateway starts, and a caller with a
+        # valid key sends a request. The gateway has no keys, so "unauthenticated" would
+        # be false and final; the caller learns that nothing ran and retries.
         status, text = await self.send_request(read_call, generation=0)
         error = json.loads(text)["error"]
         self.assertEqual((status, error["ran"]), (503, "no"))
--- a/libraries/gateway/tests/test_attempt.py
+++ b/libraries/gateway/tests/test_attempt.py
@@ -1,9 +1,9 @@
-"""Whole answers from streams that are late, crossed, repeated, cut or reordered.
+"""Tests of attempts with late, misdirected, repeated, truncated or reordered events.
 
-An agent, or the network between, delivers events of another answer, an event twice,
-events in another order, or stops half way. The caller must receive its whole answer or
-notice that it is not whole; and "not run" may be said only when the agent said so
-before anything else, or when no connection had the request.
+An agent, or the network, delivers events of another response, an event twice, events
+in another order, or stops half way. The caller must receive a complete response or
+detect that it is incomplete; "not run" may be reported only when the agent reported it
+before anything else, or when no connection carried the request.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 RESPONSE = make_response()
 OTHER_RESPONSE = make_response(b"stock of aged Gouda", "attempt-2")
 NOT_RUN = pb.NotRun(cause=pb.QUEUE_FULL)
-# Only reached by a test that would hang.
+# Reached only by a test that would otherwise hang.
 HANG_SECONDS = 10.0
 CONNECTION_LOST_ERROR = grpc.aio.AioRpcError(
     grpc.StatusCode.UNAVAILABLE, grpc.aio.Metadata(), grpc.aio.Metadata(), "cut"
@@ -41,13 +41,13 @@
 NEVER_SENT_ERROR = grpc.aio.AioRpcError(
     grpc.StatusCode.UNAVAILABLE, grpc.aio.Metadata(), grpc.aio.Metadata(), NO_CONNECTION
 )
-# gRPC's status for an agent whose own code failed.
+# gRPC's status for an exception in the agent's own code.
 AGENT_ERROR = grpc.aio.AioRpcError(
     grpc.StatusCode.UNKNOWN, grpc.aio.Metadata(), grpc.aio.Metadata(), NO_CONNECTION
 )
-# Name, events, how the stream ends, what is known, whether the caller has it whole.
+# Name, events, end of the stream, expected status, whether the response is complete.
 STREAMS = (
-    ("whole", RESPONSE, None, ExecutionStatus.EXECUTED, True),
+    ("complete", RESPONSE, None, ExecutionStatus.EXECUTED, True),
     (
         "refused",
         [make_event(0, not_run=NOT_RUN)],
@@ -86,14 +86,14 @@
     ),
     ("never sent", [], NEVER_SENT_ERROR, ExecutionStatus.NOT_EXECUTED, False),
     (
-        "never sent, yet an answer began",
+        "never sent, but a response started",
         RESPONSE[:1],
         NEVER_SENT_ERROR,
         ExecutionStatus.UNKNOWN,
         False,
     ),
     (
-        "the agent failed with these words",
+        "the agent failed with the same message",
         [],
         AGENT_ERROR,
         ExecutionStatus.UNKNOWN,
@@ -101,43 +101,49 @@
     ),
     ("ended early", RESPONSE[:3], None, ExecutionStatus.UNKNOWN, False),
     (
-        "a piece lost",
+        "a chunk lost",
         [RESPONSE[0], RESPONSE[2], RESPONSE[3]],
         None,
         ExecutionStatus.UNKNOWN,
         False,
     ),
     (
-        "a piece twice",
+        "a chunk twice",
         [RESPONSE[0], RESPONSE[1], RESPONSE[1], RESPONSE[2], RESPONSE[3]],
         None,
         ExecutionStatus.UNKNOWN,
         False,
     ),
     (
-        "pieces swapped",
+        "chunks swapped",
         [RESPONSE[0], RESPONSE[2], RESPONSE[1], RESPONSE[3]],
         None,
         ExecutionStatus.UNKNOWN,
         False,
     ),
     (
-        "another's piece",
+        "chunk of another response",
         [RESPONSE[0], OTHER_RESPONSE[1], RESPONSE[2], RESPONSE[3]],
         None,
         ExecutionStatus.UNKNOWN,
         False,
     ),
-    ("another's answer", OTHER_RESPONSE, None, ExecutionStatus.UNKNOWN, False),
     (
-        "another's end",
+        "events of another response",
+        OTHER_RESPONSE,
+        None,
+        ExecutionStatus.UNKNOWN,
+        False,
+    ),
+    (
+        "end of another response",
         [*RESPONSE[:3], OTHER_RESPONSE[3]],
         None,
         ExecutionStatus.UNKNOWN,
         False,
     ),
     (
-        "another's refusal",
+        "refusal of another attempt",
         [make_event(0, "x", not_run=NOT_RUN)],
         None,
         ExecutionStatus.UNKNOWN,
@@ -167,7 +173,7 @@
     ),
     ("empty event", [make_event(0)], None, ExecutionStatus.UNKNOWN, False),
     (
-        "pieces short",
+        "a chunk missing before the end",
         [*RESPONSE[:2], make_event(2, finished=pb.Finished(body_bytes=len(BODY)))],
         None,
         ExecutionStatus.UNKNOWN,
@@ -196,8 +202,9 @@
                     self.assertEqual(delivery.body, BODY)
 
     async def test_the_last_bytes_are_sent_after_the_end_event(self) -> None:
-        # The target gave a length, all bytes of it arrive, and the agent is lost before
-        # it says that the answer is whole. A caller that counts must not have them all.
+        # The target sent a length, all bytes arrive, and the agent is lost before it
+        # confirms that the response is complete. A caller that counts bytes must not
+        # have received all of them.
         length = pb.Header(name="Content-Length", value=str(len(BODY)))
         head = make_event(0, head=pb.ResponseHead(status=200, headers=[length]))
         for end, complete in ((CONNECTION_LOST_ERROR, False), (None, True)):
@@ -211,8 +218,8 @@
     async def test_a_caller_that_disconnects_after_its_last_byte_is_served(
         self,
     ) -> None:
-        # The caller has the whole answer and closes; the server cancels the task that
-        # is in the final write. The result still says that the request ran.
+        # The caller has the complete response and closes; the server cancels the task
+        # during the final write. The result still states that the request ran.
         class DisconnectedDelivery(FakeDelivery):
             async def finish(self) -> None:
                 task = asyncio.current_task()
@@ -227,7 +234,7 @@
         self.assertIsNotNone(result.finished)
 
     async def test_a_silent_agent_delays_no_caller_past_the_deadline(self) -> None:
-        # A frozen agent keeps its connection open and says nothing.
+        # A suspended agent keeps its connection open and sends nothing.
         stream = FakeStream([], None)
         stream.silent = True
         call = make_call(deadline=time.monotonic() - 1)
--- a/libraries/gateway/tests/test_delivery.py
+++ b/libraries/gateway/tests/test_delivery.py
@@ -1,7 +1,7 @@
-"""What an ordinary HTTP client sees of answers that are whole, empty or broken off.
+"""Tests of what an HTTP client receives of complete, empty and truncated responses.
 
-The target's answer stops half way. A client that is given a normal end takes the part
-for the whole order confirmation; it must see an error instead, whatever the framing.
+The target's response stops half way. With a normal end, a client would treat the part
+as the complete order confirmation; it must get an error instead, whatever the framing.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-ERROR = CallerError(ErrorCode.OUTCOME_UNKNOWN, "broken off", ExecutionStatus.UNKNOWN)
-# Only reached where an answer neither ends nor breaks.
+ERROR = CallerError(ErrorCode.OUTCOME_UNKNOWN, "truncated", ExecutionStatus.UNKNOWN)
+# Reached only where a response neither ends nor is aborted.
 CLIENT_TIMEOUT = aiohttp.ClientTimeout(total=5)
 LENGTH = pb.Header(name="Content-Length", value="10")
 JSON = pb.Header(name="Content-Type", value="application/json")
@@ -34,7 +34,7 @@
 async def serve_response(
     head: pb.ResponseHead, chunks: list[bytes], complete: bool
 ) -> AsyncIterator[TestClient[web.Request, web.Application]]:
-    """Serve one answer through a ``Delivery``."""
+    """Serve one response through a ``Delivery``."""
 
     async def serve(request: web.Request) -> web.StreamResponse:
         delivery = Delivery(request, "request-1", write_timeout=10)
--- a/libraries/gateway/tests/test_fleet.py
+++ b/libraries/gateway/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""For which weight version a gateway makes a request, by what it has heard."""
+"""Tests of the weight version that a gateway requests, given targets' reports."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def build_directory(generation: int, version: str) -> Directory:
-    """Return a configuration with one model at a version."""
+    """Return a configuration with one model at ``version``."""
     service = Service("fault-desk", "model", models=["pillar-8b"])
     models = [Model("pillar-8b", version)]
     return Directory(generation, Configuration([service], models=models))
@@ -41,7 +41,7 @@
         self.publish(1, "v1")
 
     def start_gateway(self) -> None:
-        """Start a gateway that knows the targets' names and no configuration."""
+        """Start a gateway with the VM list and without a configuration."""
         address = Address("127.0.0.1", 1)
         settings = GatewaySettings(
             vm="gateway-1",
@@ -68,11 +68,11 @@
         return self.fleet.choose_version(self.directory.models["pillar-8b"])
 
     def test_targets_without_a_report_keep_the_old_version_in_use(self) -> None:
-        """A version is published before a gateway has asked its targets.
+        """A version is published before a gateway has polled its targets.
 
-        It has heard of one only, which closed to load. A request made for the new
-        version was then refused by each of the others in turn, and the caller got 503
-        although three idle targets served the old one.
+        Only one has reported, closed to load the new version. Guards against requests
+        for the new version that every other target refuses, so that the caller gets 503
+        although three idle targets serve the old one.
         """
         self.publish(2, "v2")
         self.assertEqual(self.choose(), "v1")
@@ -82,7 +82,7 @@
         self.assertEqual(self.choose(), "v2")
 
     def test_the_new_version_is_used_once_all_have_reported(self) -> None:
-        """Every target closed and none is left to have the old version."""
+        """Every target is closed and none serves the old version any more."""
         self.publish(2, "v2")
         for desk in DESKS:
             self.record_report(desk, "v1", accepting=False)
@@ -93,9 +93,9 @@
     def test_a_superseded_version_keeps_the_one_in_use(self) -> None:
         """Two versions are published in a row, before any target has loaded the first.
 
-        All targets still have the one before both. A request made for the newest was
-        refused by each of them, and every caller got 503 until a first target had
-        loaded it.
+        All targets still serve the one before both. Guards against requests for the
+        newest that each target refuses, so that every caller gets 503 until a first
+        target has loaded it.
         """
         for desk in DESKS:
             self.record_report(desk, "v1")
@@ -108,10 +108,11 @@
         self.assertEqual(self.choose(), "v3")
 
     def test_targets_at_an_intermediate_version_serve(self) -> None:
-        """A version is overtaken while half of the targets load it.
+        """A version is superseded while half of the targets load it.
 
-        They open again with it just as the others close for the newest. A request made
-        for the newest was refused by all, although half of them were idle.
+        They accept requests with it again just as the others close for the newest.
+        Guards against requests for the newest, which all targets refuse although half
+        of them are idle.
         """
         for desk in DESKS[2:]:
             self.record_report(desk, "v1")
@@ -126,11 +127,11 @@
     def test_a_gateway_started_during_a_rollout_uses_the_versions_of_its_targets(
         self,
     ) -> None:
-        """The first configuration that a gateway reads names what no target has yet.
+        """The first configuration of a gateway has a version that no target serves yet.
 
-        It has never known the version before. A request made for the new one was
-        refused by each target, and every caller of this gateway got 503 until a first
-        target had loaded it.
+        The gateway has no earlier version. Guards against requests for the new one that
+        each target refuses, so that every caller of this gateway gets 503 until a first
+        target has loaded it.
         """
         self.start_gateway()
         self.publish(1, "v2")
--- a/libraries/gateway/tests/test_forwarder.py
+++ b/libraries/gateway/tests/test_forwarder.py
@@ -1,9 +1,9 @@
-"""What a caller is told when the way to an agent fails, on real gRPC.
+"""Tests of the responses to callers when connections to agents fail, on real gRPC.
 
-A cut connection counts as standing until gRPC has read the cut, and a request written
-to it fails like one that was on its way. "Not run" may be said only of a request that
-no agent can get any more, and then another agent is tried; of one that an agent may
-have, only "unknown" is true, and no second agent may get it.
+A closed connection counts as ready until gRPC has read its end, and a request written
+to it fails like one in flight. "Not run" may be reported only for a request that no
+agent can still receive, and then another agent is tried; for one that an agent may
+have, only "unknown" is true, and no second agent may receive it.
 """
 
 from __future__ import annotations
@@ -39,16 +39,16 @@
 
     from bamboopier_gateway.call import Call
 
-# Only reached by a test that would hang.
+# Reached only by a test that would otherwise hang.
 HANG_SECONDS = 10.0
-# An order's body, which stands in the bytes of a request as it is.
+# An order's body, which appears unchanged in the bytes of a request.
 ORDER = b"van to A46, box 117"
-# The caller's patience where an agent says nothing; longer than an agent is asked.
+# Timeout of the caller where an agent is silent; longer than that of the probe.
 CALLER_TIMEOUT_SECONDS = 2.5
 
 
 async def do_nothing() -> None:
-    """Let the agent answer at once."""
+    """Let the agent respond at once."""
 
 
 class ForwarderTests(unittest.IsolatedAsyncioTestCase):
@@ -57,7 +57,7 @@
         self.stack = await self.enterAsyncContext(AsyncExitStack())
         await self.stack.enter_async_context(asyncio.timeout(HANG_SECONDS))
         self.act: Callable[[], Awaitable[None]] = do_nothing
-        # The first is the nearer one, which is chosen before the other.
+        # The first is the nearer one, which the router prefers.
         self.agents = [FakeAgent(lambda: self.act(), make_responses), make_agent()]
         self.relays: list[Relay] = []
         self.addresses: dict[str, str] = {}
@@ -108,9 +108,9 @@
         return raised.exception
 
     async def test_an_undetected_disconnect_loses_no_order(self) -> None:
-        # The nearer agent's connection is cut, and gRPC reads that only after it has
-        # written to it. The caller was told "unknown" of an order that no agent ever
-        # had; it is not sent there, and the other agent serves it.
+        # The nearer agent's connection is closed, and gRPC reads that only after it has
+        # written to it. Guards against "unknown" for an order that no agent received:
+        # it is not sent there, and the other agent serves it.
         self.relays[0].disconnect_at_next_call()
         await self.forward(make_call(body=ORDER))
         self.assertEqual((self.delivery.body, self.delivery.complete), (BODY, True))
@@ -118,8 +118,8 @@
         self.assertNotIn(ORDER, self.relays[0].received)
 
     async def test_disconnects_of_every_agent_are_reported_as_not_run(self) -> None:
-        # The same at both agents: nobody can serve the order, and since it was sent
-        # to none of them the caller may send it again.
+        # The same at both agents: none can serve the order, and since it was sent to
+        # neither, the caller may resend it.
         for relay in self.relays:
             relay.disconnect_at_next_call()
         error = await self.fail_to_forward(make_call(body=ORDER))
@@ -132,9 +132,9 @@
             self.assertNotIn(ORDER, relay.received)
 
     async def test_a_stalled_connection_is_sent_no_order(self) -> None:
-        # The way to the nearer agent is frozen with its connection standing. The
-        # caller was held to its deadline and told "unknown". What is held there has no
-        # order in it: when it thaws, after the other agent has served, nothing runs.
+        # The nearer agent's connection stays open but stalls. Guards against a caller
+        # that waits until its deadline and gets "unknown". The stalled data contains no
+        # order: nothing runs when it resumes, after the other agent has served.
         self.relays[0].pause()
         deadline = time.monotonic() + CALLER_TIMEOUT_SECONDS
         await self.forward(make_call(body=ORDER, deadline=deadline))
@@ -147,8 +147,8 @@
         self.assertNotIn(ORDER, self.relays[0].received)
 
     async def test_an_order_received_by_an_agent_is_unknown(self) -> None:
-        # The nearer agent has the order when the connection is cut. It may run there,
-        # so the other agent must not get it and "not run" would be false.
+        # The nearer agent has the order when the connection is closed. It may run
+        # there, so the other agent must not receive it and "not run" would be false.
         async def disconnect() -> None:
             self.relays[0].disconnect()
             await asyncio.Event().wait()
@@ -162,8 +162,8 @@
         self.assertEqual([len(each.received) for each in self.agents], [1, 0])
 
     async def test_certificates_replaced_before_the_order_is_sent(self) -> None:
-        # The certificates are replaced while the agent is asked, and its channel is
-        # closed to new calls. The order goes out on a new one and is served there.
+        # The certificates are replaced during the probe, and the agent's channel is
+        # closed to new calls. The order is sent on a new channel and served there.
         self.agents[0].on_first_probe = self.certificates.reload
         await self.forward(make_call(body=ORDER))
         self.assertTrue(self.delivery.complete)
@@ -173,9 +173,9 @@
     async def test_a_disconnect_between_probe_and_order_is_unknown(
         self,
     ) -> None:
-        # The nearer agent answers, its connection is cut, and gRPC has not read that
-        # when the order is written. No agent has it, but nothing that the gateway sees
-        # tells this from an order under way.
+        # The nearer agent answers the probe, its connection is closed, and gRPC has not
+        # read that when the order is written. No agent has the order, but the gateway
+        # cannot distinguish this from an order in flight.
         self.agents[0].on_first_probe = self.relays[0].disconnect_at_next_call
         error = await self.fail_to_forward(make_call(body=ORDER))
         self.assertEqual(
@@ -185,18 +185,18 @@
         self.assertEqual([each.received for each in self.agents], [[], []])
 
     async def test_an_idempotent_request_waits_for_no_probe(self) -> None:
-        # A prompt may run twice, and a lost connection costs it one more attempt. It
-        # does not pay for the question that an order needs.
+        # A prompt may run twice, and a lost connection costs it one more attempt.
+        # Guards against the delay of a probe, which only an order needs.
         await self.forward(make_call(body=ORDER, idempotent=True))
         self.assertTrue(self.delivery.complete)
         self.assertEqual([each.probe_count for each in self.agents], [0, 0])
 
 
 def make_agent() -> FakeAgent:
-    """Return an agent that serves at once."""
+    """Return an agent that responds at once."""
     return FakeAgent(do_nothing, make_responses)
 
 
 def make_responses(attempt: str) -> list[pb.ServeEvent]:
-    """Return a whole answer to an attempt."""
+    """Return a complete response to an attempt."""
     return make_response(attempt=attempt)
--- a/libraries/gateway/tests/test_lost_connections.py
+++ b/libraries/gateway/tests/test_lost_connections.py
@@ -1,9 +1,10 @@
-"""What is known of a call whose connection to its agent was cut, on real gRPC.
+"""Tests of calls whose connection to the agent is lost, on real gRPC.
 
-A gateway finds the connection standing and hands the call to gRPC. Cut before that, the
-request reaches no connection: gRPC connects anew, is refused and gives the call up. Cut
-after it, the agent may have the request. Both fail with one status, and the caller must
-be told "not run" of the first and never of the second, which might run twice.
+A gateway finds a ready connection and hands the call to gRPC. If the connection closes
+before that, no connection carries the request: gRPC reconnects, is refused and abandons
+the call. If it closes afterwards, the agent may have the request. Both fail with the
+same status; the first must be reported as "not run" and the second never, because it
+might run twice.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from .builders import FakeDelivery, make_call
 from .relayed_agents import FakeAgent, start_agent
 
-# Only reached by a test that would hang.
+# Reached only by a test that would otherwise hang.
 HANG_SECONDS = 10.0
 NO_CONNECTION = "failed to connect to all addresses; last error: refused"
 
@@ -32,9 +33,9 @@
 
 class LostConnectionTests(unittest.IsolatedAsyncioTestCase):
     async def test_disconnect_before_the_request_was_sent(self) -> None:
-        # The agent's connection is cut right after it was found standing, and gRPC
-        # notices before the call is handed to it. The caller was told "unknown" of a
-        # request that was never sent, and no other agent was tried.
+        # The agent's connection is closed right after it was found ready, and gRPC
+        # detects that before the call is handed to it. Guards against "unknown" for a
+        # request that was never sent, with no other agent tried.
         agent = FakeAgent(block_forever)
         async with (
             asyncio.timeout(HANG_SECONDS),
@@ -50,9 +51,9 @@
         self.assertEqual((result.cause, result.broken), (pb.CONNECTION_LOST, True))
 
     async def test_disconnect_after_the_agent_received_the_request(self) -> None:
-        # The agent has the request when its connection is cut, and nobody listens any
-        # more, as in the other case. It runs there: "not run" would be false, and a
-        # second agent would run it again.
+        # The agent has the request when its connection is closed, and new connections
+        # are refused, as in the test above. The request runs there: "not run" would be
+        # false, and a second agent would run it again.
         async def disconnect() -> None:
             relay.disconnect()
             await block_forever()
@@ -70,8 +71,8 @@
         )
 
     async def test_an_agent_that_fails_to_connect_elsewhere(self) -> None:
-        # The agent has the request and fails with an error of a call that it makes
-        # itself. What gRPC says of that call says nothing about this one.
+        # The agent has the request and fails with the error of a call of its own. The
+        # gRPC message of that call does not apply to this one.
         async def fail() -> None:
             none = grpc.aio.Metadata()
             status = grpc.StatusCode.UNAVAILABLE
--- a/libraries/gateway/tests/test_paths.py
+++ b/libraries/gateway/tests/test_paths.py
@@ -1,4 +1,4 @@
-"""Which declared route a path falls under."""
+"""Tests of matching paths to declared routes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         Route("POST", "/Upper", idempotent=True),
     ],
 )
-# Each row: raw path, the declared path it falls under, or None.
+# Each row: raw path, path of the matching route or None.
 MATCHES = [
     ("/vans", "/vans"),
     ("/vans/", "/vans"),
--- a/libraries/gateway/tests/test_prompt.py
+++ b/libraries/gateway/tests/test_prompt.py
@@ -1,4 +1,4 @@
-"""The same prompt in two workspaces has nothing in common for engine and store."""
+"""Tests that equal prompts of two workspaces share no cache keys."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 def read(workspace: str, version: str = "v1") -> ModelCall:
-    """Read one and the same prompt for a workspace."""
+    """Read the same prompt for a workspace."""
     reader = PromptReader(b"b" * 32, WordTokenizer(), lambda _: version)
     words = " ".join(f"word-{n}" for n in range(64))
-    # A caller may try to name another workspace's part of the engine's cache.
+    # A caller may try to address another workspace's part of the engine's cache.
     body = {"model": "m", "prompt": words, "cache_salt": "chosen by the caller"}
     content = json.dumps(body).encode()
     return reader.read("/v1/completions", content, workspace, DIRECTORY)
@@ -28,8 +28,8 @@
 
 class PromptTests(unittest.TestCase):
     def test_workspaces_share_neither_salt_nor_keys(self) -> None:
-        # With one salt the engine's own prefix cache would answer the second workspace
-        # quicker, which tells it what the first one asked.
+        # With a common salt the engine's own prefix cache would respond faster to the
+        # second workspace, which would reveal the prompts of the first.
         first, again, second = read("fosse"), read("fosse"), read("gouda")
         self.assertEqual(first, again)
         self.assertNotIn(first.cache_salt, ("", "chosen by the caller"))
--- a/libraries/gateway/tests/test_recall.py
+++ b/libraries/gateway/tests/test_recall.py
@@ -1,8 +1,8 @@
-"""What a caller is told of a key whose claim another agent holds, on real gRPC.
+"""Tests of responses for a key whose claim another agent holds, on real gRPC.
 
-A gateway asks the holder what became of the claim. A holder that runs the request, or
-stands still for a moment and then says that it runs it, makes the caller come back; one
-that is gone makes it "outcome unknown", before the caller's time is over.
+A gateway queries the claim holder for the outcome. If the holder runs the request, or
+stalls briefly and then reports that it runs it, the caller is told to retry; if it is
+gone, the caller gets "outcome unknown" before its deadline.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 from .builders import FakeDelivery, make_call
 from .relayed_agents import HOST, Relay
 
-# Only reached by a test that would hang.
+# Reached only by a test that would otherwise hang.
 HANG_SECONDS = 10.0
-# Longer than gRPC's patience with one try, shorter than a caller's time.
+# Longer than gRPC's timeout of one connection attempt, shorter than a caller's.
 STALL_SECONDS = 0.3
 
 
 class ClaimHolder(AgentServicer):
-    """Runs whatever it is asked about."""
+    """Reports every request as running."""
 
     async def Recall(  # noqa: N802 (the name is the protocol's)
         self, request: pb.RecallRequest, context: Any
@@ -54,7 +54,7 @@
         self.addCleanup(self.relay.disconnect)
 
     async def recall(self, seconds: float) -> CallerError:
-        """Return what a caller with this much time left is told."""
+        """Return the error for a caller with ``seconds`` until its deadline."""
         other: Any = None
         async with asyncio.timeout(HANG_SECONDS), AgentConnections() as agents:
             forwarder = Forwarder(other, other, agents, other, other, other)
@@ -76,9 +76,9 @@
         self.assertGreater(error.retry_after, 0)
 
     async def test_the_claim_holder_stalls_briefly(self) -> None:
-        # The gateway has no connection to the holder yet. gRPC gives its first try up
-        # after 0.1 s, long before the holder goes on and answers; the caller was told
-        # "outcome unknown" by then and would not ask again.
+        # The gateway has no connection to the holder yet. gRPC abandons its first
+        # attempt after 0.1 s, long before the holder resumes and responds. Guards
+        # against "outcome unknown" at that point, after which a caller does not retry.
         self.relay.may_accept.clear()
         loop = asyncio.get_running_loop()
         loop.call_later(STALL_SECONDS, self.relay.may_accept.set)
--- a/libraries/gateway/tests/test_target_reports.py
+++ b/libraries/gateway/tests/test_target_reports.py
@@ -1,4 +1,4 @@
-"""Which targets count for a version, and which are asked again."""
+"""Tests of which targets count for a version, and which are polled."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def make_report(version: str, accepting: bool = True) -> pb.LoadReport:
-    """Return what a target says of itself."""
+    """Return a target's load report."""
     return pb.LoadReport(weight_version=version, accepting=accepting)
 
 
@@ -26,10 +26,10 @@
         self.reports.set_targets(views, {"desk": frozenset({"v2"})})
 
     def test_closed_and_lost_targets_do_not_count_for_a_version(self) -> None:
-        """Two targets with the old version load or died; one is left.
+        """Two targets with the old version are loading or lost; one remains.
 
-        Counted, they would draw requests for a version that hardly anyone serves, and
-        those would be refused.
+        If they counted, requests would be made for a version that few targets serve,
+        and those would be refused.
         """
         self.reports.record("desk-1", make_report("v1"))
         self.reports.record("desk-2", make_report("v1", accepting=False))
@@ -38,7 +38,7 @@
         self.assertEqual(self.reports.list_versions("desk"), ["v1"])
 
     def test_targets_without_requests_are_polled_in_turn(self) -> None:
-        """Without being asked, a target that opens again would stay unused for ever."""
+        """Without polls, a target that accepts requests again would stay unused."""
         self.reports.record("desk-1", make_report("v2"))
         self.reports.record("desk-2", make_report("v1", accepting=False))
         self.reports.record("desk-3", make_report("v1"))
