--- a/libraries/gateway/src/bamboopier_gateway/body.py
+++ b/libraries/gateway/src/bamboopier_gateway/body.py
@@ -45,7 +45,7 @@
     def acquire(self, size: int) -> None:
         """Acquire ``size`` more bytes; raises ``CallerError`` above the limit."""
         if self._held + size > self._limit:
-            message = "the bodies of all open requests fill this gateway's body memory"
+            message = "the bodies of all open requests fill this gateway's memory"
             raise CallerError(
                 ErrorCode.OVERLOADED, message, retry_after=RETRY_AFTER_SECONDS
             )
--- a/libraries/gateway/src/bamboopier_gateway/prompt.py
+++ b/libraries/gateway/src/bamboopier_gateway/prompt.py
@@ -23,7 +23,7 @@
 
 DEFAULT_MAX_TOKENS = 256
 MAX_TOKENS = 131_072
-# Levels of nested objects and lists; schemas of tools have some 20, the most.
+# Of nested objects and lists; the schemas of tools, the deepest, have some 20 levels.
 MAX_JSON_DEPTH = 64
 CHAT_PATH = "/v1/chat/completions"
 
--- a/libraries/gateway/tests/test_delivery.py
+++ b/libraries/gateway/tests/test_delivery.py
@@ -22,7 +22,9 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-ERROR = CallerError(ErrorCode.OUTCOME_UNKNOWN, "truncated", ExecutionStatus.UNKNOWN)
+ERROR = CallerError(
+    ErrorCode.OUTCOME_UNKNOWN, "response truncated", ExecutionStatus.UNKNOWN
+)
 # Reached only where a response neither ends nor is aborted.
 CLIENT_TIMEOUT = aiohttp.ClientTimeout(total=5)
 LENGTH = pb.Header(name="Content-Length", value="10")
--- a/tools/safeguards/orders.py
+++ b/tools/safeguards/orders.py
@@ -251,7 +251,8 @@
     Mutation(
         "closed targets are asked again",
         "libraries/gateway/src/bamboopier_gateway/target_reports.py",
-        "        groups = (closed, others) if self._poll_closed else (others, closed)\n",
+        "        groups = (closed, others) if self._poll_closed "
+        "else (others, closed)\n",
         "        groups = (others,)\n",
         "libraries/gateway",
         "tests.test_target_reports.TargetReportsTests."
