--- a/libraries/gateway/src/bamboopier_gateway/application.py
+++ b/libraries/gateway/src/bamboopier_gateway/application.py
@@ -197,7 +197,7 @@
         except asyncio.CancelledError:
             if not self._aborting:
                 raise
-            message = "request aborted: the gateway is shutting down"
+            message = "cut by the end of this process"
             abort_error = CallerError(
                 ErrorCode.OUTCOME_UNKNOWN, message, ExecutionStatus.UNKNOWN
             )
--- a/libraries/gateway/src/bamboopier_gateway/body.py
+++ b/libraries/gateway/src/bamboopier_gateway/body.py
@@ -86,7 +86,7 @@
         message = f"the body did not arrive within {timeout:g} seconds"
         raise CallerError(ErrorCode.BODY_TIMEOUT, message) from error
     except (web.RequestPayloadError, HttpProcessingError) as error:
-        message = "the body is truncated or its framing is invalid"
+        message = "the body is cut or its framing is broken"
         raise CallerError(ErrorCode.BAD_REQUEST, message) from error
 
 
--- a/libraries/gateway/src/bamboopier_gateway/connection.py
+++ b/libraries/gateway/src/bamboopier_gateway/connection.py
@@ -175,7 +175,7 @@
         open_transport = cast("asyncio.Transport", transport)
         error = CallerError(
             ErrorCode.TOO_MANY_CONNECTIONS,
-            "this gateway has reached its connection limit",
+            "this gateway has its largest number of connections",
             retry_after=REFUSAL_SECONDS,
         )
         open_transport.write(error.make_raw_response(uuid.uuid4().hex))
--- a/libraries/gateway/src/bamboopier_gateway/errors.py
+++ b/libraries/gateway/src/bamboopier_gateway/errors.py
@@ -174,7 +174,7 @@
     code = _CODES_BY_REASON[refuse.reason]
     if refuse.ran is ExecutionStatus.UNKNOWN:
         code = ErrorCode.OUTCOME_UNKNOWN
-    message = f"request refused: {refuse.reason.value}"
+    message = f"request given up: {refuse.reason.value}"
     return CallerError(code, message, refuse.ran, refuse.retry_after)
 
 
--- a/libraries/gateway/src/bamboopier_gateway/forwarder.py
+++ b/libraries/gateway/src/bamboopier_gateway/forwarder.py
@@ -42,8 +42,8 @@
 RECALL_TIMEOUT_SECONDS = 2.0
 # Causes that no other target can avoid: all agents claim keys at the same platform.
 _CLAIM_MESSAGES: dict[int, str] = {
-    pb.PLATFORM_DOWN: "the platform does not respond, so the key cannot be claimed",
-    pb.KEY_TABLE_FULL: "the table of idempotency keys is full",
+    pb.PLATFORM_DOWN: "the platform does not answer, so the key cannot be claimed",
+    pb.KEY_TABLE_FULL: "no more idempotency keys can be kept at present",
 }
 
 # The target, or its VM, crashed while it had the request.
@@ -98,7 +98,7 @@
         if delivery.response.prepared and result.ran is not ExecutionStatus.EXECUTED:
             error = CallerError(
                 ErrorCode.OUTCOME_UNKNOWN,
-                "the response was truncated",
+                "the answer broke off",
                 ExecutionStatus.UNKNOWN,
             )
             return await delivery.fail(error)
@@ -212,7 +212,7 @@
                 ErrorCode.CLAIM_UNAVAILABLE, message, ExecutionStatus.NOT_EXECUTED, 1.0
             )
         if reply.state == pb.RecallReply.RUNNING:
-            message = "a request with this idempotency key is in progress"
+            message = "a request with this idempotency key is under way"
             raise CallerError(
                 ErrorCode.KEY_IN_PROGRESS, message, ExecutionStatus.UNKNOWN, 1.0
             )
@@ -290,7 +290,7 @@
         ran=ExecutionStatus.NOT_EXECUTED.value,
         retry_after=round(wait, 3),
     )
-    message = "this request crashed the targets that ran it"
+    message = "this request broke the targets that ran it"
     return CallerError(
         ErrorCode.QUARANTINED, message, ExecutionStatus.NOT_EXECUTED, wait
     )
--- a/libraries/gateway/src/bamboopier_gateway/paths.py
+++ b/libraries/gateway/src/bamboopier_gateway/paths.py
@@ -81,7 +81,9 @@
     except UnicodeDecodeError:
         raise _make_bad_path_error("is not UTF-8") from None
     if _FORBIDDEN_CHARACTERS.search(decoded):
-        raise _make_bad_path_error("has an escaped separator, '%' or control character")
+        raise _make_bad_path_error(
+            "has an escape of a divider, of '%' or of a control character"
+        )
     return decoded
 
 
--- a/libraries/gateway/src/bamboopier_gateway/prompt.py
+++ b/libraries/gateway/src/bamboopier_gateway/prompt.py
@@ -127,7 +127,7 @@
         decoded = msgspec.json.decode(body)
         parsed = msgspec.convert(decoded, _ModelBody)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        message = f"the body is not a valid model request: {error}"
+        message = f"the body is no request for a model: {error}"
         raise CallerError(ErrorCode.BAD_REQUEST, message) from error
     if not _is_depth_allowed(decoded):
         message = f"the body is nested deeper than {MAX_JSON_DEPTH} levels"
@@ -166,7 +166,7 @@
         prompt = prompt[0]
     if not isinstance(prompt, str) or not prompt:
         message = (
-            "'prompt' must be a string or a list of one; token lists are unsupported"
+            "'prompt' must be one text, or a list of one; token lists are not read"
         )
         raise CallerError(ErrorCode.BAD_REQUEST, message)
     return prompt
--- a/libraries/gateway/src/bamboopier_gateway/reader.py
+++ b/libraries/gateway/src/bamboopier_gateway/reader.py
@@ -83,7 +83,7 @@
             )
         if request.method not in PLAIN_METHODS:
             allowed = ", ".join(sorted(PLAIN_METHODS))
-            message = f"{quote(request.method)} is not forwarded; allowed: {allowed}"
+            message = f"{quote(request.method)} is not passed on; allowed: {allowed}"
             raise CallerError(ErrorCode.METHOD_NOT_ALLOWED, message)
         path = check_path(raw_path)
         headers = list_request_headers(request.headers.items())
@@ -109,7 +109,7 @@
     scheme, _, key = request.headers.get("Authorization", "").partition(" ")
     workspace = directory.find_workspace(key) if scheme.lower() == "bearer" else None
     if workspace is None:
-        message = "send a valid API key as 'Authorization: Bearer KEY'"
+        message = "send a known API key as 'Authorization: Bearer KEY'"
         raise CallerError(ErrorCode.UNAUTHENTICATED, message)
     return workspace
 
@@ -140,9 +140,7 @@
         service = directory.services.get(name)
         if service is not None and model in service.models:
             return service
-    raise CallerError(
-        ErrorCode.FORBIDDEN, f"no service of this workspace offers '{model}'"
-    )
+    raise CallerError(ErrorCode.FORBIDDEN, f"no service of yours offers '{model}'")
 
 
 def _check_size(body: bytes, service: Service) -> None:
