--- a/libraries/cli/src/bamboopier_cli/__init__.py
+++ b/libraries/cli/src/bamboopier_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The bamboopier command: thin over the libraries, one command a module."""
+"""The bamboopier command line: a thin layer over the libraries."""
--- a/libraries/cli/src/bamboopier_cli/application.py
+++ b/libraries/cli/src/bamboopier_cli/application.py
@@ -41,7 +41,7 @@
 
 
 def main() -> None:
-    """Run one command; output to standard output, errors in one line to the other."""
+    """Run one command; print output to stdout and an error as one line to stderr."""
     try:
         output = run_command(sys.argv[1:])
         if output:
@@ -53,15 +53,15 @@
     except KeyboardInterrupt:
         sys.exit(INTERRUPTED)
     except BrokenPipeError:
-        # The reader of our output left, as ``head`` does: not worth a word. The
-        # interpreter would complain once more while it flushes at exit.
-        sys.stdout = open(os.devnull, "w")  # noqa: SIM115 (closed by the exit)
+        # The reader closed the pipe, as ``head`` does, which is no error to report.
+        # Without the replacement the interpreter's flush at exit raises again.
+        sys.stdout = open(os.devnull, "w")  # noqa: SIM115 (closed at exit)
         sys.exit(FAILURE)
     sys.exit(SUCCESS)
 
 
 def run_command(arguments: list[str]) -> str:
-    """Run the command that ``arguments`` name and return what it prints."""
+    """Run the command named by ``arguments`` and return its output."""
     if not arguments or arguments[0] in HELP_FLAGS | {"help"}:
         return describe_program(COMMANDS)
     name, *rest = arguments
--- a/libraries/cli/src/bamboopier_cli/arguments.py
+++ b/libraries/cli/src/bamboopier_cli/arguments.py
@@ -1,8 +1,8 @@
-"""Binds the words of a command line to a command's parameters.
+"""Binds command-line arguments to a command's parameters.
 
-fire does the parsing. Three of its habits are kept from the user: it guesses types (a
-target named ``1e3`` would become a number), it answers a mistake with a page of usage,
-and it looks up left-over words as attributes of the result.
+Parsing is done by fire, with three of its behaviours overridden: it guesses types (a
+target named ``1e3`` would become a number), it reports a usage error with a page of
+help, and it looks up surplus arguments as attributes of the result.
 """
 
 from __future__ import annotations
@@ -27,21 +27,21 @@
 
 @dataclass(frozen=True, slots=True)
 class BoundCommand:
-    """A command with its parsed arguments, not run yet."""
+    """A command with its parsed arguments, ready to run."""
 
     command: Callable[..., str | None]
     positional: tuple[Any, ...]
     named: dict[str, Any]
 
     def run(self) -> str:
-        """Run the command and return what it prints."""
+        """Run the command and return its output."""
         return self.command(*self.positional, **self.named) or ""
 
 
 def find_command(
     commands: Mapping[str, Callable[..., str | None]], name: str
 ) -> Callable[..., str | None]:
-    """Return the command called ``name``; raises ``CommandError``."""
+    """Return the command called ``name``; raise ``CommandError`` if there is none."""
     command = commands.get(name)
     if command is None:
         near = difflib.get_close_matches(name, commands, n=1)
@@ -53,7 +53,7 @@
 def bind_arguments(
     name: str, command: Callable[..., str | None], arguments: list[str]
 ) -> BoundCommand:
-    """Parse ``arguments`` for ``command``; raises ``CommandError``."""
+    """Parse ``arguments`` for ``command``; raise ``CommandError`` if they are wrong."""
     parameters = inspect.signature(command).parameters
     _check_flags(name, parameters, arguments)
     bound: list[BoundCommand] = []
@@ -78,7 +78,7 @@
 
 
 def parse_flag(text: str) -> bool:
-    """Return the value of a flag that may stand alone."""
+    """Return the value of a boolean flag; raise ``ValueError`` for any other text."""
     if text not in ("True", "true", "False", "false"):
         raise ValueError(f"found '{text}' for a flag; allowed: true, false")
     return text in ("True", "true")
@@ -94,7 +94,10 @@
 def _choose_parsers(
     parameters: Mapping[str, inspect.Parameter],
 ) -> dict[str, Callable[[str], Any]]:
-    """Choose by the annotation, which is text in this project's modules."""
+    """Return a parser for each parameter by its annotation.
+
+    Annotations are strings, because modules postpone their evaluation.
+    """
     parsers: dict[str, Callable[[str], Any]] = {}
     for parameter in parameters.values():
         if parameter.kind is not inspect.Parameter.VAR_POSITIONAL:
--- a/libraries/cli/src/bamboopier_cli/commands/__init__.py
+++ b/libraries/cli/src/bamboopier_cli/commands/__init__.py
@@ -1,1 +1,1 @@
-"""One module for each command."""
+"""The commands, one module each."""
--- a/libraries/cli/src/bamboopier_cli/commands/agent.py
+++ b/libraries/cli/src/bamboopier_cli/commands/agent.py
@@ -1,4 +1,4 @@
-"""``bamboopier agent``: run the process beside a target."""
+"""``bamboopier agent``: run the agent of a target."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def agent(*, settings: str) -> None:
-    """Run an agent with the settings in a JSON file until SIGTERM."""
-    answer = read_settings(Path(settings), AgentSettings)
-    if isinstance(answer, Err):
-        fail_configuration(answer.err_value)
+    """Run an agent until SIGTERM, with the settings of a JSON file."""
+    result = read_settings(Path(settings), AgentSettings)
+    if isinstance(result, Err):
+        fail_configuration(result.err_value)
     from bamboopier_agent.daemon import run_agent
 
-    run(run_agent(answer.ok_value))
+    run(run_agent(result.ok_value))
--- a/libraries/cli/src/bamboopier_cli/commands/check.py
+++ b/libraries/cli/src/bamboopier_cli/commands/check.py
@@ -1,4 +1,4 @@
-"""``bamboopier check``: check configuration files without a network."""
+"""``bamboopier check``: validate configuration files offline."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class CheckResult(msgspec.Struct, frozen=True):
-    """How much was found, all of it in order."""
+    """Number of items of each section in a valid configuration."""
 
     services: int
     workspaces: int
@@ -27,31 +27,31 @@
 
 
 def check(*roots: str, json: bool = False) -> str:
-    """Check all configuration files at or below ROOTS as one whole, offline.
+    """Validate all configuration files at or below ROOTS together, offline.
 
-    ROOTS are files or folders, by default this folder; files are found by their ending
-    .bamboopier.json. The first fault is named with its file and JSON path.
+    ROOTS are files or folders, by default the current folder; files are found by their
+    suffix .bamboopier.json. The first error is reported with its file and JSON path.
     """
     configuration = collect_or_fail(roots)
-    found = CheckResult(
+    result = CheckResult(
         len(configuration.services),
         len(configuration.workspaces),
         len(configuration.models),
         len(configuration.stores),
     )
     text = (
-        f"ok: {found.services} services, {found.workspaces} workspaces, "
-        f"{found.models} models, {found.stores} stores"
+        f"ok: {result.services} services, {result.workspaces} workspaces, "
+        f"{result.models} models, {result.stores} stores"
     )
-    return render(found, text, json)
+    return render(result, text, json)
 
 
 def collect_or_fail(roots: tuple[str, ...]) -> Configuration:
-    """Return the joined configuration or end the command."""
+    """Return the joined configuration; end the command if it is invalid."""
     files = find_files(Path(root) for root in roots or (".",))
     if not files:
         raise CommandError("no *.bamboopier.json files found", USAGE_ERROR)
-    answer = collect(files)
-    if isinstance(answer, Err):
-        fail_configuration(answer.err_value)
-    return answer.ok_value
+    result = collect(files)
+    if isinstance(result, Err):
+        fail_configuration(result.err_value)
+    return result.ok_value
--- a/libraries/cli/src/bamboopier_cli/commands/drain.py
+++ b/libraries/cli/src/bamboopier_cli/commands/drain.py
@@ -19,10 +19,10 @@
 ) -> str:
     """Take a data centre or a target out of service.
 
-    New work stops there within seconds; what runs is finished. PLACE is
-    ``data-centre`` or ``target``. Several drains at once all take effect.
-    With --wait the command returns once all nodes have it in force, and fails naming
-    those that do not after TIMEOUT seconds.
+    New requests are no longer sent there within seconds; running ones finish. PLACE is
+    ``data-centre`` or ``target``. Concurrent drains all take effect.
+    With --wait the command returns once all nodes have the drain in force, and fails
+    with the names of those that do not after TIMEOUT seconds.
     """
     result = asyncio.run(
         set_drained(platform, place, name, drained=True, wait=wait, timeout=timeout)
--- a/libraries/cli/src/bamboopier_cli/commands/explain.py
+++ b/libraries/cli/src/bamboopier_cli/commands/explain.py
@@ -1,4 +1,4 @@
-"""``bamboopier explain``: say from the decision logs what became of a request."""
+"""``bamboopier explain``: show the logged decisions about a request."""
 
 from __future__ import annotations
 
@@ -15,41 +15,40 @@
     from ..decision_log import DecisionLine
 
 STANDARD_INPUT = "-"
-# What the reasons in the logs mean, in a person's words.
+# Explanations of the reasons in the logs.
 REASONS = {
-    "prefix": "it is the first choice for this prompt's leading blocks",
-    "prefix-spread": "the first choice was over its load bound",
-    "least-delay": "it expected the shortest time to the first byte",
-    "only-candidate": "no other target could be used",
-    "retry": "an earlier attempt certainly did not run or may be repeated",
-    "no-target": "no target of the service could be used",
+    "prefix": "it is the preferred target for the first blocks of the prompt",
+    "prefix-spread": "the preferred target was over its load bound",
+    "least-delay": "it has the shortest expected time to the first byte",
+    "only-candidate": "no other target was available",
+    "retry": "an earlier attempt did not run or is safe to repeat",
+    "no-target": "no target of the service was available",
     "overloaded": "every candidate was full",
     "deadline": "the deadline could not be met",
-    "retry-budget": "retries had used up their share of the successes",
-    "attempts": "the largest number of attempts was reached",
+    "retry-budget": "the retry budget, a share of the successes, was exhausted",
+    "attempts": "the maximum number of attempts was reached",
     "target-failed": "the target failed and the request may not be repeated",
-    "quarantined": "this request crashed targets before",
+    "quarantined": "this request has crashed targets before",
     "QUEUE_FULL": "the agent's queue was full",
-    "FAIR_SHARE": "the workspace had more waiting than its share",
-    "DEADLINE": "the deadline could not be met there",
+    "FAIR_SHARE": "the workspace had more than its share of waiting requests",
+    "DEADLINE": "the deadline could not be met at this target",
     "STOPPING": "the target is stopping or drained",
     "TARGET_DOWN": "the target could not be reached",
-    "STALE_GENERATION": "the agent does not know the configuration yet",
+    "STALE_GENERATION": "the agent does not have the configuration generation yet",
     "WRONG_VERSION": "the target serves another weight version",
     "NO_LEASE": "the agent holds no lease on its target",
     "PLATFORM_DOWN": "the idempotency key could not be claimed at the platform",
     "KEY_REUSED": "the idempotency key belongs to another request",
     "KEY_CLAIMED": "the idempotency key was claimed before",
-    "KEY_TABLE_FULL": "no room for more idempotency keys",
+    "KEY_TABLE_FULL": "the table of idempotency keys is full",
 }
 
 
 def explain(request_id: str, *logs: str, json: bool = False) -> str:
-    """Say why a request went where it went, or why it was refused.
+    """Show why a request was sent to a target, or why it was refused.
 
-    REQUEST-ID is what the caller got as X-Request-Id; its beginning is enough. LOGS are
-    files with the lines that gateways and agents wrote on standard output, in any
-    order;
+    REQUEST-ID is the X-Request-Id that the caller received; a unique prefix is enough.
+    LOGS are files with the standard output of gateways and agents, in any order;
     without LOGS, or for "-", standard input is read.
     """
     with ExitStack() as stack:
@@ -58,9 +57,11 @@
         decisions = read_decisions(files, request_id)
     if not decisions:
         raise CommandError(f"no decision about '{request_id}' in {', '.join(names)}")
-    known = {decision.request_id for decision in decisions}
-    if len(known) > 1:
-        message = f"'{request_id}' begins {len(known)} request ids; give more of it"
+    request_ids = {decision.request_id for decision in decisions}
+    if len(request_ids) > 1:
+        message = (
+            f"'{request_id}' matches {len(request_ids)} request ids; give more of it"
+        )
         raise CommandError(message, USAGE_ERROR)
     text = "\n".join(map(_format_decision, decisions))
     return render(decisions, text, json)
@@ -87,13 +88,13 @@
     candidates = details.pop("candidates", {})
     lines = ["".join(parts)]
     if isinstance(candidates, dict) and candidates:
-        weighed = ", ".join(
+        estimates = ", ".join(
             f"{name} {_format_value(v)}" for name, v in candidates.items()
         )
-        lines.append(f"    candidates, expected seconds to first byte: {weighed}")
+        lines.append(f"    candidates, expected seconds to first byte: {estimates}")
     if details:
-        rest = ", ".join(f"{name} {_format_value(v)}" for name, v in details.items())
-        lines.append(f"    {rest}")
+        others = ", ".join(f"{name} {_format_value(v)}" for name, v in details.items())
+        lines.append(f"    {others}")
     return "\n".join(lines)
 
 
--- a/libraries/cli/src/bamboopier_cli/commands/gateway.py
+++ b/libraries/cli/src/bamboopier_cli/commands/gateway.py
@@ -1,4 +1,4 @@
-"""``bamboopier gateway``: run an entry process."""
+"""``bamboopier gateway``: run a gateway."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def gateway(*, settings: str) -> None:
-    """Run a gateway with the settings in a JSON file until SIGTERM."""
-    answer = read_settings(Path(settings), GatewaySettings)
-    if isinstance(answer, Err):
-        fail_configuration(answer.err_value)
+    """Run a gateway until SIGTERM, with the settings of a JSON file."""
+    result = read_settings(Path(settings), GatewaySettings)
+    if isinstance(result, Err):
+        fail_configuration(result.err_value)
     from bamboopier_gateway.daemon import run_gateway
 
-    run(run_gateway(answer.ok_value))
+    run(run_gateway(result.ok_value))
--- a/libraries/cli/src/bamboopier_cli/commands/publish.py
+++ b/libraries/cli/src/bamboopier_cli/commands/publish.py
@@ -1,4 +1,4 @@
-"""``bamboopier publish``: make the collected files the next generation."""
+"""``bamboopier publish``: publish configuration files as the next generation."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class PublishResult(msgspec.Struct, frozen=True):
-    """What was, or with --dry-run would be, published."""
+    """The generation that was published or, with --dry-run, would be."""
 
     generation: int
     published: bool
@@ -45,12 +45,12 @@
     timeout: float = 30.0,
     json: bool = False,
 ) -> str:
-    """Check the files below ROOTS and publish them; drains in force are kept.
+    """Validate and publish the files at or below ROOTS; current drains are kept.
 
-    With --dry-run nothing is published; --diff shows what changes. With --wait the
-    command returns once all nodes have the generation in force, and fails naming those
-    that do not after TIMEOUT seconds. When another publisher comes first nothing of
-    this one takes effect and the exit code is 1.
+    With --dry-run nothing is published; --diff shows the changes. With --wait the
+    command returns once all nodes have the generation in force, and fails with the
+    names of those that do not after TIMEOUT seconds. On a conflict with another
+    publisher nothing is published and the exit code is 1.
     """
     configuration = collect_or_fail(roots)
     result = asyncio.run(_publish(configuration, platform, wait, dry_run, timeout))
@@ -59,7 +59,7 @@
     elif result.published:
         text = f"published generation {result.generation}"
     else:
-        text = f"generation {result.generation} says the same; nothing published"
+        text = f"generation {result.generation} is identical; nothing published"
     if diff or dry_run:
         text = f"{format_differences(result.differences)}\n{text}"
     return render(result, text, json)
@@ -71,22 +71,22 @@
     async with open_platform(url) as platform:
         publisher = Publisher(platform)
         base = await read_current_generation(publisher)
-        wanted = msgspec.structs.replace(
+        updated = msgspec.structs.replace(
             configuration, drains=base.configuration.drains
         )
-        differences = compare_configurations(base.configuration, wanted)
+        differences = compare_configurations(base.configuration, updated)
         if dry_run:
             return PublishResult(base.number + 1, False, differences)
         number = base.number
         if differences or not number:
-            answer = await publisher.publish(base, wanted, uuid.uuid4().hex)
-            if isinstance(answer, Err):
-                error = answer.err_value
+            outcome = await publisher.publish(base, updated, uuid.uuid4().hex)
+            if isinstance(outcome, Err):
+                error = outcome.err_value
                 if isinstance(error, VersionConflictError):
                     text = "nothing published: another publisher came first; "
-                    raise CommandError(text + "look at its changes and publish again")
+                    raise CommandError(text + "review its changes and publish again")
                 raise CommandError(str(error))
-            number = answer.ok_value.number
+            number = outcome.ok_value.number
         if wait:
             change = ChangeResult(number, bool(differences))
             fail_if_nodes_behind(await wait_for_nodes(platform, change, timeout))
--- a/libraries/cli/src/bamboopier_cli/commands/replay.py
+++ b/libraries/cli/src/bamboopier_cli/commands/replay.py
@@ -1,4 +1,4 @@
-"""``bamboopier replay``: send a trace to gateways and check stated outcomes."""
+"""``bamboopier replay``: send a trace to gateways and check expectations."""
 
 from __future__ import annotations
 
@@ -33,36 +33,39 @@
     max_seconds: float = 600.0,
     json: bool = False,
 ) -> str:
-    """Send the requests of TRACE to GATEWAYS (URLs, comma separated).
+    """Send the requests of TRACE to GATEWAYS (comma-separated URLs).
 
-    KEYS is a JSON file of workspace names and their API keys. OUTCOMES is a JSON file
-    of stated outcomes; exit code 1 where one does not hold. SPEED shortens all gaps.
+    KEYS is a JSON file that maps workspace names to API keys. OUTCOMES is a JSON file
+    of expectations; the exit code is 1 if one is missed. SPEED divides the gaps between
+    requests.
     """
-    loaded = _unwrap(read_trace(Path(trace)))
-    stated = _unwrap(read_expectations(Path(outcomes))) if outcomes else []
-    read = read_file(Path(keys), dict[str, str])
-    if isinstance(read, Err):
-        fail_configuration(read.err_value)
+    recorded = _unwrap(read_trace(Path(trace)))
+    expectations = _unwrap(read_expectations(Path(outcomes))) if outcomes else []
+    api_keys = read_file(Path(keys), dict[str, str])
+    if isinstance(api_keys, Err):
+        fail_configuration(api_keys.err_value)
     options = PlayerOptions(speed, max_open, max_seconds)
-    player = Player(gateways.split(","), read.ok_value, options)
-    asyncio.run(player.play(loaded))
+    player = Player(gateways.split(","), api_keys.ok_value, options)
+    asyncio.run(player.play(recorded))
     summaries = summarize(player.observations)
-    verdicts = check_expectations(stated, summaries)
+    verdicts = check_expectations(expectations, summaries)
     text = (
         _render_json(summaries, verdicts) if json else _render_text(summaries, verdicts)
     )
     missed = sum(not verdict.holds for verdict in verdicts)
     if missed or player.unfinished:
         print(text)
-        message = f"{missed} stated outcomes missed, {player.unfinished} not finished"
+        message = (
+            f"{missed} expectations missed, {player.unfinished} requests unfinished"
+        )
         raise CommandError(message, FAILURE)
     return text
 
 
-def _unwrap(answer: Result[T, BamboopierError]) -> T:
-    if isinstance(answer, Err):
-        raise CommandError(str(answer.err_value), USAGE_ERROR)
-    return answer.ok_value
+def _unwrap(result: Result[T, BamboopierError]) -> T:
+    if isinstance(result, Err):
+        raise CommandError(str(result.err_value), USAGE_ERROR)
+    return result.ok_value
 
 
 def _render_json(summaries: list[Summary], verdicts: list[Verdict]) -> str:
@@ -77,11 +80,13 @@
         for s in summaries
     ]
     for verdict in verdicts:
-        wanted = verdict.expectation
-        mark = "holds" if verdict.holds else "MISSED"
-        bounds = f"at least {wanted.at_least}, at most {wanted.at_most}"
+        expectation = verdict.expectation
+        label = "holds" if verdict.holds else "MISSED"
+        bounds = f"at least {expectation.at_least}, at most {expectation.at_most}"
         found = verdict.found
-        lines.append(f"{mark}: {wanted.tag} {wanted.measure} {found} ({bounds})")
+        lines.append(
+            f"{label}: {expectation.tag} {expectation.measure} {found} ({bounds})"
+        )
     return "\n".join(lines)
 
 
--- a/libraries/cli/src/bamboopier_cli/commands/restore.py
+++ b/libraries/cli/src/bamboopier_cli/commands/restore.py
@@ -1,4 +1,4 @@
-"""``bamboopier restore``: bring a drained data centre or target back."""
+"""``bamboopier restore``: return a drained data centre or target to service."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     timeout: float = 30.0,
     json: bool = False,
 ) -> str:
-    """Bring a drained data centre or target back.
+    """Return a drained data centre or target to service.
 
-    PLACE is ``data-centre`` or ``target``. Targets that come back cold are given
-    work slowly at first.
-    With --wait the command returns once all nodes have it in force, and fails naming
-    those that do not after TIMEOUT seconds.
+    PLACE is ``data-centre`` or ``target``. Restored targets with a cold cache receive
+    requests slowly at first.
+    With --wait the command returns once all nodes have the change in force, and fails
+    with the names of those that do not after TIMEOUT seconds.
     """
     result = asyncio.run(
         set_drained(platform, place, name, drained=False, wait=wait, timeout=timeout)
--- a/libraries/cli/src/bamboopier_cli/commands/status.py
+++ b/libraries/cli/src/bamboopier_cli/commands/status.py
@@ -1,4 +1,4 @@
-"""``bamboopier status``: what the fleet has in force, node by node."""
+"""``bamboopier status``: show the state of the fleet, node by node."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class FleetStatus(msgspec.Struct, frozen=True):
-    """The published generation and what each node says of itself."""
+    """The published generation, its drains and the status of each node."""
 
     generation: int
     drained_data_centres: list[str]
@@ -32,14 +32,14 @@
 
 
 def status(*, platform: str, json: bool = False) -> str:
-    """Show the generation in force, drains and the state of all nodes.
+    """Show the published generation, drains and the state of all nodes.
 
-    Nodes are asked directly; the platform gives the published generation and the VM
-    list. The exit code is 1 when the platform cannot be read; nodes that do not answer
-    are shown as such.
+    Status is read directly from the nodes, and the published generation and the VM list
+    from the platform. The exit code is 1 when the platform cannot be read; nodes that
+    do not answer are shown as such.
     """
-    found = asyncio.run(_read_fleet_status(platform))
-    return render(found, _render_text(found), json)
+    fleet = asyncio.run(_read_fleet_status(platform))
+    return render(fleet, _render_text(fleet), json)
 
 
 async def _read_fleet_status(url: str) -> FleetStatus:
@@ -50,35 +50,35 @@
         return FleetStatus(current.number, drains.data_centres, drains.targets, nodes)
 
 
-def _render_text(found: FleetStatus) -> str:
-    in_force = sum(node.generation >= found.generation for node in found.nodes)
+def _render_text(fleet: FleetStatus) -> str:
+    in_force = sum(node.generation >= fleet.generation for node in fleet.nodes)
     lines = [
-        f"generation {found.generation}, in force at {in_force} of "
-        f"{len(found.nodes)} nodes",
-        f"drained data centres: {', '.join(found.drained_data_centres) or 'none'}",
-        f"drained targets: {', '.join(found.drained_targets) or 'none'}",
+        f"generation {fleet.generation}, in force at {in_force} of "
+        f"{len(fleet.nodes)} nodes",
+        f"drained data centres: {', '.join(fleet.drained_data_centres) or 'none'}",
+        f"drained targets: {', '.join(fleet.drained_targets) or 'none'}",
         "",
     ]
-    rows = [TITLES, *(_make_row(node, found) for node in found.nodes)]
+    rows = [TITLES, *(_make_row(node, fleet) for node in fleet.nodes)]
     return "\n".join(lines + _align_columns(rows))
 
 
-def _make_row(node: NodeStatus, found: FleetStatus) -> tuple[str, ...]:
+def _make_row(node: NodeStatus, fleet: FleetStatus) -> tuple[str, ...]:
     load = (str(node.running), str(node.waiting), str(node.limit))
-    place = (node.name, node.role, node.data_centre, node.service or "-")
+    identity = (node.name, node.role, node.data_centre, node.service or "-")
     if not node.reachable:
-        return (*place, "no answer", "-", "-", "-", "-", "-")
-    state = _name_state(node, found)
+        return (*identity, "no answer", "-", "-", "-", "-", "-")
+    state = _name_state(node, fleet)
     version = node.weight_version or "-"
-    return (*place, state, str(node.generation), version, *load)
+    return (*identity, state, str(node.generation), version, *load)
 
 
-def _name_state(node: NodeStatus, found: FleetStatus) -> str:
+def _name_state(node: NodeStatus, fleet: FleetStatus) -> str:
     if node.listed == "leaving":
         return "leaving"
     if (
-        node.data_centre in found.drained_data_centres
-        or node.name in found.drained_targets
+        node.data_centre in fleet.drained_data_centres
+        or node.name in fleet.drained_targets
     ):
         return "drained"
     return "ready" if node.accepting else "closed"
--- a/libraries/cli/src/bamboopier_cli/commands/version.py
+++ b/libraries/cli/src/bamboopier_cli/commands/version.py
@@ -11,7 +11,7 @@
 
 
 class Versions(msgspec.Struct, frozen=True):
-    """The versions that matter in a report of a fault."""
+    """Versions to state in a bug report."""
 
     bamboopier: str
     python: str
--- a/libraries/cli/src/bamboopier_cli/credentials.py
+++ b/libraries/cli/src/bamboopier_cli/credentials.py
@@ -1,4 +1,4 @@
-"""The certificate with which an operator's commands reach platform and nodes."""
+"""TLS credentials that the commands use towards the platform and the nodes."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 from .exit_codes import fail_configuration
 
-# Names a JSON file with the same keys as "tls" in a process's settings. A variable of
-# the operator's shell, for it is the same for every command and every fleet has one.
+# Path of a JSON file with the same keys as "tls" in a process's settings. This is an
+# environment variable because every command uses the same file and a fleet has one.
 TLS_VARIABLE = "BAMBOOPIER_TLS"
 
 
 @cache
 def read_certificates() -> Certificates:
-    """Return the operator's certificates; everything is plain without the variable."""
+    """Return the operator's certificates; without the variable, use no TLS."""
     name = os.environ.get(TLS_VARIABLE, "")
     if not name:
         return Certificates(None, allow_plain=True)
-    answer = read_file(Path(name), Tls)
-    if isinstance(answer, Err):
-        fail_configuration(answer.err_value)
-    fault = find_certificate_error(answer.ok_value, "$", name)
-    if fault is not None:
-        fail_configuration(fault)
-    return Certificates(answer.ok_value)
+    result = read_file(Path(name), Tls)
+    if isinstance(result, Err):
+        fail_configuration(result.err_value)
+    error = find_certificate_error(result.ok_value, "$", name)
+    if error is not None:
+        fail_configuration(error)
+    return Certificates(result.ok_value)
 
 
 def open_platform(url: str) -> HttpPlatform:
-    """Return a client of the platform, to be used as a context manager."""
+    """Return a platform client, which is a context manager."""
     return HttpPlatform(url, read_certificates().make_client_context())
--- a/libraries/cli/src/bamboopier_cli/decision_log.py
+++ b/libraries/cli/src/bamboopier_cli/decision_log.py
@@ -1,4 +1,4 @@
-"""Reads the decision lines that gateways and agents write on standard output."""
+"""Reads the decisions that gateways and agents log to standard output."""
 
 from __future__ import annotations
 
@@ -9,38 +9,38 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# A decision line is far shorter; anything longer is not one and is skipped.
+# Decision lines are far shorter; longer lines are skipped without decoding.
 MAX_LINE_BYTES = 1024 * 1024
 _COMMON_FIELDS = frozenset({"event", "timestamp", "level", "request_id"})
 
 
 class DecisionLine(msgspec.Struct, frozen=True):
-    """One decision about one request, as it was logged."""
+    """One logged decision about one request."""
 
     event: str
     timestamp: str
     request_id: str
-    # Everything else that the line says, by its field name.
+    # All other fields of the line, by name.
     details: dict[str, Any]
 
 
 def read_decisions(files: Iterable[IO[bytes]], request_id: str) -> list[DecisionLine]:
-    """Return the lines about a request, oldest first.
+    """Return the decisions about a request, oldest first.
 
-    ``request_id`` may be the beginning of one. Lines that are no JSON objects (a
+    ``request_id`` may be a prefix of the full id. Lines that are not JSON objects (a
     traceback, another program's output) are skipped.
     """
-    found: list[DecisionLine] = []
+    decisions: list[DecisionLine] = []
     for file in files:
         for line in file:
             decision = _parse_line(line)
             if decision is not None and decision.request_id.startswith(request_id):
-                found.append(decision)
-    return sorted(found, key=lambda decision: decision.timestamp)
+                decisions.append(decision)
+    return sorted(decisions, key=lambda decision: decision.timestamp)
 
 
 def _parse_line(line: bytes) -> DecisionLine | None:
-    # A collector may have put its own words before the object.
+    # A log collector may prefix the object with its own text.
     start = line.find(b"{")
     if start < 0 or len(line) > MAX_LINE_BYTES:
         return None
--- a/libraries/cli/src/bamboopier_cli/difference.py
+++ b/libraries/cli/src/bamboopier_cli/difference.py
@@ -1,4 +1,4 @@
-"""What a publish would change, by section and name."""
+"""Differences between two configurations, by section and name."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """One named item that differs."""
+    """One item that was added, removed or changed."""
 
     section: str
     name: str
@@ -22,22 +22,22 @@
 
 
 def compare_configurations(old: Configuration, new: Configuration) -> list[Difference]:
-    """Return what differs in ``new``, ordered by section and name."""
-    found: list[Difference] = []
+    """Return the changes from ``old`` to ``new``, ordered by section and name."""
+    differences: list[Difference] = []
     for section in SECTIONS:
         before = {item.name: item for item in getattr(old, section)}
         after = {item.name: item for item in getattr(new, section)}
         for name in sorted(before.keys() | after.keys()):
             if name not in before:
-                found.append(Difference(section, name, "added"))
+                differences.append(Difference(section, name, "added"))
             elif name not in after:
-                found.append(Difference(section, name, "removed"))
+                differences.append(Difference(section, name, "removed"))
             elif before[name] != after[name]:
-                found.append(Difference(section, name, "changed"))
-    return found
+                differences.append(Difference(section, name, "changed"))
+    return differences
 
 
 def format_differences(differences: list[Difference]) -> str:
-    """Return a line for each difference."""
+    """Return one line per difference."""
     lines = [f"{_SIGNS[d.change]} {d.section} {d.name}" for d in differences]
     return "\n".join(lines) or "no difference"
--- a/libraries/cli/src/bamboopier_cli/exit_codes.py
+++ b/libraries/cli/src/bamboopier_cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes and the error that carries one."""
+"""Exit codes, and the error that ends a command with one."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
     from bamboopier_configuration.errors import ConfigurationError
 
 SUCCESS = 0
-# The command ran and did not achieve what was asked.
+# The command ran but did not achieve the requested result.
 FAILURE = 1
-# Wrong arguments or a configuration that may not be used; nothing was changed.
+# Wrong arguments, or an invalid configuration; nothing was changed.
 USAGE_ERROR = 2
-# Ended by Ctrl-C, as shells report it.
+# Interrupted by Ctrl-C; the value that shells report.
 INTERRUPTED = 130
 
 
 class CommandError(BamboopierError):
-    """Ends a command with a message and an exit code."""
+    """Ends a command with a message and an exit code, ``status``."""
 
     def __init__(self, message: str, status: int = FAILURE) -> None:
         super().__init__(message)
@@ -27,5 +27,5 @@
 
 
 def fail_configuration(error: ConfigurationError) -> NoReturn:
-    """End the command because a file may not be used."""
+    """End the command because a settings or configuration file is invalid."""
     raise CommandError(str(error), USAGE_ERROR)
--- a/libraries/cli/src/bamboopier_cli/help.py
+++ b/libraries/cli/src/bamboopier_cli/help.py
@@ -1,4 +1,4 @@
-"""Help texts, made from the commands' signatures and doc comments."""
+"""Help texts, generated from the commands' signatures and docstrings."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
     from collections.abc import Callable, Mapping
 
 EXIT_CODES = (
-    "Exit codes: 0 done; 1 the command ran and did not achieve what was asked;\n"
-    "2 wrong arguments, settings or configuration, and nothing was changed."
+    "Exit codes: 0 success; 1 the command ran but did not achieve the result;\n"
+    "2 invalid arguments, settings or configuration; nothing was changed."
 )
 
 
 def describe_program(commands: Mapping[str, Callable[..., str | None]]) -> str:
-    """Return the list of commands."""
+    """Return the program's usage and its list of commands."""
     lines = ["Usage: bamboopier COMMAND [OPTIONS]", "", "Commands:"]
     width = max(map(len, commands))
     for name, command in sorted(commands.items()):
@@ -25,7 +25,7 @@
 
 
 def describe_command(name: str, command: Callable[..., str | None]) -> str:
-    """Return usage, options and the command's own text."""
+    """Return a command's usage, options and description."""
     required: list[str] = []
     optional: list[str] = []
     for parameter in inspect.signature(command).parameters.values():
--- a/libraries/cli/src/bamboopier_cli/node_status.py
+++ b/libraries/cli/src/bamboopier_cli/node_status.py
@@ -1,8 +1,8 @@
-"""Asks every listed gateway and agent directly what it has in force.
+"""Reads the status of listed gateways and agents directly from each of them.
 
-Nodes write nothing to the platform to say so: 1,070 nodes after each of 2,300 changes a
-day would be 28 writes a second. Whoever wants to know asks them, a bounded number at
-once, for one read of the VM list.
+Nodes do not write their status to the platform: 1,070 nodes after each of 2,300 changes
+a day would be 28 writes a second. A command reads the VM list once and then sends a
+request to each node, a bounded number at a time.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class NodeStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """One gateway or target as it answered, or as listed if it did not."""
+    """Status that a gateway or target reported, or its list entry if unreachable."""
 
     name: str
     role: Literal["gateway", "target"]
@@ -42,7 +42,7 @@
     listed: Literal["live", "leaving"]
     reachable: bool = False
     generation: int = 0
-    # Whether new work is taken here.
+    # Whether the node accepts new requests.
     accepting: bool = False
     weight_version: str = ""
     running: int = 0
@@ -51,48 +51,48 @@
 
 
 async def list_nodes(vms: VmListSource) -> list[Vm]:
-    """Return the listed gateways and targets."""
-    answer = await vms.list_vms()
-    if isinstance(answer, Err):
-        raise CommandError(f"no VM list: {answer.err_value}")
-    return [vm for vm in answer.ok_value if vm.role != "store"]
+    """Return the listed gateways and targets; end the command without a list."""
+    result = await vms.list_vms()
+    if isinstance(result, Err):
+        raise CommandError(f"no VM list: {result.err_value}")
+    return [vm for vm in result.ok_value if vm.role != "store"]
 
 
 async def read_node_statuses(nodes: Sequence[Vm]) -> list[NodeStatus]:
-    """Return the status of each node in the order given."""
-    gate = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
+    """Return the status of each node, in the order of ``nodes``."""
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
     timeout = aiohttp.ClientTimeout(total=RESPONSE_TIMEOUT_SECONDS)
     connector = aiohttp.TCPConnector(
         ssl=read_certificates().make_client_context() or True
     )
     async with aiohttp.ClientSession(timeout=timeout, connector=connector) as session:
 
-        async def ask(vm: Vm) -> NodeStatus:
-            async with gate:
+        async def read_status(vm: Vm) -> NodeStatus:
+            async with semaphore:
                 if vm.role == "gateway":
                     return await _read_gateway_status(session, vm)
                 return await _read_agent_status(vm)
 
-        return list(await asyncio.gather(*(ask(vm) for vm in nodes)))
+        return list(await asyncio.gather(*(read_status(vm) for vm in nodes)))
 
 
 async def wait_for_generation(
     nodes: Sequence[Vm], generation: int, timeout: float
 ) -> list[NodeStatus]:
-    """Ask until all nodes have ``generation`` or a higher one.
+    """Poll until all nodes have ``generation`` or a higher one in force.
 
-    Returns those that do not after ``timeout`` seconds; a node that cannot be reached
-    is one of them, since nobody can say what it does.
+    Return those that do not after ``timeout`` seconds. An unreachable node is among
+    them, because its generation is not known.
     """
-    limit = time.monotonic() + timeout
-    left = list(nodes)
+    deadline = time.monotonic() + timeout
+    remaining = list(nodes)
     while True:
-        statuses = await read_node_statuses(left)
+        statuses = await read_node_statuses(remaining)
         behind = [status for status in statuses if status.generation < generation]
-        if not behind or time.monotonic() >= limit:
+        if not behind or time.monotonic() >= deadline:
             return behind
         names = {status.name for status in behind}
-        left = [vm for vm in left if vm.name in names]
+        remaining = [vm for vm in remaining if vm.name in names]
         await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
 
@@ -111,15 +111,15 @@
     try:
         scheme = "https" if read_certificates().is_enabled else "http"
         async with session.get(f"{scheme}://{vm.address}/v1/status") as response:
-            found = msgspec.json.decode(await response.read(), type=GatewayStatus)
+            report = msgspec.json.decode(await response.read(), type=GatewayStatus)
     except (aiohttp.ClientError, TimeoutError, msgspec.MsgspecError):
         return status
     return msgspec.structs.replace(
         status,
         reachable=True,
-        generation=found.generation,
-        accepting=found.ready,
-        running=found.open_requests,
+        generation=report.generation,
+        accepting=report.ready,
+        running=report.open_requests,
     )
 
 
--- a/libraries/cli/src/bamboopier_cli/output.py
+++ b/libraries/cli/src/bamboopier_cli/output.py
@@ -1,4 +1,4 @@
-"""Output for people by default, one JSON object for programs."""
+"""Output of commands: text for people by default, JSON for programs."""
 
 from __future__ import annotations
 
@@ -13,5 +13,5 @@
 def render(
     value: msgspec.Struct | Sequence[msgspec.Struct], text: str, json: bool
 ) -> str:
-    """Return ``value`` as JSON, or ``text``."""
+    """Return ``value`` as JSON if ``json`` is set, or else ``text``."""
     return msgspec.json.encode(value).decode() if json else text
--- a/libraries/cli/tests/commands/test_explain.py
+++ b/libraries/cli/tests/commands/test_explain.py
@@ -1,4 +1,4 @@
-"""Reading the decision log for people and for programs."""
+"""Tests of the explain command, with text and JSON output."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         self.assertEqual(lines[0]["details"]["target"], "desk-1")
 
     def test_a_prefix_of_two_request_ids_is_refused(self) -> None:
-        with self.assertRaisesRegex(CommandError, "begins 2 request ids") as caught:
+        with self.assertRaisesRegex(CommandError, "matches 2 request ids") as caught:
             explain("ab", str(self.gateway))
         self.assertEqual(caught.exception.status, USAGE_ERROR)
 
--- a/libraries/cli/tests/test_arguments.py
+++ b/libraries/cli/tests/test_arguments.py
@@ -1,4 +1,4 @@
-"""How words of a command line become arguments."""
+"""Tests of binding command-line arguments to parameters."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def move(*names: str, platform: str, json: bool = False, count: int = 1) -> str:
-    """Stand in for a command."""
+    """Serve as a command with all kinds of parameters."""
     return f"{names} {platform} {json} {count}"
 
 
--- a/libraries/cli/tests/test_publishing.py
+++ b/libraries/cli/tests/test_publishing.py
@@ -1,4 +1,4 @@
-"""Drains of several operators at once, at the platform's interface."""
+"""Tests of concurrent drains by several operators."""
 
 from __future__ import annotations
 
@@ -58,25 +58,25 @@
         return drains.data_centres, drains.targets
 
     async def test_a_drain_that_conflicts_is_retried(self) -> None:
-        """A second operator drains another place just before the first one's write.
+        """A second operator drains a target just before the first one's write.
 
-        Given up, the first operator's data centre would stay in service; written over
-        the second one's, that one's would come back.
+        Guards against losing either drain: without a retry the first operator's data
+        centre stays in service, and overwriting restores the second one's target.
         """
 
-        async def overtake() -> None:
+        async def drain_concurrently() -> None:
             await change_drains(self.platform, "target", "desk-2", drained=True)
 
-        self.platform.before_head = overtake
+        self.platform.before_head = drain_concurrently
         drained = await change_drains(
             self.platform, "data-centre", "dc-east", drained=True
         )
         self.assertEqual((drained.generation, drained.changed), (2, True))
         self.assertEqual(await self.read_drains(), (["dc-east"], ["desk-2"]))
-        again = await change_drains(
+        repeated = await change_drains(
             self.platform, "data-centre", "dc-east", drained=True
         )
-        self.assertEqual((again.generation, again.changed), (2, False))
+        self.assertEqual((repeated.generation, repeated.changed), (2, False))
 
     async def test_an_unknown_place_changes_nothing(self) -> None:
         cases = [("target", "desk-9", "desk-1, desk-2"), ("rack", "desk-1", "target")]
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -120,7 +120,7 @@
         status = read_status(self.installation)
         self.assertEqual(status["generation"], 2)
         self.assertEqual({node["generation"] for node in status["nodes"]}, {2})
-        self.assertIn("says the same", publish(self.installation, folder))
+        self.assertIn("is identical", publish(self.installation, folder))
         text = run(self.installation, "status")
         self.assertIn("generation 2, in force at 3 of 3 nodes", text)
         # No node writes down what it has in force: 1,070 writes a change would be the
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -61,4 +61,4 @@
         self.installation.daemons["gateway-2"].kill()
         status, output = self.replay(answered_share=1.0)
         self.assertEqual(status, 1, output)
-        self.assertIn("1 stated outcomes missed", output)
+        self.assertIn("1 expectations missed", output)
--- a/tools/safeguards/places.py
+++ b/tools/safeguards/places.py
@@ -57,9 +57,9 @@
     Mutation(
         "drains by several operators compose",
         "libraries/cli/src/bamboopier_cli/publishing.py",
-        "        if not isinstance(answer.err_value, VersionConflictError):\n"
-        "            raise CommandError(str(answer.err_value))\n",
-        "        raise CommandError(str(answer.err_value))\n",
+        "        if not isinstance(outcome.err_value, VersionConflictError):\n"
+        "            raise CommandError(str(outcome.err_value))\n",
+        "        raise CommandError(str(outcome.err_value))\n",
         "libraries/cli",
         "tests.test_publishing.DrainTests.test_a_drain_that_conflicts_is_retried",
     ),
