--- a/libraries/replay/src/bamboopier_replay/__init__.py
+++ b/libraries/replay/src/bamboopier_replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replays a recorded trace against a gateway and checks stated outcomes."""
+"""Replays traces of requests against gateways and checks expectations."""
--- a/libraries/replay/src/bamboopier_replay/expectations.py
+++ b/libraries/replay/src/bamboopier_replay/expectations.py
@@ -1,4 +1,4 @@
-"""Stated outcomes of a trace and whether a replay met them."""
+"""Expectations of a replay's results, and whether they hold."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 
 
 class ExpectationError(BamboopierError):
-    """A file of stated outcomes that may not be used."""
+    """An unreadable or invalid file of expectations."""
 
 
 class Expectation(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A bound on one measure of one tag."""
+    """Bounds on one measure of the requests with one tag. Times are in seconds."""
 
     measure: Measure
     tag: str = ALL_TAG
@@ -42,7 +42,7 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """One stated outcome with what was found; ``found`` is None without requests."""
+    """An expectation and the measured value, ``found``; None without requests."""
 
     expectation: Expectation
     found: float | None
@@ -50,7 +50,7 @@
 
 
 def read_expectations(path: Path) -> Result[list[Expectation], ExpectationError]:
-    """Read a JSON list of stated outcomes."""
+    """Read a JSON list of expectations."""
     try:
         return Ok(msgspec.json.decode(path.read_bytes(), type=list[Expectation]))
     except OSError as error:
@@ -62,7 +62,7 @@
 def check_expectations(
     expectations: list[Expectation], summaries: list[Summary]
 ) -> list[Verdict]:
-    """Compare each stated outcome with the replay's figures."""
+    """Return a verdict for each expectation; one without requests does not hold."""
     by_tag = {summary.tag: summary for summary in summaries}
     return [_check_expectation(e, by_tag.get(e.tag)) for e in expectations]
 
@@ -71,6 +71,6 @@
     if summary is None or summary.requests == 0:
         return Verdict(expectation, None, holds=False)
     found = float(getattr(summary, expectation.measure))
-    low = expectation.at_least is None or found >= expectation.at_least
-    high = expectation.at_most is None or found <= expectation.at_most
-    return Verdict(expectation, found, low and high)
+    meets_minimum = expectation.at_least is None or found >= expectation.at_least
+    meets_maximum = expectation.at_most is None or found <= expectation.at_most
+    return Verdict(expectation, found, meets_minimum and meets_maximum)
--- a/libraries/replay/src/bamboopier_replay/observation.py
+++ b/libraries/replay/src/bamboopier_replay/observation.py
@@ -1,4 +1,4 @@
-"""What a caller saw of one replayed request."""
+"""Result of one replayed request, as its caller sees it."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
     """How a request ended for its caller."""
 
     ANSWERED = "answered"
-    # A typed refusal that says the request has not run.
+    # A typed error which states that the request has not run.
     REFUSED = "refused"
-    # A typed answer that says the request may have run.
+    # A typed error which states that the request may have run.
     UNKNOWN = "unknown"
-    # Any other error answer: the request itself was wrong.
+    # Any other error response: the request itself was invalid.
     ERROR = "error"
-    # The connection broke or the answer ended early.
+    # The connection was cut or the response ended early.
     CUT = "cut"
     TIMED_OUT = "timed-out"
 
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """One request's outcome. Times are in seconds."""
+    """One request's outcome and measurements. Times are in seconds."""
 
     tag: str
     workspace: str
     outcome: Outcome
-    # The error's stable code, empty for answers.
+    # Stable code of the error; empty for a successful response.
     code: str = ""
     first_byte: float = 0.0
     total: float = 0.0
@@ -36,5 +36,5 @@
     prompt_tokens: int = 0
     cached_tokens: int = 0
     idempotency_key: str = ""
-    # Digest of the answer's body, to tell whether a repeated key got the same answer.
+    # SHA-256 of the response body; shows whether a repeated key got the same response.
     body_digest: str = ""
--- a/libraries/replay/src/bamboopier_replay/player.py
+++ b/libraries/replay/src/bamboopier_replay/player.py
@@ -1,4 +1,4 @@
-"""Sends a trace's requests at their times and notes what comes back."""
+"""Sends the requests of a trace at their times and records the responses."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
     from .trace import Trace, TracedRequest
 
-# A caller that was never answered is given up after its own timeout and this.
+# Time to wait for a response beyond the request's own timeout.
 TIMEOUT_GRACE_SECONDS = 5.0
 DEFAULT_TIMEOUT_SECONDS = 60.0
 _USAGE_KEY = b'"usage":'
@@ -27,13 +27,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PlayerOptions:
-    """Bounds of one replay."""
+    """Speed and limits of one replay."""
 
-    # How much faster than recorded; gaps of hours become seconds.
+    # Factor by which gaps are shortened, so that hours become seconds.
     speed: float = 1.0
-    # Requests open at once; a trace that wants more is delayed and says so.
+    # Maximum number of open requests; further ones are delayed (``max_start_delay``).
     max_open: int = 256
-    # The whole replay ends after this, finished or not.
+    # The replay is cancelled after this time if it has not finished.
     max_seconds: float = 600.0
 
 
@@ -58,7 +58,7 @@
 
 
 class Player:
-    """Replays one trace against one or more gateways, in turn."""
+    """Replays one trace against one or more gateways, in round-robin order."""
 
     def __init__(
         self,
@@ -71,12 +71,15 @@
         self._options = options
         self._open_slots = asyncio.Semaphore(options.max_open)
         self.observations: list[Observation] = []
-        # Seconds by which the latest request was started too late.
+        # Largest delay of a request's start beyond its due time, in seconds.
         self.max_start_delay = 0.0
         self.unfinished = 0
 
     async def play(self, trace: Trace) -> None:
-        """Send everything; returns once each request has its outcome."""
+        """Send all requests; return once each has its outcome, or at ``max_seconds``.
+
+        ``unfinished`` is then the number of requests without an outcome.
+        """
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector) as session:
             tasks: list[asyncio.Task[None]] = []
@@ -96,12 +99,12 @@
         tasks: list[asyncio.Task[None]],
     ) -> None:
         started = time.monotonic()
-        for number, request in enumerate(trace.requests):
+        for index, request in enumerate(trace.requests):
             due = started + request.at / self._options.speed
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             await self._open_slots.acquire()
             self.max_start_delay = max(self.max_start_delay, time.monotonic() - due)
-            gateway = self._gateways[number % len(self._gateways)]
+            gateway = self._gateways[index % len(self._gateways)]
             tasks.append(asyncio.create_task(self._run(session, gateway, request)))
 
     async def _run(
@@ -125,9 +128,9 @@
                     method, gateway + path, data=body, headers=self._headers(request)
                 ) as response,
             ):
-                first = await response.content.readany()
+                first_piece = await response.content.readany()
                 first_byte = time.monotonic() - started
-                content = first + await response.read()
+                content = first_piece + await response.read()
                 return _make_observation(
                     request, response, content, started, first_byte
                 )
--- a/libraries/replay/src/bamboopier_replay/prompts.py
+++ b/libraries/replay/src/bamboopier_replay/prompts.py
@@ -1,4 +1,4 @@
-"""Makes the words of a prompt from its parts."""
+"""Builds the text of a prompt from its parts."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 def make_prompt(parts: Iterable[PromptPart]) -> str:
-    """Return the prompt's text; equal parts always give equal words."""
+    """Return the text of a prompt; equal parts always give equal text."""
     return " ".join(piece for part in parts if (piece := _make_part(part)))
 
 
 def _make_part(part: PromptPart) -> str:
     if part.text:
         return part.text
-    return " ".join(f"{part.seed}-{number}" for number in range(part.words))
+    return " ".join(f"{part.seed}-{index}" for index in range(part.words))
--- a/libraries/replay/src/bamboopier_replay/report.py
+++ b/libraries/replay/src/bamboopier_replay/report.py
@@ -1,4 +1,4 @@
-"""Sums up what callers saw, by tag."""
+"""Summarizes observations by tag."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
     from .observation import Observation
 
-# Histograms count microseconds up to an hour with three digits.
+# Histograms record microseconds, up to an hour, with three significant digits.
 MAX_MICROSECONDS = 3_600_000_000
 SIGNIFICANT_DIGITS = 3
-# The tag under which all requests are summed up together.
+# Tag of the summary of all requests.
 ALL_TAG = "all"
 
 
 class Summary(msgspec.Struct):
-    """One tag's figures. Times are in seconds."""
+    """Figures of the requests with one tag. Times are in seconds."""
 
     tag: str
     requests: int
@@ -34,11 +34,11 @@
     first_byte_p95: float
     first_byte_p99: float
     whole_p95: float
-    # Prompt tokens computed anew, of all prompt tokens of answered requests.
+    # Share of recomputed prompt tokens among the prompt tokens of answered requests.
     recomputed_share: float
-    # Share of refusals that said when to come back.
+    # Share of refusals with a Retry-After header.
     hinted_share: float
-    # Keys whose repeated requests got different answers.
+    # Number of idempotency keys whose requests got different responses.
     keys_with_two_answers: int
 
 
@@ -88,8 +88,8 @@
 
 def _count_inconsistent_keys(answered: list[Observation]) -> int:
     digests: dict[tuple[str, str], set[str]] = {}
-    for seen in answered:
-        if seen.idempotency_key:
-            key = (seen.workspace, seen.idempotency_key)
-            digests.setdefault(key, set()).add(seen.body_digest)
-    return sum(len(found) > 1 for found in digests.values())
+    for observation in answered:
+        if observation.idempotency_key:
+            key = (observation.workspace, observation.idempotency_key)
+            digests.setdefault(key, set()).add(observation.body_digest)
+    return sum(len(key_digests) > 1 for key_digests in digests.values())
--- a/libraries/replay/src/bamboopier_replay/synthetic_traces.py
+++ b/libraries/replay/src/bamboopier_replay/synthetic_traces.py
@@ -1,4 +1,4 @@
-"""Makes small traces in the shape of the two users' work, from a seed."""
+"""Makes small synthetic traces, modelled on the two users' workloads, from a seed."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
     TraceHeader,
 )
 
-# A pillar's whole maintenance history and a shop's catalogue, in words.
+# Prompt lengths in words: a pillar's complete maintenance history, a shop's catalogue.
 HISTORY_WORDS = 6000
 CATALOGUE_WORDS = 8000
 QUESTION_WORDS = 30
-# Gaps between a caller's returns, from seconds to days, all equally likely in log.
+# Gaps between the turns of a conversation range from seconds to days, log-uniformly.
 MIN_GAP_SECONDS = 5.0
 MAX_GAP_SECONDS = 3 * 86_400.0
 
 
 def make_fault_desk_trace(seed: int, pillars: int, turns: int) -> Trace:
-    """Conversations about pillars that come back after long and uneven gaps."""
+    """Return conversations about pillars, continued after long and uneven gaps."""
     generator = random.Random(seed)
     requests: list[TracedRequest] = []
     for pillar in range(pillars):
@@ -42,7 +42,7 @@
 
 
 def make_dispatch_trace(seed: int, orders: int, repeats: int) -> Trace:
-    """Van dispatches, each sent several times under its key."""
+    """Return van dispatches, each sent ``repeats`` times under one idempotency key."""
     generator = random.Random(seed)
     requests: list[TracedRequest] = []
     for order in range(orders):
@@ -64,12 +64,12 @@
 
 
 def make_ordering_trace(seed: int, questions: int, catalogues: int) -> Trace:
-    """Short questions about a few long catalogues that recur all day."""
+    """Return short questions about a few long catalogues that recur all day."""
     generator = random.Random(seed)
     requests: list[TracedRequest] = []
     at = 0.0
     for question in range(questions):
-        # A few catalogues get most of the questions.
+        # Most of the questions are about a few catalogues.
         catalogue = min(int(generator.expovariate(1.0)), catalogues - 1)
         parts = [
             PromptPart(seed=f"catalogue-{catalogue}", words=CATALOGUE_WORDS),
@@ -83,6 +83,6 @@
 
 
 def _draw_gap(generator: random.Random) -> float:
-    """Return a gap in seconds, log-uniform between the shortest and the longest."""
+    """Return a gap in seconds, log-uniform between the minimum and the maximum."""
     exponent = generator.random()
     return float(MIN_GAP_SECONDS * (MAX_GAP_SECONDS / MIN_GAP_SECONDS) ** exponent)
--- a/libraries/replay/src/bamboopier_replay/trace.py
+++ b/libraries/replay/src/bamboopier_replay/trace.py
@@ -1,8 +1,9 @@
-"""The trace format: JSON lines, a header and then one request a line.
+"""The trace format: JSON lines, first a header and then one request per line.
 
-A trace holds no API key and no real prompt: a prompt is a list of parts, each either
-literal text or a seed and a number of words, from which the same words are always made.
-Requests that share their first parts share a prefix, which is what matters here.
+A trace contains no API keys and no real prompts. A prompt is a list of parts, each
+either literal text or a seed and a number of words, from which the same words are
+always generated. Requests with the same first parts share a prefix, which is what the
+replay of prompts depends on.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class TraceError(BamboopierError):
-    """A trace that may not be replayed; names the line and what is wrong there."""
+    """An unreadable or invalid trace file; the message names the line and the error."""
 
 
 class TraceHeader(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -35,7 +36,7 @@
 
 
 class PromptPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A piece of a prompt: ``text`` as it stands, or ``words`` made from ``seed``."""
+    """Part of a prompt: literal ``text``, or ``words`` generated from ``seed``."""
 
     text: str = ""
     seed: str = ""
@@ -43,7 +44,7 @@
 
 
 class ModelRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A completion to ask for."""
+    """A completion request to a model service."""
 
     model: str
     prompt: list[PromptPart]
@@ -52,10 +53,10 @@
 
 
 class PlainRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A call of a plain service."""
+    """A request to a plain service."""
 
     method: str
-    # Path at the gateway, ``/services/NAME/...``.
+    # Path at the gateway: ``/services/NAME/...``.
     path: str
     body: str = ""
 
@@ -65,7 +66,7 @@
 
     at: Annotated[float, msgspec.Meta(ge=0)]
     workspace: str
-    # Groups requests in the report and in stated outcomes.
+    # Groups requests in the report and in expectations.
     tag: str
     model: ModelRequest | None = None
     plain: PlainRequest | None = None
@@ -76,14 +77,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Trace:
-    """A whole trace, requests in order of their time."""
+    """A complete trace, with its requests in order of time."""
 
     header: TraceHeader
     requests: tuple[TracedRequest, ...]
 
 
 def read_trace(path: Path) -> Result[Trace, TraceError]:
-    """Read and check a trace file."""
+    """Read and validate a trace file; sort its requests by time."""
     try:
         lines = path.read_bytes().splitlines()
     except OSError as error:
@@ -94,13 +95,13 @@
     if isinstance(header, Err):
         return header
     requests: list[TracedRequest] = []
-    for number, line in enumerate(lines[1:], start=2):
-        request = _decode(line, TracedRequest, path, number)
+    for line_number, line in enumerate(lines[1:], start=2):
+        request = _decode(line, TracedRequest, path, line_number)
         if isinstance(request, Err):
             return request
         if (request.ok_value.model is None) == (request.ok_value.plain is None):
-            fault = "found both or neither of 'model' and 'plain'; allowed: one"
-            return Err(TraceError(f"{path}: line {number}: {fault}"))
+            problem = "found both or neither of 'model' and 'plain'; allowed: one"
+            return Err(TraceError(f"{path}: line {line_number}: {problem}"))
         requests.append(request.ok_value)
     ordered = tuple(sorted(requests, key=lambda request: request.at))
     return Ok(Trace(header.ok_value, ordered))
@@ -113,9 +114,9 @@
 
 
 def _decode(
-    line: bytes, kind: type[T], path: Path, number: int
+    line: bytes, kind: type[T], path: Path, line_number: int
 ) -> Result[T, TraceError]:
     try:
         return Ok(msgspec.json.decode(line, type=kind))
     except msgspec.MsgspecError as error:
-        return Err(TraceError(f"{path}: line {number}: {error}"))
+        return Err(TraceError(f"{path}: line {line_number}: {error}"))
--- a/libraries/replay/tests/test_replay.py
+++ b/libraries/replay/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""A replay reports what callers received, and nothing rosier."""
+"""Tests that a replay reports exactly what callers receive."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class GatewayFake:
-    """Answers each path in one fixed way."""
+    """Sends a fixed kind of response for each path."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -106,13 +106,15 @@
     async def test_an_expectation_without_requests_does_not_hold(self) -> None:
         player = await self.play(["ok"])
         summaries = summarize(player.observations)
-        stated = [
+        expectations = [
             Expectation("answered_share", "ok", at_least=1.0),
             Expectation("answered_share", "never-sent", at_least=0.0),
             Expectation("recomputed_share", at_most=0.3),
         ]
-        held = [verdict.holds for verdict in check_expectations(stated, summaries)]
-        self.assertEqual(held, [True, False, False])
+        results = [
+            verdict.holds for verdict in check_expectations(expectations, summaries)
+        ]
+        self.assertEqual(results, [True, False, False])
 
 
 class TraceTests(unittest.TestCase):
