--- a/libraries/protocol/src/bamboopier_protocol/__init__.py
+++ b/libraries/protocol/src/bamboopier_protocol/__init__.py
@@ -1,4 +1,5 @@
-"""Messages between gateways and agents: committed gRPC code.
+"""Messages between gateways and agents, as generated gRPC code.
 
-``make protocol`` regenerates the ``_pb2`` modules from ``agent.proto``.
+``make protocol`` regenerates the ``_pb2`` modules from ``agent.proto``; they are
+committed.
 """
--- a/libraries/standins/src/bamboopier_standins/__init__.py
+++ b/libraries/standins/src/bamboopier_standins/__init__.py
@@ -1,5 +1,5 @@
-"""Small stand-ins for the outside systems, for tests and the demo only.
+"""Small stand-ins for the external systems, for tests and the demo only.
 
-Each keeps a log of what reached it, which is what checks look at. The shipped packages
-never import this one.
+Each logs the requests that reach it, which tests check. The shipped packages never
+import this one.
 """
--- a/libraries/standins/src/bamboopier_standins/engine.py
+++ b/libraries/standins/src/bamboopier_standins/engine.py
@@ -1,9 +1,10 @@
 """Stand-in for a model engine: prefix cache, streaming, export and import of context.
 
-Speeds are settings. The words of a prompt are its tokens. ``GET /log`` lists every
-request that was run, in order, which is what tests of "at most once" read.
-A block's bytes follow from the weight version and the words up to its end, and ``GET
-/imports`` lists what was imported with its digest, so that a wrong import shows.
+Speeds are options. Each word of a prompt is one token. ``GET /log`` lists every
+request that was run, in order, which is what tests of at-most-once execution read.
+A block's bytes are determined by the weight version and the words up to the block's
+end, and ``GET /imports`` lists each import with its digest, so that tests detect a
+wrong import.
 """
 
 from __future__ import annotations
@@ -22,16 +23,16 @@
 
 from .server import MAX_BODY_BYTES, run
 
-# A stopping engine takes no new connection and finishes what runs.
+# Time for running requests to finish after a stop; new connections are refused.
 STOP_GRACE_SECONDS = 10.0
 VERSION_HEADER = "Weight-Version"
-# Bytes of exported context a token takes; real engines need some hundred times more.
+# Bytes of exported context per token; real engines need some hundred times more.
 BYTES_PER_TOKEN = 64
 
 
 @dataclass
 class EngineOptions:
-    """Speeds in tokens a second; capacity in blocks."""
+    """Options of an engine. Rates are in tokens per second, capacity in blocks."""
 
     prefill_rate: float = 20_000.0
     decode_rate: float = 200.0
@@ -41,17 +42,17 @@
     version: str = "v1"
     checks_fencing: bool = True
     load_seconds: float = 0.2
-    # Seconds after a load in which the state still shows the old version.
+    # Seconds after a load during which the state still shows the previous version.
     report_lag: float = 0.0
-    # Orders to load that fail from now on.
+    # Number of next load orders that fail.
     failing_loads: int = 0
-    # Requests whose prompt contains this word end the process's service.
+    # A request whose prompt contains this word makes the engine crash and restart.
     crash_word: str = "!crash!"
 
 
 @dataclass(frozen=True)
 class CachedBlock:
-    """One block of context: the version that made it and its bytes."""
+    """One block of context: the weight version that computed it, and its bytes."""
 
     version: str
     content: bytes
@@ -59,7 +60,7 @@
 
 @dataclass
 class EngineStandIn:
-    """One engine with its cache and its log."""
+    """One engine, with its prefix cache and its log."""
 
     options: EngineOptions
     start_id: str = field(default_factory=lambda: uuid.uuid4().hex)
@@ -72,7 +73,7 @@
     fence: int = 0
     running: int = 0
 
-    # Until when the state shows the version before the last load.
+    # Version before the last load, and until when the state still shows it.
     previous_version: str = ""
     previous_version_until: float = 0.0
 
@@ -101,7 +102,7 @@
         return application
 
     async def complete(self, request: web.Request) -> web.StreamResponse:
-        """Answer a completion or chat request, streamed or whole."""
+        """Answer a completion or chat request, streamed or in one piece."""
         body = await request.json()
         prompt = render_prompt(body)
         entry = {"request_id": body.get("request_id", ""), "ended": "", "cached": 0}
@@ -125,7 +126,7 @@
         return response
 
     def _crash(self, request: web.Request) -> None:
-        """Lose everything and cut the connection, as a crash with a restart would."""
+        """Clear the cache and cut the connection, as a crash with a restart would."""
         self.cache.clear()
         self.start_id = uuid.uuid4().hex
         if request.transport is not None:
@@ -157,8 +158,8 @@
             response = await self._stream(request, words, usage, version)
         else:
             await asyncio.sleep(count / self.options.decode_rate)
-            answer = {"choices": [make_choice(" ".join(words))], "usage": usage}
-            response = web.json_response(answer, headers={VERSION_HEADER: version})
+            completion = {"choices": [make_choice(" ".join(words))], "usage": usage}
+            response = web.json_response(completion, headers={VERSION_HEADER: version})
         return response
 
     async def _stream(
@@ -216,7 +217,7 @@
         self.events.append({"kind": "evicted", "key": key})
 
     async def report_state(self, request: web.Request) -> web.Response:
-        """Answer with start id, weight version and load."""
+        """Respond with the start id, the weight version and the load."""
         state = {
             "start_id": self.start_id,
             "version": self._get_reported_version(),
@@ -226,8 +227,8 @@
         return web.json_response(state)
 
     def _get_reported_version(self) -> str:
-        late = time.monotonic() < self.previous_version_until
-        return self.previous_version if late else self.version
+        is_lagging = time.monotonic() < self.previous_version_until
+        return self.previous_version if is_lagging else self.version
 
     async def set_options(self, request: web.Request) -> web.Response:
         """Change options by name (test control)."""
@@ -236,7 +237,7 @@
         return web.Response()
 
     async def list_events(self, request: web.Request) -> web.Response:
-        """Answer with the cache events after a position."""
+        """Respond with the cache events from the position ``after``."""
         after = int(request.query.get("after", "0"))
         body = {
             "start_id": self.start_id,
@@ -246,7 +247,7 @@
         return web.json_response(body)
 
     async def load_weights(self, request: web.Request) -> web.Response:
-        """Swap to another weight version; refuse an old fencing number if checked."""
+        """Load another weight version; refuse an old fencing token if checked."""
         order = await request.json()
         fence = int(order["fence"])
         if self.options.checks_fencing and fence < self.fence:
@@ -266,7 +267,7 @@
         return web.json_response({"version": self.version})
 
     async def export_block(self, request: web.Request) -> web.Response:
-        """Answer with a block's bytes if it is in the cache."""
+        """Respond with a block's bytes if it is in the cache."""
         identity = (request.query.get("salt", ""), request.match_info["key"])
         block = self.cache.get(identity)
         if block is None:
@@ -274,7 +275,7 @@
         return web.Response(body=block.content, headers={VERSION_HEADER: block.version})
 
     async def import_block(self, request: web.Request) -> web.Response:
-        """Put a block into the cache; another weight version's is refused."""
+        """Put a block into the cache; refuse one of another weight version."""
         content = await request.read()
         salt, key = request.query.get("salt", ""), request.match_info["key"]
         version = request.headers[VERSION_HEADER]
@@ -287,47 +288,47 @@
         return web.Response()
 
     async def evict(self, request: web.Request) -> web.Response:
-        """Empty the cache (test control)."""
+        """Evict all blocks from the cache (test control)."""
         while self.cache:
             self._evict_oldest()
         return web.Response()
 
     async def list_log(self, request: web.Request) -> web.Response:
-        """Answer with every request and order this engine was given."""
+        """Respond with every request and order that this engine received."""
         return web.json_response(self.log)
 
     async def list_imports(self, request: web.Request) -> web.Response:
-        """Answer with every block this engine was given to import."""
+        """Respond with every block that this engine imported."""
         return web.json_response(self.imports)
 
 
 def make_block(version: str, words: list[str], block_tokens: int) -> bytes:
-    """Return the context of a block that ends with the last of ``words``."""
+    """Return the bytes of a block that ends with the last of ``words``."""
     text = " ".join([version, *words]).encode()
     size = block_tokens * BYTES_PER_TOKEN
     return hashlib.shake_256(text).digest(size)
 
 
 def render_prompt(body: dict[str, Any]) -> str:
-    """Return the text the model would see."""
+    """Return the prompt of a request as text, with chat messages joined."""
     if "messages" in body:
         return "\n".join(f"<{m['role']}> {m['content']}" for m in body["messages"])
     return str(body.get("prompt", ""))
 
 
 def make_words(prompt: str, count: int) -> list[str]:
-    """Return an answer that depends on the prompt, so mixed-up answers show."""
+    """Return output that depends on the prompt, so that tests detect swapped ones."""
     seed = prompt.split()[-1] if prompt.split() else "empty"
     return [f"{seed}.{number}" for number in range(count)]
 
 
 def make_choice(text: str) -> dict[str, Any]:
-    """Return one choice that suits both kinds of request."""
+    """Return a choice that is valid for both completion and chat requests."""
     return {"index": 0, "text": text, "delta": {"content": text}}
 
 
 def main(port: int = 0, **options: Any) -> None:
-    """Run an engine stand-in; options are those of ``EngineOptions``."""
+    """Run an engine stand-in; ``options`` are fields of ``EngineOptions``."""
 
     async def make_application() -> web.Application:
         return EngineStandIn(EngineOptions(**options)).make_application()
--- a/libraries/standins/src/bamboopier_standins/plain.py
+++ b/libraries/standins/src/bamboopier_standins/plain.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: calls that may and may not be repeated."""
+"""Stand-in for a plain service, with calls that are or are not safe to repeat."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class PlainStandIn:
-    """Counts and logs every call that reached it."""
+    """Counts and logs every call that reaches it."""
 
     def __init__(self, delay: float, log_path: str) -> None:
         self.delay = delay
-        # Survives a kill; empty for none.
+        # File that survives a kill of this process; empty for none.
         self.log_path = log_path
         self.log: list[dict[str, Any]] = []
 
@@ -35,7 +35,7 @@
         return application
 
     async def call(self, request: web.Request) -> web.Response:
-        """Log the call, wait the set time and echo what was asked."""
+        """Log the call, wait ``delay`` seconds and echo the request."""
         body = (await request.read()).decode(errors="replace")
         entry = {
             "method": request.method,
@@ -46,9 +46,9 @@
         }
         self._log_call(entry)
         await asyncio.sleep(self.delay)
-        shown = {name: entry[name] for name in ("method", "path", "body")}
-        answer = {"call": len(self.log), **shown}
-        return web.json_response(answer, status=201 if body else 200)
+        echo = {name: entry[name] for name in ("method", "path", "body")}
+        response = {"call": len(self.log), **echo}
+        return web.json_response(response, status=201 if body else 200)
 
     def _log_call(self, entry: dict[str, Any]) -> None:
         self.log.append(entry)
@@ -57,18 +57,18 @@
                 file.write(json.dumps(entry) + "\n")
 
     async def report_state(self, request: web.Request) -> web.Response:
-        """Answer with a start id."""
+        """Respond with a start id."""
         return web.json_response({"start_id": str(os.getpid()), "version": ""})
 
     async def list_log(self, request: web.Request) -> web.Response:
-        """Answer with every call that reached this service."""
+        """Respond with every call that reached this service."""
         return web.json_response(self.log)
 
 
 def main(port: int = 0, delay: float = 0.0, log_path: str = "") -> None:
     """Run a plain service stand-in; ``delay`` is in seconds.
 
-    Calls are also appended to the file at ``log_path``, a JSON object a line.
+    With ``log_path``, calls are also appended to that file as JSON lines.
     """
 
     async def make_application() -> web.Application:
--- a/libraries/standins/src/bamboopier_standins/platform.py
+++ b/libraries/standins/src/bamboopier_standins/platform.py
@@ -1,8 +1,9 @@
 """Stand-in for the platform: versioned objects with watches, and the VM list.
 
-Faults are set by ``POST /faults``: ``down`` answers 503, ``delay`` (seconds) slows each
-call, ``lose_answers`` carries out that many changes and then cuts the connection
-instead of answering, ``lag`` lets that many reads of an object see its older version.
+Faults are set by ``POST /faults``: ``down`` responds with 503, ``delay`` (seconds)
+slows each call, ``lose_answers`` applies that many changes and then cuts the connection
+instead of responding, ``lag`` makes that many reads return the previous version of an
+object.
 """
 
 from __future__ import annotations
@@ -21,12 +22,12 @@
 
 VERSION_HEADER = "Object-Version"
 EXPECTED_VERSION_HEADER = "Expected-Version"
-# Changes remembered for watches; an older watch gets 410 and must read again.
+# Changes stored for watches; a watch from before them gets 410 and must read again.
 MAX_HISTORY_ENTRIES = 10_000
 
 
 class PlatformStandIn:
-    """Objects, their history and the faults in force."""
+    """Objects, their change history, the VM list and the active faults."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -71,15 +72,15 @@
             return web.Response(status=503)
         response = await handler(request)
         self.calls[f"bytes {kind}"] += len(response.body or b"")
-        changes = request.method in ("PUT", "DELETE")
-        if changes and self.faults.get("lose_answers", 0) > 0:
+        is_change = request.method in ("PUT", "DELETE")
+        if is_change and self.faults.get("lose_answers", 0) > 0:
             self.faults["lose_answers"] -= 1
             if request.transport is not None:
                 request.transport.close()
         return response
 
     async def read(self, request: web.Request) -> web.Response:
-        """Answer with the object's value; its version is in a header."""
+        """Respond with the object's value, and its version in a header."""
         key = request.match_info["key"]
         stored = self.objects.get(key)
         if self.faults.get("lag", 0) > 0 and key in self.previous:
@@ -118,7 +119,7 @@
         return web.Response(headers={VERSION_HEADER: str(self.revision)})
 
     async def list(self, request: web.Request) -> web.Response:
-        """Answer with all objects under a prefix."""
+        """Respond with all objects whose keys have a prefix."""
         prefix = request.query["prefix"]
         found = [
             {"key": key, "version": v, "value": base64.b64encode(value).decode()}
@@ -128,7 +129,7 @@
         return web.json_response(found)
 
     async def watch(self, request: web.Request) -> web.Response:
-        """Answer once something under the prefix changes, or at the timeout."""
+        """Respond once an object under the prefix changes, or at the timeout."""
         prefix = request.query["prefix"]
         after = int(request.query["after"])
         timeout = float(request.query["timeout"])
@@ -157,7 +158,7 @@
         return web.json_response(body)
 
     async def list_vms(self, request: web.Request) -> web.Response:
-        """Answer with the VM list, or 304 to a caller that has it already."""
+        """Respond with the VM list, or with 304 if the client's copy is current."""
         body = json.dumps(self.vms).encode()
         tag = f'"{hashlib.sha256(body).hexdigest()[:16]}"'
         headers = {"ETag": tag, "Content-Type": "application/json"}
@@ -171,17 +172,17 @@
         return web.Response()
 
     async def set_faults(self, request: web.Request) -> web.Response:
-        """Set the faults in force (test control)."""
+        """Set the active faults (test control)."""
         self.faults = json.loads(await request.read())
         return web.Response()
 
     async def report_calls(self, request: web.Request) -> web.Response:
-        """Answer with the number of calls by kind."""
+        """Respond with the number of calls, and of bytes, by kind of call."""
         return web.json_response(dict(self.calls))
 
 
 async def make_application() -> web.Application:
-    """Return a fresh platform."""
+    """Return the HTTP application of a new, empty platform."""
     return PlatformStandIn().make_application()
 
 
--- a/libraries/standins/src/bamboopier_standins/server.py
+++ b/libraries/standins/src/bamboopier_standins/server.py
@@ -1,4 +1,4 @@
-"""Run one stand-in as a process of its own until SIGTERM."""
+"""Runs one stand-in as its own process until SIGTERM."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 ) -> None:
     """Serve the application on a loopback port; print the port once it listens.
 
-    Requests that run when the process is stopped have ``stop_seconds`` to finish.
+    Requests that are running at the stop have ``stop_seconds`` to finish.
     """
     asyncio.run(_serve(make_application, port, stop_seconds))
 
@@ -34,8 +34,8 @@
 ) -> None:
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
     runner = web.AppRunner(await make_application(), shutdown_timeout=stop_seconds)
     await runner.setup()
     site = web.TCPSite(runner, HOST, port)
--- a/libraries/standins/src/bamboopier_standins/store.py
+++ b/libraries/standins/src/bamboopier_standins/store.py
@@ -1,10 +1,11 @@
-"""Stand-in for a store VM: bytes under a name, in limited space, with torn writes.
-
-A write whose connection is cut leaves what arrived. ``POST /faults`` damages that many
-of the next reads: ``flip`` a bit, ``truncate``, ``swap`` for another block, ``splice``
-(space reused while it is read), ``hang``, ``drip`` (the head, then nothing). ``cut``
-ends each write after that many bytes, ``full`` refuses every write, ``frozen``
-answers nothing at all. ``GET /log`` lists what was asked, which is what tests count.
+"""Stand-in for a store VM: named blocks in limited space, with torn writes.
+
+A write whose connection is cut stores the bytes received so far. ``POST /faults`` sets
+how many of the next reads have a fault: ``flip`` a bit, ``truncate``, ``swap`` for
+another block, ``splice`` (space is reused during the read), ``hang``, ``drip`` (the
+response head only). ``cut`` ends each write after that many bytes, ``full`` refuses
+every write, ``frozen`` responds to no request. ``GET /log`` lists the requests, which
+tests count.
 """
 
 from __future__ import annotations
@@ -19,25 +20,25 @@
 
 from .server import MAX_BODY_BYTES, run
 
-# Longer than any test; the caller leaves before.
+# Longer than any test; the client disconnects earlier.
 HANG_SECONDS = 60.0
 
 
 class StoreStandIn:
-    """Blocks by name, oldest first."""
+    """Blocks by name, oldest first, in ``capacity`` bytes."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
         self.blocks: OrderedDict[str, bytearray] = OrderedDict()
         self.faults: dict[str, int] = {}
         self.log: list[dict[str, Any]] = []
-        # Reads now, and the most there were at once.
+        # Number of reads in progress, and its maximum so far.
         self.concurrent_reads = 0
         self.max_concurrent_reads = 0
 
     @property
     def used(self) -> int:
-        """Return the bytes that all blocks take."""
+        """Return the total size of all blocks, in bytes."""
         return sum(len(block) for block in self.blocks.values())
 
     def make_application(self) -> web.Application:
@@ -79,13 +80,13 @@
         return response
 
     async def read(self, request: web.Request) -> web.StreamResponse:
-        """Answer with whatever stands under the name."""
+        """Respond with the bytes stored under the name, complete or not."""
         block = self.blocks.get(request.match_info["name"])
         if block is None:
             return web.Response(status=404)
         if request.method == "HEAD":
             return web.Response(body=bytes(block))
-        # Lets other requests in, so that reads at once are seen as such.
+        # Yields to other requests, so that concurrent reads are counted as such.
         await asyncio.sleep(0.01)
         if self._use_fault("hang"):
             await asyncio.sleep(HANG_SECONDS)
@@ -115,11 +116,11 @@
         return True
 
     async def write(self, request: web.Request) -> web.Response:
-        """Store bytes as they arrive; a full store answers 507."""
+        """Store bytes as they arrive; a full store responds with 507."""
         name = request.match_info["name"]
         size = request.content_length or 0
-        replaced = len(self.blocks.get(name, b""))
-        if self.faults.get("full") or self.used - replaced + size > self.capacity:
+        replaced_bytes = len(self.blocks.get(name, b""))
+        if self.faults.get("full") or self.used - replaced_bytes + size > self.capacity:
             return web.Response(status=507)
         self.blocks.pop(name, None)
         block = bytearray()
@@ -135,16 +136,16 @@
         return web.Response()
 
     async def delete(self, request: web.Request) -> web.Response:
-        """Free a block's space."""
+        """Remove a block."""
         self.blocks.pop(request.match_info["name"], None)
         return web.Response()
 
     async def list(self, request: web.Request) -> web.Response:
-        """Answer with the names, oldest first."""
+        """Respond with the names, oldest first."""
         return web.json_response(list(self.blocks))
 
     async def report(self, request: web.Request) -> web.Response:
-        """Answer with the space used and the number of blocks."""
+        """Respond with the used space, the capacity and the number of blocks."""
         body = {
             "used": self.used,
             "capacity": self.capacity,
@@ -153,7 +154,7 @@
         return web.json_response(body)
 
     async def list_log(self, request: web.Request) -> web.Response:
-        """Answer with every call under ``/blocks``."""
+        """Respond with every call under ``/blocks``."""
         return web.json_response(self.log)
 
     async def set_faults(self, request: web.Request) -> web.Response:
