--- a/libraries/cli/src/bamboopier_cli/arguments.py
+++ b/libraries/cli/src/bamboopier_cli/arguments.py
@@ -44,8 +44,8 @@
     """Return the command called ``name``; raise ``CommandError`` if there is none."""
     command = commands.get(name)
     if command is None:
-        near = difflib.get_close_matches(name, commands, n=1)
-        hint = f"did you mean '{near[0]}'? " if near else ""
+        matches = difflib.get_close_matches(name, commands, n=1)
+        hint = f"did you mean '{matches[0]}'? " if matches else ""
         _fail(f"unknown command '{name}'; {hint}known: {', '.join(sorted(commands))}")
     return command
 
@@ -113,10 +113,15 @@
         flag = argument.split("=")[0]
         if not flag.startswith("--") or flag == "--":
             continue
-        word = flag.removeprefix("--").replace("-", "_")
-        if word not in parameters and word.removeprefix("no") not in parameters:
-            near = difflib.get_close_matches(word, parameters, n=1)
-            hint = f"did you mean '--{near[0].replace('_', '-')}'? " if near else ""
+        parameter_name = flag.removeprefix("--").replace("-", "_")
+        if (
+            parameter_name not in parameters
+            and parameter_name.removeprefix("no") not in parameters
+        ):
+            matches = difflib.get_close_matches(parameter_name, parameters, n=1)
+            hint = (
+                f"did you mean '--{matches[0].replace('_', '-')}'? " if matches else ""
+            )
             _fail(f"{name}: unknown option '{flag}'; {hint}see bamboopier {name} -h")
 
 
--- a/libraries/cli/src/bamboopier_cli/help.py
+++ b/libraries/cli/src/bamboopier_cli/help.py
@@ -29,20 +29,20 @@
     required: list[str] = []
     optional: list[str] = []
     for parameter in inspect.signature(command).parameters.values():
-        word = parameter.name.upper().replace("_", "-")
+        placeholder = parameter.name.upper().replace("_", "-")
         flag = "--" + parameter.name.replace("_", "-")
         if parameter.kind is inspect.Parameter.VAR_POSITIONAL:
-            required.append(f"[{word}...]")
+            required.append(f"[{placeholder}...]")
         elif parameter.kind is inspect.Parameter.KEYWORD_ONLY or (
             parameter.default is not inspect.Parameter.empty
         ):
             is_required = parameter.default is inspect.Parameter.empty
-            text = flag if parameter.annotation == "bool" else f"{flag} {word}"
+            text = flag if parameter.annotation == "bool" else f"{flag} {placeholder}"
             (required if is_required else optional).append(
                 text if is_required else f"[{text}]"
             )
         else:
-            required.append(word)
+            required.append(placeholder)
     usage = " ".join(["Usage: bamboopier", name, *required, *optional])
     return "\n".join([usage, "", inspect.getdoc(command) or "", "", EXIT_CODES])
 
--- a/libraries/cli/tests/test_arguments.py
+++ b/libraries/cli/tests/test_arguments.py
@@ -23,21 +23,21 @@
 
 class ArgumentsTests(unittest.TestCase):
     def test_values_that_look_like_numbers_stay_text(self) -> None:
-        words = ["1e3", "0x10", "None", "[1]", "--platform", "7", "--json"]
-        bound = bind_arguments("move", move, words)
+        arguments = ["1e3", "0x10", "None", "[1]", "--platform", "7", "--json"]
+        bound = bind_arguments("move", move, arguments)
         self.assertEqual(bound.positional, ("1e3", "0x10", "None", "[1]"))
         self.assertEqual(bound.named["platform"], "7")
         self.assertIs(bound.named["json"], True)
 
     def test_a_number_and_a_flag_are_parsed_as_annotated(self) -> None:
-        words = ["--platform=p", "--count=3", "--json=false", "a"]
-        bound = bind_arguments("move", move, words)
+        arguments = ["--platform=p", "--count=3", "--json=false", "a"]
+        bound = bind_arguments("move", move, arguments)
         self.assertEqual(bound.run(), "('a',) p False 3")
 
     def test_each_mistake_is_one_line_that_names_the_fix(self) -> None:
-        for words, text in MISTAKES:
-            with self.subTest(words), self.assertRaises(CommandError) as caught:
-                bind_arguments("move", move, words)
+        for arguments, text in MISTAKES:
+            with self.subTest(arguments), self.assertRaises(CommandError) as caught:
+                bind_arguments("move", move, arguments)
             self.assertIn(text, str(caught.exception))
             self.assertNotIn("\n", str(caught.exception))
             self.assertEqual(caught.exception.status, USAGE_ERROR)
