--- a/libraries/configuration/src/bamboopier_configuration/__init__.py
+++ b/libraries/configuration/src/bamboopier_configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Checked settings of a process and the configuration that operators publish."""
+"""Settings of a process and the configuration that operators publish, validated."""
--- a/libraries/configuration/src/bamboopier_configuration/certificate_check.py
+++ b/libraries/configuration/src/bamboopier_configuration/certificate_check.py
@@ -1,4 +1,4 @@
-"""Tries certificate files once, so that a wrong one is named when a process starts."""
+"""Checks certificate files, so that an invalid one is reported at process start."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def find_certificate_error(
     tls: CallerTls | Tls | None, path: str, file: str
 ) -> ConfigurationError | None:
-    """Return what is wrong with the files that the settings name at ``path``."""
+    """Return the first error in the certificate files of the settings at ``path``."""
     if tls is None:
         return None
     for field in tls.__struct_fields__:
@@ -50,5 +50,5 @@
 
 
 def _refuse_password() -> str:
-    """Keep OpenSSL from asking at the terminal for a key's password."""
+    """Keep OpenSSL from prompting for the password of a key."""
     raise ValueError("the key has a password")
--- a/libraries/configuration/src/bamboopier_configuration/collection.py
+++ b/libraries/configuration/src/bamboopier_configuration/collection.py
@@ -1,4 +1,4 @@
-"""Join the operators' files into one configuration and check it as a whole."""
+"""Joins the operators' files into one configuration and checks it across files."""
 
 from __future__ import annotations
 
@@ -32,10 +32,9 @@
 
 
 def collect(files: Iterable[Path]) -> Result[Configuration, ConfigurationError]:
-    """Join ``files`` into one configuration; the first fault found is returned.
+    """Join ``files`` into one configuration, or return the first error.
 
-    Drains are no part of the files: the result has none, and a publisher keeps those
-    in force.
+    Files contain no drains, so the result has none; a publisher keeps the current ones.
     """
     collection = _Collection()
     for file in files:
@@ -50,18 +49,18 @@
 
 
 class _Collection:
-    """The files joined so far, and the place of each name in them."""
+    """The files joined so far, and the position of each name in them."""
 
     def __init__(self) -> None:
         self.joined = Configuration(
             services=[], workspaces=[], models=[], stores=[], drains=Drains([], [])
         )
-        # File and JSON path where a name of a section, or a digest, first stood.
+        # File and JSON path of the first use of a name in a section, or of a digest.
         self._names: dict[tuple[str, str], tuple[str, str]] = {}
         self._digests: dict[str, tuple[str, str]] = {}
 
     def add(self, part: ConfigurationFile, file: str) -> ConfigurationError | None:
-        """Add one file; returns the first fault in it."""
+        """Add one file; return the first error in it."""
         for section in SECTIONS:
             for index, item in enumerate(getattr(part, section)):
                 path = f"$.{section}[{index}]"
@@ -103,7 +102,7 @@
         return None
 
     def _check_kinds(self, services: list[Service]) -> ConfigurationError | None:
-        """Refuse what does not fit a service's kind: nobody could ever call it."""
+        """Refuse fields that do not fit the kind of a service."""
         for service in services:
             file, place = self._names["services", service.name]
             if service.kind == "model" and not service.models:
@@ -117,7 +116,7 @@
         return None
 
     def _check_routes(self, services: list[Service]) -> ConfigurationError | None:
-        """Refuse a route that no request could ever reach."""
+        """Refuse a route that no request can match."""
         for service in services:
             file, place = self._names["services", service.name]
             seen: dict[tuple[str, str], tuple[str, str]] = {}
@@ -138,8 +137,8 @@
     def _check_digests(self, workspaces: list[Workspace]) -> ConfigurationError | None:
         """Refuse an API key that two workspaces share.
 
-        Requests under it would be answered for whichever workspace came last, with
-        that workspace's context.
+        Its requests would be attributed to the workspace that comes last, and use that
+        workspace's context.
         """
         for workspace in workspaces:
             file, place = self._names["workspaces", workspace.name]
--- a/libraries/configuration/src/bamboopier_configuration/directory.py
+++ b/libraries/configuration/src/bamboopier_configuration/directory.py
@@ -1,4 +1,4 @@
-"""Look-ups over one published configuration."""
+"""Look-ups in one published configuration."""
 
 from __future__ import annotations
 
@@ -40,13 +40,13 @@
     def find_workspace(self, api_key: str) -> Workspace | None:
         """Return the workspace whose digest matches ``api_key``.
 
-        The look-up is by SHA-256 of the key: its timing depends on the digest, which
-        tells a guesser nothing about how many characters of a key were right.
+        The look-up is by SHA-256 of the key: its timing depends on the digest and so
+        does not reveal how many characters of a guessed key are correct.
         """
         return self._workspaces_by_digest.get(digest_api_key(api_key))
 
 
 def digest_api_key(api_key: str) -> str:
-    """Return the form in which an API key stands in the configuration."""
-    # Bytes that are no UTF-8 stand in header values as surrogates.
+    """Return the digest of an API key that the configuration contains."""
+    # Bytes of a header value that are not UTF-8 are decoded as surrogates.
     return hashlib.sha256(api_key.encode(errors="surrogateescape")).hexdigest()
--- a/libraries/configuration/src/bamboopier_configuration/errors.py
+++ b/libraries/configuration/src/bamboopier_configuration/errors.py
@@ -1,17 +1,17 @@
-"""Failures of reading settings and configuration."""
+"""Errors of reading settings and configuration."""
 
 from __future__ import annotations
 
 
 class BamboopierError(Exception):
-    """Base of every failure that bamboopier names."""
+    """Base class of all errors that bamboopier defines."""
 
 
 class ConfigurationError(BamboopierError):
-    """A settings or configuration file that may not be used.
+    """A settings or configuration file is invalid.
 
-    ``file`` and ``path`` (JSON path inside it) name the place, ``found`` and
-    ``allowed`` what stands there and what may. The text is always one line.
+    ``file`` and ``path`` (a JSON path in the file) give the position, ``found`` the
+    invalid content and ``allowed`` the valid content. The text is always one line.
     """
 
     def __init__(self, file: str, path: str, found: str, allowed: str) -> None:
--- a/libraries/configuration/src/bamboopier_configuration/reader.py
+++ b/libraries/configuration/src/bamboopier_configuration/reader.py
@@ -1,4 +1,4 @@
-"""Decode JSON files into checked objects, or say what is wrong in one line."""
+"""Decodes JSON files into validated objects, or returns an error of one line."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 T = TypeVar("T")
 
 MAX_FILE_BYTES = 16 * 1024 * 1024
-# Longest piece of a faulty value that an error repeats.
+# Characters of an invalid value that an error shows at most.
 MAX_VALUE_CHARACTERS = 60
-# Values of these fields stay out of errors: errors end up in logs and tickets. A
-# digest counts too, for the usual slip is to put the API key itself in its place.
+# Values of these fields are left out of errors, which end up in logs and tickets. This
+# includes digests, because the usual mistake is to put the API key itself there.
 SECRET_FIELDS = re.compile(r"\.(block_secret|api_key_digests)\b")
 
 _UNKNOWN_FIELD = re.compile(r"Object contains unknown field `(.*)`$", re.DOTALL)
@@ -32,7 +32,7 @@
 
 
 class _DuplicateKeyError(Exception):
-    """An object names one key twice."""
+    """An object has the same key twice."""
 
     def __init__(self, key: str) -> None:
         super().__init__(key)
@@ -40,7 +40,7 @@
 
 
 def read_file(path: Path, kind: type[T]) -> Result[T, ConfigurationError]:
-    """Read ``path`` as a checked object of ``kind``."""
+    """Read ``path`` as a validated object of ``kind``."""
     allowed = f"a readable JSON file of at most {MAX_FILE_BYTES} bytes"
     try:
         with path.open("rb") as file:
@@ -54,11 +54,11 @@
 
 
 def decode(content: bytes, kind: type[T], file: str) -> Result[T, ConfigurationError]:
-    """Decode ``content``; ``file`` names its source in errors."""
+    """Decode ``content``; ``file`` is its source in errors."""
     try:
         checked = msgspec.json.decode(content, type=kind)
-        # The decoder lets the last of two equal keys win: the first value would be
-        # lost without a word, so a second, stricter look is taken.
+        # msgspec uses the last of two equal keys and ignores the first without an
+        # error, so the content is decoded again with a check for duplicates.
         json.loads(content, object_pairs_hook=_refuse_duplicates)
     except msgspec.ValidationError as error:
         return Err(_make_error(error, content, kind, file))
@@ -72,7 +72,7 @@
 
 
 def format_value(value: Any) -> str:
-    """Return a value as JSON, cut to a length that fits an error line."""
+    """Return a value as JSON, truncated for use in an error of one line."""
     return _truncate(json.dumps(value, ensure_ascii=False))
 
 
--- a/libraries/configuration/src/bamboopier_configuration/schema.py
+++ b/libraries/configuration/src/bamboopier_configuration/schema.py
@@ -1,4 +1,4 @@
-"""Look-ups in checked types and decoded JSON by the JSON path of an error."""
+"""Look-ups in msgspec types and decoded JSON by the JSON path of an error."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def find_value(document: Any, path: str) -> Any:
-    """Return what stands at ``path`` in a decoded document; None when nothing does."""
+    """Return the value at ``path`` in a decoded document, or None without one."""
     for step in split_path(path):
         try:
             document = document[step]
--- a/libraries/configuration/src/bamboopier_configuration/settings.py
+++ b/libraries/configuration/src/bamboopier_configuration/settings.py
@@ -1,4 +1,4 @@
-"""A process's own settings: its addresses, its data centre, its limits."""
+"""Settings of a process: its addresses, data centre and limits."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Address(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An IP number and a TCP port; port 0 takes any free one."""
+    """An IP address and a TCP port; port 0 selects any free port."""
 
     host: str
     port: Port
@@ -27,21 +27,21 @@
 
     @property
     def is_loopback(self) -> bool:
-        """Say whether only this very machine can connect here."""
+        """Return whether only the local machine can connect to this address."""
         return ip_address(self.host).is_loopback
 
 
 class Tls(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Certificate files in PEM form; relative names start at the working directory."""
+    """Certificate files in PEM format; relative to the working directory."""
 
     certificate: FilePath
     key: FilePath
-    # Certificates that may have signed a peer's certificate.
+    # Certificates of the authorities that may have signed a peer's certificate.
     authority: FilePath
 
 
 class CallerTls(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The certificate that callers see, in PEM files."""
+    """The certificate for callers' connections, in PEM files."""
 
     certificate: FilePath
     key: FilePath
@@ -62,29 +62,29 @@
     # Key, in hex, from which the workspaces' block secrets are derived; the same in
     # all gateways and agents.
     block_secret: Secret
-    # Agents (host:port) to ask for the configuration while the platform is away.
+    # Agents (host:port) that serve the configuration while the platform is unavailable.
     peers: list[str] = []
-    # Callers' connections; one more is refused at once.
+    # Limit of callers' connections; further ones are refused at once.
     max_connections: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 10_000
-    # Bytes of request bodies that all open requests may hold together.
+    # Total bytes of the request bodies of all open requests.
     max_held_body_bytes: Annotated[int, msgspec.Meta(ge=64 * 1024)] = 256 * 1024 * 1024
-    # A request's headers must have arrived this long after their first byte.
+    # Time limit for a request's headers, from their first byte.
     header_timeout_seconds: Seconds = 10.0
-    # The body must have arrived this long after the headers.
+    # Time limit for the body, from the end of the headers.
     body_timeout_seconds: Seconds = 60.0
-    # A connection without a request is closed after this time.
+    # Time after which a connection without a request is closed.
     idle_timeout_seconds: Seconds = 75.0
-    # A caller that takes no byte of its answer for this time is given up.
+    # Time without progress of a response after which the caller is disconnected.
     write_timeout_seconds: Seconds = 30.0
-    # Requests still open this long after SIGTERM are cut.
+    # Time after SIGTERM at which requests that are still open are cancelled.
     shutdown_timeout_seconds: Seconds = 600.0
-    # Fixed start of the random choices, for tests.
+    # Seed of the random choices, for tests.
     seed: int = 0
-    # TLS on the callers' side; without it callers speak plain HTTP.
+    # TLS for callers' connections; without it callers use plain HTTP.
     caller_tls: CallerTls | None = None
-    # Mutual TLS between our processes and towards platform and target.
+    # Mutual TLS between processes of this system and to platform and target.
     tls: Tls | None = None
-    # Without certificates, only loopback addresses are used unless this is set.
+    # Whether addresses other than loopback may be used without certificates.
     allow_plain: bool = False
 
 
@@ -103,25 +103,25 @@
     listen: Address
     # Where /healthz, /readyz and /metrics are served, always in plain HTTP.
     admin: Address
-    # The target that this agent alone reaches.
+    # URL of the target, which only this agent calls.
     target_url: Url
     platform_url: Url
     # Key, in hex, from which the workspaces' block secrets are derived; the same in
     # all gateways and agents.
     block_secret: Secret
-    # Agents (host:port) to ask for the configuration while the platform is away.
+    # Agents (host:port) that serve the configuration while the platform is unavailable.
     peers: list[str] = []
-    # Requests the target runs at once when it is warm; the limit starts below.
+    # Requests that a warm target runs concurrently; the limit starts below this.
     max_running: Annotated[int, msgspec.Meta(ge=1, le=4096)] = 32
-    # Requests that may wait here for their turn.
+    # Requests that may wait in the queue of this agent.
     max_waiting: Annotated[int, msgspec.Meta(ge=0, le=65_536)] = 64
-    # Requests still open this long after SIGTERM are cut.
+    # Time after SIGTERM at which requests that are still open are cancelled.
     shutdown_timeout_seconds: Seconds = 600.0
-    # Memory for answers kept for repeated idempotency keys.
+    # Memory in bytes for responses stored for repeated idempotency keys.
     kept_answer_bytes: Annotated[int, msgspec.Meta(ge=0)] = 32 * 1024 * 1024
-    # DNS name that a gateway's certificate holds.
+    # DNS name in the certificates of gateways.
     gateway_name: Annotated[str, msgspec.Meta(min_length=1)] = "gateway.bamboopier"
-    # Mutual TLS between our processes and towards platform and target.
+    # Mutual TLS between processes of this system and to platform and target.
     tls: Tls | None = None
-    # Without certificates, only loopback addresses are used unless this is set.
+    # Whether addresses other than loopback may be used without certificates.
     allow_plain: bool = False
--- a/libraries/configuration/src/bamboopier_configuration/settings_reader.py
+++ b/libraries/configuration/src/bamboopier_configuration/settings_reader.py
@@ -1,4 +1,4 @@
-"""Reads a process's own settings and checks what no single field can show."""
+"""Reads the settings of a process and checks combinations of fields."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def read_settings(path: Path, kind: type[S]) -> Result[S, ConfigurationError]:
-    """Read the settings file of a process."""
+    """Read and check the settings file of a process."""
     result = read_file(path, kind)
     if isinstance(result, Err):
         return result
@@ -46,7 +46,7 @@
     try:
         ip_address(address.host)
     except ValueError:
-        allowed = "an IP number such as 127.0.0.1"
+        allowed = "an IP address such as 127.0.0.1"
         return ConfigurationError(file, path, format_value(address.host), allowed)
     return None
 
@@ -54,7 +54,7 @@
 def _find_port_error(
     settings: GatewaySettings | AgentSettings, file: str
 ) -> ConfigurationError | None:
-    """Refuse two uses of one port, which would only show when the second one fails."""
+    """Refuse two uses of one port, which would fail only at the second ``listen``."""
     listen, admin = settings.listen, settings.admin
     if admin.port == 0 or admin.port != listen.port:
         return None
@@ -68,7 +68,7 @@
 def _find_plain_error(
     settings: GatewaySettings | AgentSettings, file: str
 ) -> ConfigurationError | None:
-    """Refuse unprotected traffic between machines unless it is asked for in words."""
+    """Refuse plain traffic between machines unless the settings allow it."""
     if settings.allow_plain:
         return None
     urls = {"$.platform_url": settings.platform_url}
--- a/libraries/configuration/tests/test_collection.py
+++ b/libraries/configuration/tests/test_collection.py
@@ -1,4 +1,4 @@
-"""Joining operators' files."""
+"""Joining operators' files into one configuration."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 MODEL = {"name": "pillar-8b", "version": "v1"}
 ROUTE = {"method": "POST", "path": "/vans", "idempotent": False}
-# Each row: the files' contents, the path of the fault, what was found, what is allowed.
+# Each row: the files' contents, the path of the error, what was found, what is allowed.
 FAULTS: list[tuple[list[dict[str, Any]], str, str, str]] = [
     (
         [{"models": [MODEL]}, {"models": [MODEL]}],
--- a/libraries/configuration/tests/test_reader.py
+++ b/libraries/configuration/tests/test_reader.py
@@ -1,4 +1,4 @@
-"""What an operator is told about a file that may not be used."""
+"""Errors that are reported for an invalid file."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
                 self.assertNotIn("\n", str(error))
 
     def test_a_secret_is_never_shown(self) -> None:
-        # The usual slip: the API key itself where its digest belongs.
+        # The usual mistake: the API key itself in place of its digest.
         workspace = make_workspace(api_key_digests=["my-secret-key"])
         content = json.dumps({"workspaces": [workspace]}).encode()
         error = decode(content, ConfigurationFile, "f").unwrap_err()
--- a/libraries/configuration/tests/test_settings_reader.py
+++ b/libraries/configuration/tests/test_settings_reader.py
@@ -1,4 +1,4 @@
-"""Faults of a process's settings that no single field shows."""
+"""Errors in the settings of a process, including combinations of fields."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 FAULTS: list[tuple[dict[str, Any], str, str]] = [
     ({"admin": {"host": "127.0.0.1", "port": 8080}}, "$.admin", "other than listen"),
     ({"admin": ANYWHERE}, "$.admin", "other than listen"),
-    ({"listen": {"host": "localhost", "port": 1}}, "$.listen.host", "IP number"),
+    ({"listen": {"host": "localhost", "port": 1}}, "$.listen.host", "IP address"),
     ({"listen": ANYWHERE}, "$.listen", '"allow_plain": true'),
     ({"platform_url": "http://10.0.0.9:7000"}, "$.platform_url", "https, a loopback"),
     ({"tls": SECTION}, "$.tls.certificate", "a readable PEM file"),
--- a/libraries/daemon/src/bamboopier_daemon/__init__.py
+++ b/libraries/daemon/src/bamboopier_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""What every daemon does the same way: start, administration port, stopping."""
+"""Functions shared by all daemons: start, administration port, logs, shutdown."""
--- a/libraries/daemon/src/bamboopier_daemon/certificates.py
+++ b/libraries/daemon/src/bamboopier_daemon/certificates.py
@@ -1,9 +1,9 @@
-"""The certificates of one process: made into credentials, and read again when replaced.
+"""Makes credentials from certificate files and reloads the files when they change.
 
-Between our processes both sides show a certificate of the named authority. An agent
-lets only gateways order work, by a name in their certificate; a gateway accepts an
-agent whose certificate holds the IP number that it dialled. docs/design/tls.md weighs
-the alternatives.
+Between processes of this system both sides present a certificate of the configured
+authority. An agent accepts work only from gateways, identified by a name in their
+certificate; a gateway accepts an agent whose certificate contains the IP address that
+the gateway connects to. docs/design/tls.md compares the alternatives.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
     from bamboopier_configuration.settings import CallerTls, Tls
 
-# Replaced files are in use after this time, for new connections.
+# Interval of checks for replaced files, which new connections then use.
 CHECK_SECONDS = 5.0
 
 log = structlog.get_logger()
@@ -33,8 +33,8 @@
 class Certificates:
     """Credentials from the files of ``tls``.
 
-    Without ``tls`` connections are plain: to loopback addresses, and elsewhere only if
-    ``allow_plain`` is set.
+    Without ``tls`` connections are plain: to loopback addresses, and to other addresses
+    only if ``allow_plain`` is set.
     """
 
     def __init__(self, tls: Tls | None, *, allow_plain: bool = False) -> None:
@@ -47,11 +47,11 @@
 
     @property
     def is_enabled(self) -> bool:
-        """Say whether connections are made with certificates."""
+        """Return whether connections use certificates."""
         return self._tls is not None
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` after files were replaced."""
+        """Call ``listener`` after each reload of replaced files."""
         self._listeners.append(listener)
 
     def open_channel(
@@ -61,8 +61,8 @@
         if self._pem is None:
             if self._allow_plain or is_loopback(address):
                 return grpc.aio.insecure_channel(address, options=options)
-            # Nothing of a request leaves in the clear: a plain peer fails the
-            # handshake, and the request certainly did not run.
+            # Nothing of a request is sent unencrypted: the handshake with a plain peer
+            # fails, so the request certainly did not run.
             log.warning("plain connection refused", address=address)
             credentials = grpc.ssl_channel_credentials()
             return grpc.aio.secure_channel(address, credentials, options=options)
@@ -73,7 +73,7 @@
         return grpc.aio.secure_channel(address, credentials, options=options)
 
     def add_port(self, server: grpc.aio.Server, address: str) -> None:
-        """Let a gRPC server listen; peers must show a certificate."""
+        """Add a listening port to a gRPC server; peers must present a certificate."""
         if self._pem is None:
             server.add_insecure_port(address)
             return
@@ -85,7 +85,7 @@
         server.add_secure_port(address, credentials)
 
     def make_client_context(self) -> ssl.SSLContext | None:
-        """Return the context for HTTP to platform and target, None when plain."""
+        """Return the context for HTTP to platform and target; None for plain HTTP."""
         if self._tls is None:
             return None
         context = ssl.create_default_context(cafile=self._tls.authority)
@@ -93,7 +93,7 @@
         return context
 
     def make_caller_context(self, tls: CallerTls | None) -> ssl.SSLContext | None:
-        """Return the context of the callers' side, None when plain."""
+        """Return the context for callers' connections; None for plain HTTP."""
         if tls is None:
             return None
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -102,10 +102,10 @@
         return context
 
     async def follow(self) -> None:
-        """Read replaced files again until cancelled.
+        """Reload replaced files until cancelled.
 
-        A file that is half written or does not fit its key is left for the next look;
-        connections go on with the certificate that worked.
+        A file that is incomplete or does not match its key is tried again at the next
+        check; connections continue to use the last valid certificate.
         """
         self._find_changes()
         while True:
@@ -114,7 +114,7 @@
                 self.reload()
 
     def reload(self) -> None:
-        """Use what the files hold now for every connection from now on."""
+        """Use the current content of the files for new connections."""
         try:
             for context, tls in self._contexts:
                 context.load_cert_chain(tls.certificate, tls.key)
@@ -140,7 +140,7 @@
         self._contexts.append((context, tls))
 
     def _find_changes(self) -> bool:
-        """Note the files' stamps; True when one differs from the last look."""
+        """Record the states of the files; return True if one differs from the last."""
         found = {name: _FileState.read(name) for name in self._list_files()}
         changed = found != self._file_states
         self._file_states = found
@@ -156,7 +156,7 @@
 
 
 def is_loopback(address: str) -> bool:
-    """Say whether ``address`` (IP number and port) is on this very machine."""
+    """Return whether ``address`` (IP address and port) is a loopback address."""
     host = address.rpartition(":")[0].strip("[]")
     try:
         return ip_address(host).is_loopback
@@ -165,7 +165,7 @@
 
 
 class _Pem:
-    """The content of the files, as gRPC wants it."""
+    """The content of the files, as gRPC takes it."""
 
     __slots__ = ("authority", "certificate", "key")
 
@@ -176,7 +176,7 @@
 
     @classmethod
     def read(cls, tls: Tls) -> _Pem:
-        """Read the files of a section."""
+        """Read the files of a ``tls`` section."""
         return cls(
             Path(tls.certificate).read_bytes(),
             Path(tls.key).read_bytes(),
@@ -185,13 +185,13 @@
 
 
 class _FileState(tuple[int, int]):
-    """Change time and size of a file; equal stamps mean an unchanged file."""
+    """Modification time and size of a file; equal states mean an unchanged file."""
 
     __slots__ = ()
 
     @classmethod
     def read(cls, name: str) -> _FileState:
-        """Return the stamp of a file; a missing one has a stamp of its own."""
+        """Return the state of a file; (0, 0) for a missing one."""
         try:
             status = Path(name).stat()
         except OSError:
--- a/libraries/daemon/src/bamboopier_daemon/clock.py
+++ b/libraries/daemon/src/bamboopier_daemon/clock.py
@@ -1,4 +1,4 @@
-"""The clock of deadlines, leases and proofs."""
+"""The clock for deadlines, leases and freshness."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def read_clock() -> float:
-    """Return seconds on a clock that also counts while the machine is suspended.
+    """Return seconds on a clock that continues while the machine is suspended.
 
-    The event loop's own clock stands still meanwhile: a deadline judged by it would
-    pass too late after a thaw, and work would start that its caller gave up long ago.
+    The clock of the event loop does not: a deadline measured by it would expire too
+    late after a resume, and work would start whose caller has already timed out.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/libraries/daemon/src/bamboopier_daemon/daemon.py
+++ b/libraries/daemon/src/bamboopier_daemon/daemon.py
@@ -1,4 +1,4 @@
-"""What every daemon does the same way: start, administration port, stopping."""
+"""Functions shared by all daemons: start, logs, background tasks, administration."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
     from bamboopier_configuration.settings import Address
 
 MAX_MESSAGE_BYTES = 65 * 1024 * 1024
-# 340 gateways times 730 agents are many idle connections: a ping every five minutes
-# and no calls pending means a few bytes a second for each.
+# 340 gateways and 730 agents have many idle connections to each other: a ping every
+# five minutes, without a pending call, costs a few bytes a second on each.
 KEEPALIVE_MS = 300_000
 GRPC_OPTIONS = [
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
@@ -39,8 +39,8 @@
 def run(main: Coroutine[Any, Any, None]) -> None:
     """Run a daemon's main coroutine on uvloop with JSON logs on standard output.
 
-    uvloop 0.22 opens an io_uring instance unless told otherwise before its import;
-    the brief forbids io_uring, so the variable is set here, before that import.
+    uvloop 0.22 opens an io_uring instance unless this variable is set before its
+    import; the system must not use io_uring.
     """
     os.environ["UV_USE_IO_URING"] = "0"
     import uvloop
@@ -50,7 +50,7 @@
 
 
 def configure_logs() -> None:
-    """Write one JSON object a line to standard output."""
+    """Configure structlog to write one JSON object a line to standard output."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -69,12 +69,12 @@
 
 @cache
 def open_log_sink() -> LogSink:
-    """Return where this process's log lines go."""
+    """Return the log sink of this process."""
     return LogSink(sys.stdout.fileno())
 
 
 def _encode(line: dict[str, object], **_: object) -> str:
-    """Return a line as JSON; what JSON does not know is written as its text."""
+    """Return a line as JSON; values of other types are converted to strings."""
     return msgspec.json.encode(line, enc_hook=str).decode()
 
 
@@ -101,7 +101,7 @@
 
 
 def _report_end(task: asyncio.Task[None]) -> None:
-    """A background task that dies silently would leave a process half alive."""
+    """Log a failed background task and stop the process, which needs all of them."""
     if not task.cancelled() and task.exception() is not None:
         log = structlog.get_logger()
         log.error("background task failed", exc_info=task.exception())
--- a/libraries/daemon/src/bamboopier_daemon/errors.py
+++ b/libraries/daemon/src/bamboopier_daemon/errors.py
@@ -1,4 +1,4 @@
-"""Failures of starting a daemon."""
+"""Errors at the start of a daemon."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class ListenError(BamboopierError):
-    """An address of the settings cannot be listened on.
+    """The process cannot listen on an address of the settings.
 
-    ``setting`` is the settings' name of the address.
+    ``setting`` is the key of the address in the settings.
     """
 
     def __init__(self, setting: str, address: Address, cause: str) -> None:
--- a/libraries/daemon/src/bamboopier_daemon/headers.py
+++ b/libraries/daemon/src/bamboopier_daemon/headers.py
@@ -1,4 +1,4 @@
-"""Headers that belong to one connection and are never passed on."""
+"""Hop-by-hop headers, which belong to one connection and are never forwarded."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# RFC 9110, section 7.6.1, and those that are made anew for each connection.
+# RFC 9110, section 7.6.1, and headers that are generated for each connection.
 HOP_HEADERS = frozenset(
     {"connection", "keep-alive", "proxy-connection", "transfer-encoding", "te"}
     | {"upgrade", "trailer", "proxy-authenticate", "proxy-authorization"}
@@ -18,7 +18,7 @@
 def drop_hop_headers(
     headers: Iterable[tuple[str, str]],
 ) -> tuple[tuple[str, str], ...]:
-    """Return the end-to-end headers: no fixed hop header and none Connection names."""
+    """Return ``headers`` without hop-by-hop ones and those listed in Connection."""
     listed = tuple(headers)
     named = {
         word.strip().lower()
--- a/libraries/daemon/src/bamboopier_daemon/listening.py
+++ b/libraries/daemon/src/bamboopier_daemon/listening.py
@@ -1,4 +1,4 @@
-"""Listening on an address of the settings, with an error that names the cure."""
+"""Converts errors of listening on an address of the settings."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 @contextmanager
 def convert_listen_errors(setting: str, address: Address) -> Iterator[None]:
-    """Turn what libraries raise for a port in use into a ``ListenError``.
+    """Convert the errors of libraries for a port in use into a ``ListenError``.
 
-    asyncio raises ``OSError`` and gRPC ``RuntimeError`` with a text of its own.
+    asyncio raises ``OSError``, gRPC a ``RuntimeError`` with its own text.
     """
     try:
         yield
--- a/libraries/daemon/src/bamboopier_daemon/log_sink.py
+++ b/libraries/daemon/src/bamboopier_daemon/log_sink.py
@@ -1,9 +1,9 @@
-"""Where log lines go: standard output, bounded, and never waited for.
+"""Writes log lines to standard output, with a rate limit and without blocking.
 
-Failures answered: a reader of the pipe that stands still (a blocking write would stop
-every request of the process), and a fault that makes each of thousands of requests log
-(the lines would cost more than the work). Lines beyond either bound are dropped and
-counted; the count is written once lines pass again.
+Guards against a reader of the pipe that does not read (a blocking write would stop
+every request of the process) and against an error that makes each of thousands of
+requests log (the lines would cost more than the work). Lines beyond either limit are
+dropped and counted; the count is logged once lines can be written again.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Lines a second in the long run, and at once: two lines for each of 400 requests a
-# second, which is more than one process serves, and a burst of start-up lines.
+# Sustained rate and burst of lines: two lines for each of 400 requests a second, which
+# is more than one process serves, and a burst of start-up lines.
 LINES_PER_SECOND = 800.0
 BURST_LINES = 2000.0
-# A pipe that is writable has room for this much; a longer write could block.
+# A writable pipe accepts this many bytes; a longer write could block.
 SAFE_BYTES = 4096
 
 
 class LogSink:
-    """A file-like object for log lines."""
+    """A file-like object that writes or drops log lines."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._poll.register(descriptor, select.POLLOUT)
         self._tokens = BURST_LINES
         self._filled_at = read_clock()
-        # The rest of a line of which the beginning is written.
+        # The rest of a line that was written in part.
         self._unwritten = b""
         self.dropped = 0
         self._unreported = 0
@@ -58,7 +58,7 @@
         return len(text)
 
     def flush(self) -> None:
-        """Do nothing: lines are not held back."""
+        """Do nothing: lines are not buffered."""
 
     def _acquire_token(self) -> bool:
         now = self._read_clock()
@@ -71,7 +71,7 @@
         return True
 
     def _finish_line(self) -> bool:
-        """Write what is left of the last line; False while the pipe is full."""
+        """Write the rest of the last line; return False while the pipe is full."""
         if self._unwritten:
             rest, self._unwritten = self._unwritten, b""
             self._send(rest)
@@ -88,7 +88,7 @@
                 self._unwritten += data
                 return
             except OSError:
-                # Nobody reads any more; there is no one left to tell.
+                # The pipe is closed, so the error cannot be logged either.
                 self._drop()
                 return
             data = data[written:]
--- a/libraries/daemon/src/bamboopier_daemon/peer_check.py
+++ b/libraries/daemon/src/bamboopier_daemon/peer_check.py
@@ -1,4 +1,4 @@
-"""Lets only certain processes call a gRPC service, by a name in their certificate."""
+"""Restricts gRPC methods to gateways, identified by a name in their certificate."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
     from collections.abc import AsyncIterator, Awaitable, Callable
 
 SAN_FIELD = "x509_subject_alternative_name"
-# What orders work or reads an answer. Load and configuration may be asked for by every
-# peer with a certificate of the authority: operators and other agents do.
+# Methods that start work or return a response. Load and configuration may be read by
+# every peer with a certificate of the authority: operators and other agents do so.
 GATEWAY_METHODS = frozenset(
     {"/bamboopier.v1.Agent/Serve", "/bamboopier.v1.Agent/Recall"}
 )
@@ -21,10 +21,10 @@
 
 
 class PeerCheck(grpc.aio.ServerInterceptor):  # type: ignore[type-arg]
-    """Refuses calls that order work from peers that are no gateway.
+    """Refuses calls of ``GATEWAY_METHODS`` from peers that are not gateways.
 
-    Every agent holds a certificate of the same authority. Without this check one
-    captured target VM could order work from all others.
+    Every agent has a certificate of the same authority. Without this check one
+    compromised target VM could start work on all others.
     """
 
     def __init__(self, gateway_name: str) -> None:
@@ -35,7 +35,7 @@
         continuation: Callable[[Any], Awaitable[Any]],
         handler_call_details: Any,
     ) -> Any:
-        """Wrap the handlers of the guarded calls."""
+        """Wrap the handlers of ``GATEWAY_METHODS``."""
         handler = await continuation(handler_call_details)
         if handler is None or handler_call_details.method not in GATEWAY_METHODS:
             return handler
--- a/libraries/daemon/src/bamboopier_daemon/process_metrics.py
+++ b/libraries/daemon/src/bamboopier_daemon/process_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics that every daemon has: who it is, whether it is ready, what it runs with."""
+"""Metrics of every daemon: its identity, readiness and configuration generation."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ProcessIdentity(Protocol):
-    """The part of a process's settings that says who and where it is."""
+    """The settings that identify a process and its location."""
 
     @property
     def vm(self) -> str:
--- a/libraries/daemon/src/bamboopier_daemon/stopping.py
+++ b/libraries/daemon/src/bamboopier_daemon/stopping.py
@@ -1,4 +1,4 @@
-"""How a daemon ends: at the first signal gracefully, at the second at once."""
+"""Shuts a daemon down: gracefully at the first signal, at once at the second."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ShutdownOutcome(StrEnum):
-    """Why a graceful shutdown stopped waiting."""
+    """The reason why a graceful shutdown stopped waiting."""
 
     IDLE = "idle"
     TIMEOUT = "timeout"
@@ -41,7 +41,7 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Leave the handlers in place: a late signal must not end the clean-up."""
+        """Keep the handlers: a late signal must not interrupt the clean-up."""
 
     def _count(self) -> None:
         if self._first.is_set():
@@ -49,7 +49,7 @@
         self._first.set()
 
     async def wait_for_first(self) -> None:
-        """Return once the daemon is asked to stop."""
+        """Return after the first signal."""
         await self._first.wait()
 
     async def wait_until(
@@ -57,8 +57,8 @@
     ) -> ShutdownOutcome:
         """Wait for ``idle``, at most ``timeout`` seconds and until a second signal.
 
-        Requests that are still open then are cut by the caller of this method, who has
-        to tell each of them what is known about its outcome.
+        The caller of this method then cancels the requests that are still open and must
+        report to each what is known about its outcome.
         """
         work = asyncio.ensure_future(idle)
         second = asyncio.ensure_future(self._second.wait())
--- a/libraries/daemon/tests/test_certificates.py
+++ b/libraries/daemon/tests/test_certificates.py
@@ -1,4 +1,4 @@
-"""Client certificates towards platform and target, which stand-ins do not ask for."""
+"""Client certificates for platform and target, which stand-ins do not request."""
 
 from __future__ import annotations
 
@@ -71,15 +71,15 @@
         self.issue(trustme.CA())
         own.reload()
         self.assertEqual(reported, [1])
-        # With TLS 1.3 the server's refusal comes after the client's handshake.
+        # With TLS 1.3 the server refuses a certificate after the client's handshake.
         received = b""
         with suppress(ssl.SSLError, ConnectionError):
             received = await self.reach(context)
         self.assertEqual(received, b"")
 
     async def test_plain_channels_go_to_loopback_unless_allowed(self) -> None:
-        # A gateway without certificates meets an agent on another machine: with no word
-        # in its settings it must not send a prompt there in the clear.
+        # Guards against a gateway without certificates that sends prompts unencrypted
+        # to an agent on another machine although its settings do not allow it.
         server = grpc.aio.server()
         port = server.add_insecure_port(f"{HOST}:0")
         await server.start()
--- a/libraries/daemon/tests/test_headers.py
+++ b/libraries/daemon/tests/test_headers.py
@@ -1,4 +1,4 @@
-"""Which headers go from one connection to the next."""
+"""Removal of hop-by-hop headers."""
 
 from __future__ import annotations
 
--- a/libraries/daemon/tests/test_log_sink.py
+++ b/libraries/daemon/tests/test_log_sink.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded, and a reader that stands still stops nothing."""
+"""Log lines are limited, and a pipe that is not read does not block the process."""
 
 from __future__ import annotations
 
@@ -34,8 +34,9 @@
         self.assertEqual(self.read(), b"one\ntwo\n")
 
     def test_a_pipe_that_is_not_read_does_not_block(self) -> None:
-        # The collector hangs. The process writes on without waiting; what does not
-        # fit is dropped whole, and counted in a line once the collector reads again.
+        # Guards against a blocked log collector that stops the process. Lines that do
+        # not fit into the pipe are dropped completely; one line reports their number
+        # once the collector reads again.
         line = "x" * 500 + "\n"
         for _ in range(400):
             self.sink.write(line)
--- a/libraries/objects/src/bamboopier_objects/errors.py
+++ b/libraries/objects/src/bamboopier_objects/errors.py
@@ -1,4 +1,4 @@
-"""Failures of calls to the platform."""
+"""Errors of calls to the platform."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class PlatformError(BamboopierError):
-    """Base of the platform's failures."""
+    """Base class of the errors of platform calls."""
 
 
 class PlatformUnavailableError(PlatformError):
@@ -14,11 +14,11 @@
 
 
 class PlatformOutcomeUnknownError(PlatformError):
-    """The call was sent and its answer lost; it may have taken effect."""
+    """The call was sent, but its response was lost; it may have taken effect."""
 
 
 class VersionConflictError(PlatformError):
-    """A conditional update met another version than expected."""
+    """A conditional update found another version than the expected one."""
 
     def __init__(self, key: str, expected: int, found: int) -> None:
         super().__init__(f"{key}: expected version {expected}, found {found}")
@@ -28,12 +28,12 @@
 
 
 class ValueTooLargeError(PlatformError):
-    """The platform holds values up to a megabyte."""
+    """The value is larger than the megabyte that the platform accepts."""
 
 
 class WatchGapError(PlatformError):
-    """Changes after the asked revision are no longer known; read again."""
+    """The changes after the requested revision are gone; read the state again."""
 
 
 class MalformedObjectError(PlatformError):
-    """An object's content is not what this program writes there."""
+    """The content of an object does not have the expected format."""
--- a/libraries/objects/src/bamboopier_objects/follower.py
+++ b/libraries/objects/src/bamboopier_objects/follower.py
@@ -1,4 +1,4 @@
-"""Keep a process on the newest configuration generation it has ever heard of."""
+"""Follows the published configuration and never applies an older generation."""
 
 from __future__ import annotations
 
@@ -21,21 +21,24 @@
     from .generations import Generation
     from .objects import ObjectStore
 
-# A head is read at least this often, so that a change whose notice is lost is in force
-# within the 18 s allowed. 1,070 nodes make 71 watches and 71 reads a second of it.
+# The head is read at least this often, so that a change whose notification is lost
+# takes effect within the permitted 18 s. With 1,070 nodes that is 71 watches and 71
+# reads a second.
 WATCH_SECONDS = 15.0
-# Waits after a failed read, doubled up to the maximum; drawn between half and all, so
-# that 1,070 nodes return after an outage at some 180 reads a second, not in one wave.
+# Delays after a failed read, doubled up to the maximum and drawn between half and all
+# of it, so that after an outage 1,070 nodes send some 180 reads a second and not all
+# of them at once.
 INITIAL_RETRY_SECONDS = 0.25
 MAX_RETRY_SECONDS = 8.0
-# A change makes every node read the head and a part and watch again. They spread over
-# as long as keeps that below this many calls a second, half of what the platform gives.
+# After a change every node reads the head and one part and sends a new watch. The nodes
+# spread these calls over enough time to stay below this rate, which is half of the
+# platform's capacity.
 CALLS_PER_CHANGE = 3
 CALLS_PER_SECOND = 1000
 
 
 class ConfigurationPeers(Protocol):
-    """Other processes of this system that may hold a higher generation."""
+    """Other processes of this system that may have a higher generation."""
 
     async def read_above(
         self, generation: int, store: GenerationStore
@@ -47,10 +50,10 @@
 class ConfigurationFollower:
     """Follows the published head and hands every newer generation to ``apply``.
 
-    A platform replica that lags may answer with an older head: a generation below the
-    highest seen is dropped, so that configuration never reverts while a process runs.
-    A generation that a peer's message names is fetched from the platform or, while the
-    platform is away or behind, from a peer.
+    A platform replica that lags may return an older head. A generation below the one in
+    force is dropped, so that the configuration never reverts while a process runs.
+    A generation that a peer announces is fetched from the platform or, while the
+    platform is unavailable or behind, from a peer.
     """
 
     def __init__(
@@ -71,16 +74,16 @@
         self.directory = Directory(0, Configuration())
         self.loaded = asyncio.Event()
         self.highest_announced = 0
-        # Processes that follow the same head; sets how far their reads spread.
+        # Number of processes that follow the same head, over which their reads spread.
         self._count_nodes = count_nodes
 
     @property
     def is_behind(self) -> bool:
-        """Say whether a higher generation than the one in force is known of."""
+        """Return whether a generation above the one in force has been announced."""
         return self.highest_announced > self.directory.generation
 
     def record_announced(self, generation: int) -> None:
-        """Note a generation that a peer's message named; read again if it is newer."""
+        """Record a generation that a peer announced; read again if it is newer."""
         if generation > self.highest_announced:
             self.highest_announced = generation
             self._newer_announced.set()
@@ -98,14 +101,14 @@
             failures += 1
 
     async def refresh(self) -> bool:
-        """Read the head once and apply it if newer; False when to be asked again."""
+        """Read the head once and apply it if newer; return False if a retry is due."""
         response = await self.store.read()
         current = False
         if isinstance(response, Ok):
             found = response.ok_value
             self._apply_newer(found)
             self.loaded.set()
-            # A notice told of a version that this replica did not show yet.
+            # False when a watch reported a version that this replica does not show yet.
             current = found.head_version >= self._awaited_version
         elif self._peers is not None and self.directory.generation == 0:
             await self._read_from_peers(self._peers)
@@ -127,7 +130,7 @@
             self.loaded.set()
 
     async def _wait_for_change(self, revision: int) -> int:
-        """Wait for a watched change or a peer's hint; return the revision reached."""
+        """Wait for a watched change or an announcement; return the revision reached."""
         self._newer_announced.clear()
         watch = asyncio.ensure_future(
             self._objects.watch(HEAD_KEY, revision, WATCH_SECONDS)
@@ -157,7 +160,7 @@
         await asyncio.sleep(self._random.uniform(0, seconds))
 
     def _draw_retry_delay(self, failures: int) -> float:
-        longest = min(
+        max_delay = min(
             MAX_RETRY_SECONDS, INITIAL_RETRY_SECONDS * 2.0 ** min(failures, 8)
         )
-        return self._random.uniform(longest / 2, longest)
+        return self._random.uniform(max_delay / 2, max_delay)
--- a/libraries/objects/src/bamboopier_objects/generations.py
+++ b/libraries/objects/src/bamboopier_objects/generations.py
@@ -1,9 +1,9 @@
 """Reads published generations, from the platform or from a peer that has one.
 
-The head carries the generation number and changes only by conditional update, so two
-publishers that race get one winner and one typed conflict. Parts are immutable and
-named by their digest: a reader that holds a head can never mix parts of two
-generations, and a change costs a reader only the parts that differ.
+The head contains the generation number and changes only by conditional update: of two
+concurrent publishers one succeeds and the other gets a ``VersionConflictError``. Parts
+are immutable and named by their digest, so a reader that has a head cannot mix parts
+of two generations, and after a change it reads only the parts that differ.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
     number: int
     publish_id: str
     configuration: Configuration
-    # Version of the head object that was read, to make the next update conditional;
-    # ``ABSENT`` when a peer gave it.
+    # Version of the head object that was read, for the next conditional update;
+    # ``ABSENT`` when the head came from a peer.
     head_version: int
     head: Head
 
@@ -41,26 +41,26 @@
 
 
 class PartSource(Protocol):
-    """Where the parts of a head are read from."""
+    """A source of the parts of a head."""
 
     async def read_part(self, digest: str) -> Result[bytes | None, PlatformError]:
-        """Return a part's stored bytes, or None when it is not there."""
+        """Return the stored bytes of a part, or None when it is not stored."""
         ...
 
 
 class GenerationStore:
-    """Reads generations; keeps the parts of the newest one it has read."""
+    """Reads generations and caches the parts of the newest one."""
 
     def __init__(self, objects: ObjectStore) -> None:
         self._objects = objects
         self._parts: dict[str, Part] = {}
-        # Bytes of the newest head and its parts, for peers that ask.
+        # Bytes of the newest head and of its parts, for requests of peers.
         self.newest = 0
         self.head_value = b""
         self.part_values: dict[str, bytes] = {}
 
     async def read(self) -> Result[Generation, PlatformError]:
-        """Return the generation the platform answers with (it may be an old one)."""
+        """Return the generation that the platform shows, which may be an older one."""
         response = await self._objects.read(HEAD_KEY)
         if isinstance(response, Err):
             return response
@@ -80,7 +80,7 @@
     async def assemble(
         self, head_value: bytes, head_version: int, source: PartSource
     ) -> Result[Generation, PlatformError]:
-        """Return the generation of a stored head, reading the parts not yet known."""
+        """Return the generation of a stored head; read parts that are not cached."""
         try:
             head = msgspec.json.decode(head_value, type=Head)
         except msgspec.MsgspecError as error:
@@ -98,7 +98,7 @@
         )
 
     def _keep(self, head: Head, head_value: bytes) -> None:
-        """Keep the newest head's parts only; an older head was a lagging answer."""
+        """Cache only the parts of the newest head; lagging replicas show older ones."""
         if head.generation < self.newest:
             return
         self.newest = head.generation
@@ -117,10 +117,12 @@
         if isinstance(response, Err):
             return response
         value = response.ok_value
-        # A part that is torn or not yet at this replica would put a half written
-        # configuration in force; its digest shows that, and the reader asks again.
+        # A part that is truncated, or missing at this replica, would put an incomplete
+        # configuration in force. The digest detects that, and the caller reads again.
         if value is None or digest_part(value) != digest:
-            return Err(MalformedObjectError(f"{PART_PREFIX}{digest}: missing or torn"))
+            return Err(
+                MalformedObjectError(f"{PART_PREFIX}{digest}: missing or corrupt")
+            )
         try:
             part = msgspec.json.decode(value, type=Part)
         except msgspec.MsgspecError as error:
--- a/libraries/objects/src/bamboopier_objects/http_client.py
+++ b/libraries/objects/src/bamboopier_objects/http_client.py
@@ -1,8 +1,8 @@
-"""Calls to the platform over HTTP: time limits, and what a lost answer means.
+"""Makes HTTP calls to the platform, with time limits and typed errors.
 
-Failure answered: an answer that takes a weak link longer than a limit on the whole call
-is given up each time, and asked for again in full. So the limit is on silence: a call
-goes on for as long as its answer arrives.
+Guards against a large response on a slow link that exceeds a limit on the total time:
+it would be abandoned each time and requested again from the start. The limit is
+therefore on the time without a byte: a call continues as long as its response arrives.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 T = TypeVar("T")
 
 CALL_TIMEOUT_SECONDS = 5.0
-# Seconds within an answer without a byte of it, or its usual patience if that is less.
+# Seconds without a byte within a response; the first-byte timeout if that is less.
 STALL_SECONDS = 1.5
-# Seconds for a whole answer beyond its patience: a megabyte on a link that carries a
-# tenth of what the weakest one does.
+# Seconds for a complete response after the first-byte timeout: a megabyte on a link
+# with a tenth of the bandwidth of the slowest one.
 MAX_RESPONSE_SECONDS = 16.0
 
 
 class Reply:
-    """A platform answer that arrived whole."""
+    """A complete response."""
 
     __slots__ = ("body", "headers", "status")
 
@@ -60,7 +60,7 @@
         self._certificates = certificates
         self._base_url = base_url.rstrip("/")
         self.call_timeout = call_timeout
-        # The own IP number that calls come from; None for the system's choice.
+        # Local IP address of the connections; None lets the system choose.
         self._source = source
         self._session: aiohttp.ClientSession | None = None
 
@@ -92,10 +92,10 @@
         headers: dict[str, str] | None = None,
         first_byte_timeout: float | None = None,
     ) -> Result[Reply, PlatformError]:
-        """Make one call; a change whose answer is lost is reported as unknown.
+        """Make one call; a change whose response is lost is reported as unknown.
 
-        ``first_byte_timeout`` are the seconds until the answer begins; None stands for the
-        caller's usual.
+        ``first_byte_timeout`` is in seconds and ends when the response headers arrive;
+        None stands for the client's ``call_timeout``.
         """
         if self._session is None:
             return Err(PlatformUnavailableError("the platform client is not open"))
@@ -147,8 +147,8 @@
 ) -> aiohttp.ClientResponse:
     """Keep aiohttp from sending a call again by itself.
 
-    It repeats a PUT whose connection broke. A conditional update that had taken effect
-    would then be answered with a conflict, as if it certainly had not.
+    aiohttp repeats a PUT whose connection was lost. A conditional update that had taken
+    effect would then end in a conflict, which says that it had no effect.
     """
     try:
         return await handler(request)
--- a/libraries/objects/src/bamboopier_objects/http_platform.py
+++ b/libraries/objects/src/bamboopier_objects/http_platform.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP: one client for objects and the VM list."""
+"""Client of the platform's HTTP interface, for objects and the VM list."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from .objects import MAX_VALUE_BYTES, Change, StoredObject, WatchBatch
 from .vms import Vm, VmListResponse
 
-# Replies name their headers in lower case.
+# ``Reply`` has header names in lower case.
 VERSION_HEADER = "object-version"
 EXPECTED_VERSION_HEADER = "Expected-Version"
 
@@ -152,6 +152,6 @@
 
 
 def _read_version(reply: Reply) -> int:
-    """Return the version that a reply names; 0, which never holds, for none."""
+    """Return the object version of a reply; 0, which no object has, without one."""
     text = reply.headers.get(VERSION_HEADER, "0")
     return int(text) if text.isdecimal() else 0
--- a/libraries/objects/src/bamboopier_objects/object_follower.py
+++ b/libraries/objects/src/bamboopier_objects/object_follower.py
@@ -1,9 +1,9 @@
-"""Follows all objects below a prefix: a list, then watches from its revision.
+"""Follows all objects below a prefix: lists them, then watches from that revision.
 
-Failures answered: a history that is gone (list again at once), a watch that is cut
-(list again after a pause, since changes may have been lost in the gap), a connection
-that went silent (each call has its own limit), a store that answers with an older
-revision than one already seen (that answer is dropped).
+Guards against a history that is no longer stored (list again at once), a watch whose
+connection is lost (list again after a delay, since changes may be missing), a
+connection without any response (each call has its own time limit) and a store that
+responds with an older revision than one already received (that response is dropped).
 """
 
 from __future__ import annotations
@@ -22,37 +22,37 @@
 
     from .objects import ChangedObject, FollowedStore, Listing
 
-# Waits after a failed call, doubled up to the longest and drawn between half and all
-# of it. A store that returns is to be read within a second.
+# Delays after a failed call, doubled up to the maximum and drawn between half and all
+# of it. A store that has recovered should be read within a second.
 INITIAL_RETRY_SECONDS = 0.05
 MAX_RETRY_SECONDS = 0.6
 _MAX_DOUBLINGS = 8
-# Seconds after its end in which a watch is answered by a store that nothing holds up.
+# Seconds after the end of a watch within which an undelayed response arrives.
 RESPONSE_GRACE_SECONDS = 0.1
 
 log = structlog.get_logger()
 
 
 class ObjectObserver(Protocol):
-    """What is told of the objects below a prefix."""
+    """Receives the objects below a prefix and their changes."""
 
     def apply_listing(
         self, listing: Listing, outage_seconds: float, known_until: float
     ) -> None:
-        """Take the whole list; the store did not answer for ``outage_seconds``.
+        """Apply a complete list; the store did not respond for ``outage_seconds``.
 
-        All changes until ``known_until`` have been told: what is new in the list may
-        have changed at any time since. It is minus infinity for the first list.
+        All changes until ``known_until`` have been reported: what is new in the list
+        may have changed at any time since. It is minus infinity for the first list.
         """
         ...
 
     def apply_change(
         self, change: ChangedObject, known_until: float, *, late: bool
     ) -> None:
-        """Take one object that changed, told by a watch as it happened.
+        """Apply the change of one object, reported by a watch.
 
-        All changes until ``known_until`` have been told before. ``late`` says that the
-        answer was held up: the change may have happened at any time since.
+        All changes until ``known_until`` have been reported before. ``late`` says that
+        the response was delayed: the change may have happened at any time since.
         """
         ...
 
@@ -78,7 +78,7 @@
         self._revision = 0
         self._failures = 0
         self._failing_since: float | None = None
-        # All changes until then have been told.
+        # Time until which all changes have been reported.
         self._known_until = float("-inf")
         # Whether the list was read at least once.
         self.loaded = asyncio.Event()
@@ -100,7 +100,7 @@
         listing = response.ok_value
         if listing.revision < self._revision:
             self._record_failure(
-                sent_at, f"revision {listing.revision} is an older one"
+                sent_at, f"revision {listing.revision} is older than the last one"
             )
             return False
         outage_seconds = self._record_success()
@@ -118,11 +118,11 @@
                 self._prefix, self._revision, self._wait_seconds
             )
             if isinstance(response, Err):
-                fault = response.err_value
-                if isinstance(fault, WatchGapError):
+                error = response.err_value
+                if isinstance(error, WatchGapError):
                     log.info("watch gap", prefix=self._prefix, revision=self._revision)
                     return
-                self._record_failure(sent_at, str(fault))
+                self._record_failure(sent_at, str(error))
                 await asyncio.sleep(self._draw_retry_delay())
                 return
             self._record_success()
@@ -131,8 +131,8 @@
             late = now - sent_at > self._wait_seconds + RESPONSE_GRACE_SECONDS
             for change in batch.changes:
                 self._observer.apply_change(change, self._known_until, late=late)
-            # An answer that is read late says nothing of what changed after the store
-            # made it: at once when there are changes, else at the end of the wait.
+            # A response that is read late says nothing about changes after the store
+            # created it: at once when there are changes, else at the end of the wait.
             created_at = sent_at if batch.changes else sent_at + self._wait_seconds
             self._known_until = min(created_at, now)
             self._revision = max(self._revision, batch.revision)
@@ -144,7 +144,7 @@
             log.warning("store lost", prefix=self._prefix, reason=reason)
 
     def _record_success(self) -> float:
-        """Return for how long the store had not answered."""
+        """Return for how many seconds the store had not responded."""
         self._failures = 0
         if self._failing_since is None:
             return 0.0
@@ -157,5 +157,5 @@
 
     def _draw_retry_delay(self) -> float:
         doublings = min(self._failures - 1, _MAX_DOUBLINGS)
-        longest = min(MAX_RETRY_SECONDS, INITIAL_RETRY_SECONDS * 2.0**doublings)
-        return self._random.uniform(longest / 2, longest)
+        max_delay = min(MAX_RETRY_SECONDS, INITIAL_RETRY_SECONDS * 2.0**doublings)
+        return self._random.uniform(max_delay / 2, max_delay)
--- a/libraries/objects/src/bamboopier_objects/objects.py
+++ b/libraries/objects/src/bamboopier_objects/objects.py
@@ -1,4 +1,4 @@
-"""The platform's object interface as this project uses it."""
+"""Interface of the platform's versioned object store."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
     from .errors import PlatformError
 
-# The version to expect of an object that must not exist yet.
+# Expected version of an object that must not exist yet.
 ABSENT = 0
 
 MAX_VALUE_BYTES = 1024 * 1024
@@ -42,7 +42,7 @@
 
 
 class ObjectStore(Protocol):
-    """Versioned objects with conditional updates and watches."""
+    """A store of versioned objects with conditional updates and watches."""
 
     async def read(self, key: str) -> Result[StoredObject | None, PlatformError]:
         """Return the object, or None when there is none."""
@@ -101,7 +101,7 @@
 
 
 class FollowedStore(Protocol):
-    """A store whose lists name their revision and whose watches carry values."""
+    """A store whose lists have a revision and whose watches return values."""
 
     async def list(self, prefix: str) -> Result[Listing, PlatformError]:
         """Return all objects whose key starts with ``prefix``."""
--- a/libraries/objects/src/bamboopier_objects/parts.py
+++ b/libraries/objects/src/bamboopier_objects/parts.py
@@ -1,4 +1,4 @@
-"""The published form of a configuration: a head that names content-addressed parts."""
+"""Stored form of a configuration: a head that refers to content-addressed parts."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 
 HEAD_KEY = "configuration/head"
 PART_PREFIX = "configuration/parts/"
-# Workspaces are spread over this many parts. More parts make a change cheaper (one part
-# is read anew), fewer make a start cheaper (all are read). At 6,300 workspaces of about
-# 165 bytes a part of sixteen is 65 KB: 2,300 changes a day cost a reader 1.7 KB/s of
-# its 22, and the 214 nodes of a data centre that start together read some 4,000 parts,
-# two seconds of what the platform gives.
+# Workspaces are distributed over this many parts. More parts make a change cheaper (one
+# part is read again), fewer make a start cheaper (all parts are read). At 6,300
+# workspaces of about 165 bytes, each of sixteen parts has 65 KB: 2,300 changes a day
+# cost a reader 1.7 KB/s of its 22 KB/s, and the 214 nodes of a data centre that start
+# together read some 4,000 parts, which is two seconds of the platform's capacity.
 WORKSPACE_PARTS = 16
 
 
 class Publication(msgspec.Struct, frozen=True, array_like=True):
-    """An accepted publish, kept in later heads so that its publisher finds it."""
+    """An accepted publish, listed in later heads so that its publisher can find it."""
 
     generation: int
     publish_id: str
 
 
 class RetiredPart(msgspec.Struct, frozen=True, array_like=True):
-    """A part that no head names since ``generation``."""
+    """A part that no head has referred to since ``generation``."""
 
     digest: str
     generation: int
@@ -46,7 +46,7 @@
     generation: int
     publish_id: str
     parts: dict[str, str]
-    # The generations before this one, newest last, bounded.
+    # The generations before this one, newest last, up to a limit.
     earlier: list[Publication] = []
     # Parts still stored for readers of older heads, oldest first.
     retired: list[RetiredPart] = []
@@ -63,7 +63,7 @@
 
 
 def digest_part(value: bytes) -> str:
-    """Return the name of an encoded part."""
+    """Return the digest under which an encoded part is stored."""
     return hashlib.sha256(value).hexdigest()
 
 
@@ -87,7 +87,7 @@
 
 
 def join_parts(parts: list[Part]) -> Configuration:
-    """Return the whole configuration."""
+    """Return the configuration that consists of ``parts``."""
     sections: dict[str, list[Any]] = {
         "services": [],
         "workspaces": [],
--- a/libraries/objects/src/bamboopier_objects/peers.py
+++ b/libraries/objects/src/bamboopier_objects/peers.py
@@ -1,4 +1,4 @@
-"""Configuration from and for other processes while the platform is away."""
+"""Exchanges configuration between processes while the platform is unavailable."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
     from .generations import Generation, GenerationStore
     from .vm_inventory import VmInventory
 
-# Peers asked in one round, drawn at random: one that is up suffices.
+# Peers per read, drawn at random: one that responds suffices.
 PEERS_PER_READ = 3
 PEER_TIMEOUT_SECONDS = 2.0
 
 
 class PeerService(agent_pb2_grpc.PeerServicer):
-    """Hands out the newest head, its parts and the VM list that this process has.
+    """Serves the newest head, its parts and the VM list of this process.
 
-    All of it was read from the platform, so it had been accepted; whoever takes it
-    checks parts against their digests and never goes back to a lower generation.
+    All of it was read from the platform and so had been accepted. A client checks parts
+    against their digests and never reverts to a lower generation.
     """
 
     def __init__(self, store: GenerationStore, vms: VmInventory) -> None:
@@ -38,7 +38,7 @@
     async def Configuration(  # noqa: N802 (the name is the protocol's)
         self, request: pb.ConfigurationRequest, context: Any
     ) -> pb.ConfigurationReply:
-        """Answer with a head above the one asked for, and with the parts asked for."""
+        """Return a head above the requested generation, and the requested parts."""
         store = self._store
         values = store.part_values
         return pb.ConfigurationReply(
@@ -50,7 +50,7 @@
 
 
 class PeerClient:
-    """Asks a few peers for a higher generation; learns the VM list from them too."""
+    """Reads a higher generation and the VM list from a few peers."""
 
     def __init__(
         self,
@@ -68,9 +68,11 @@
         self, generation: int, store: GenerationStore
     ) -> Result[Generation | None, PlatformError]:
         """Return the first higher generation that a peer has, or None."""
-        known = sorted({*self._seeds, *self._vms.list_agent_addresses()})
+        addresses = sorted({*self._seeds, *self._vms.list_agent_addresses()})
         failure: PlatformError | None = None
-        for address in self._random.sample(known, min(PEERS_PER_READ, len(known))):
+        for address in self._random.sample(
+            addresses, min(PEERS_PER_READ, len(addresses))
+        ):
             response = await self._read_from(address, generation, store)
             if isinstance(response, Ok) and response.ok_value is not None:
                 return response
@@ -113,7 +115,7 @@
         return Ok(reply)
 
     async def read_part(self, digest: str) -> Result[bytes | None, PlatformError]:
-        """Return a part, or None when the peer has it no more."""
+        """Return a part, or None when the peer no longer has it."""
         reply = await self.call([digest])
         if isinstance(reply, Err):
             return reply
--- a/libraries/objects/src/bamboopier_objects/publisher.py
+++ b/libraries/objects/src/bamboopier_objects/publisher.py
@@ -1,4 +1,4 @@
-"""Publishes the next generation, settles lost answers and removes old parts."""
+"""Publishes the next generation, resolves lost responses and removes old parts."""
 
 from __future__ import annotations
 
@@ -33,14 +33,15 @@
 
     from .objects import ObjectStore
 
-# Publishes a head remembers. At 2,300 a day they come 38 seconds apart on average, so a
-# publisher has some twenty minutes to find that it was accepted and then overtaken.
+# Earlier publishes that a head lists. At 2,300 a day they are 38 seconds apart on
+# average, so a publisher has some twenty minutes to find out that its publish was
+# accepted and then replaced by later ones.
 KEPT_PUBLICATIONS = 32
-# A part stays for readers that hold a head up to this many generations old.
+# A part stays stored for readers whose head is up to this many generations old.
 KEPT_GENERATIONS = 32
-# Removing a part costs two reads and a delete; a publish removes no more than this.
+# Parts that one publish removes at most; each costs two reads and a delete.
 MAX_REMOVED_PARTS = 64
-# Attempts to settle a lost answer, with pauses that double: about half a minute.
+# Attempts to write a head, with delays that double: about half a minute.
 MAX_HEAD_ATTEMPTS = 12
 INITIAL_RETRY_SECONDS = 0.05
 MAX_RETRY_SECONDS = 4.0
@@ -72,7 +73,7 @@
 
         A ``VersionConflictError`` says that another publisher came first and that this
         publish has not been accepted and never will be. The outcome is unknown only
-        when the platform stayed away throughout the attempts to settle it.
+        when the platform was unavailable during all attempts to determine it.
         """
         values = split_configuration(configuration)
         parts = {name: digest_part(value) for name, value in values.items()}
@@ -112,11 +113,11 @@
     ) -> Result[tuple[int, int], PlatformError]:
         """Make the head current; return its generation and object version.
 
-        The condition on the base's version decides: whatever order delayed writes of
-        this head arrive in, one of them can succeed and only while the base is current.
-        A conflict is looked into as well as a lost answer, since whatever lies between
-        may repeat a PUT, and the repetition then conflicts with the write that took
-        effect.
+        The update is conditional on the version of the base: in whatever order delayed
+        writes of this head arrive, only one can succeed, and only while the base is
+        current. The head is read after a conflict too, not only after a lost
+        response, since an intermediary may repeat a PUT, and the repetition then
+        conflicts with the write that took effect.
         """
         value = msgspec.json.encode(head)
         seconds = INITIAL_RETRY_SECONDS
@@ -136,19 +137,19 @@
                 return response
             await self._sleep(seconds)
             seconds = min(MAX_RETRY_SECONDS, seconds * 2)
-        text = f"publish {head.publish_id}: the platform did not settle it"
+        text = f"publish {head.publish_id}: outcome unknown after all attempts"
         return Err(PlatformOutcomeUnknownError(text))
 
     async def _find_publish(
         self, base: Generation, head: Head
     ) -> Result[tuple[int, int], PlatformError] | None:
-        """Find this publish among those that moved the head; None to look again."""
+        """Find this publish in the current head; return None if a retry is due."""
         response = await self._objects.read(HEAD_KEY)
         if isinstance(response, Err) or response.ok_value is None:
             return None
         stored = response.ok_value
         if stored.version <= base.head_version:
-            return None  # A replica that lags: it does not show the change yet.
+            return None  # A lagging replica, which does not show the change yet.
         try:
             found = msgspec.json.decode(stored.value, type=Head)
         except msgspec.MsgspecError:
@@ -158,14 +159,14 @@
         if Publication(head.generation, head.publish_id) in found.earlier:
             return Ok((head.generation, stored.version))
         if found.generation > head.generation + KEPT_PUBLICATIONS:
-            text = f"publish {head.publish_id}: overtaken by many others"
+            text = f"publish {head.publish_id}: too many later publishes"
             return Err(PlatformOutcomeUnknownError(text))
         return Err(VersionConflictError(HEAD_KEY, base.head_version, stored.version))
 
     async def _write_part(
         self, base: Generation, digest: str, value: bytes
     ) -> Result[None, PlatformError]:
-        """Store a part unless the base names it, in which case it is there."""
+        """Store a part unless the base refers to it, in which case it is stored."""
         if digest in base.head.parts.values():
             return Ok(None)
         key = PART_PREFIX + digest
@@ -177,20 +178,20 @@
                 return Ok(None)
             error = response.err_value
             if isinstance(error, VersionConflictError):
-                # Another publisher may be about to remove it as no longer named. A new
-                # version makes that conditional delete fail; without it the head that
-                # is published next would name a part that is gone.
+                # Another publisher may be about to remove the part as unreferenced. A
+                # new version makes that conditional delete fail; without it the next
+                # head would refer to a deleted part.
                 expected = error.found
             elif not isinstance(error, PlatformOutcomeUnknownError):
                 break
         return Err(PlatformUnavailableError(f"part {digest}: {error}"))
 
     async def _find_expired(self, base: Generation, named: set[str]) -> dict[str, int]:
-        """Return versions of stored parts that no recent head names, by digest.
+        """Return the versions of parts that no recent head refers to, by digest.
 
-        Versions are read before the head is written: a publisher that names such a
+        Versions are read before the head is written: a publisher that refers to such a
         part again builds on that head or a later one and so writes the part after this
-        read, which makes the delete below fail.
+        read, which makes the delete in ``_remove`` fail.
         """
         limit = base.number + 1 - self._kept_generations
         expired = [
@@ -207,8 +208,9 @@
         return versions
 
     async def _remove(self, expired: dict[str, int]) -> None:
-        """Delete; a part stays in the head's list until a later publish finds it gone.
+        """Delete expired parts.
 
+        A part stays in the head's list until a later publish finds that it is absent.
         Without that a lost delete would leave the part stored for ever.
         """
         for digest, version in expired.items():
--- a/libraries/objects/src/bamboopier_objects/vm_follower.py
+++ b/libraries/objects/src/bamboopier_objects/vm_follower.py
@@ -1,11 +1,12 @@
-"""Follows the VM list within a budget of bytes.
+"""Follows the VM list within a bandwidth budget.
 
-At the design size the list is some 1,150 VMs and 160 KB. Polled whole each second it
-would cost a gateway seven times the 22 KB/s it may spend on all control. Two things
-bound it: the entity tag of the last answer, with which an unchanged list costs a few
-hundred bytes, and a pause after each whole answer that grows with its size, which holds
-the budget whatever the platform supports. What must be fast does not wait for this
-list: drains come with the configuration, and a dead target shows on its connection.
+At the design size the list has some 1,150 VMs and 160 KB. Polled in full each second it
+would cost a gateway seven times the 22 KB/s that it may use for all control traffic.
+Two things bound it: the entity tag of the last response, with which an unchanged list
+costs a few hundred bytes, and a delay after each full response that grows with its
+size, which keeps the budget even when the platform does not support entity tags.
+Nothing urgent depends on this list: drains come with the configuration, and the failure
+of a target shows on its connection.
 """
 
 from __future__ import annotations
@@ -21,19 +22,20 @@
 
     from .vms import Vm, VmListSource
 
-# A leaving VM should be known in a few seconds; at 1,070 nodes this is 360 reads a
-# second of the platform's two thousand, nearly all answered without a body.
+# A leaving VM should be noticed within a few seconds. With 1,070 nodes this is 360
+# reads a second of the platform's two thousand, nearly all with an empty response.
 POLL_SECONDS = 3.0
-# Bytes a second that whole answers may cost on average: a third of a node's 22 KB/s.
+# Average bytes a second of full responses: a third of a node's 22 KB/s.
 BUDGET_BYTES = 7000.0
-# Polls are spread by this share, so that a fleet started together drifts apart.
+# Relative jitter of the delay, so that nodes that start together spread their polls.
 JITTER_SHARE = 0.2
 
 
 class VmListFollower:
-    """Polls the list and hands each changed one to ``apply``.
+    """Polls the list and passes each changed one to ``apply``.
 
-    An outage keeps the last list: the platform being down says nothing about the VMs.
+    The last list stays in use during an outage of the platform, which says nothing
+    about the VMs.
     """
 
     def __init__(
@@ -55,7 +57,7 @@
             await asyncio.sleep(self.compute_delay(size))
 
     async def refresh(self) -> int:
-        """Ask once; return the bytes that came."""
+        """Send one request; return the size of the response in bytes."""
         response = await self._vms.list_vms_since(self._tag)
         if not isinstance(response, Ok):
             return 0
@@ -67,6 +69,6 @@
         return found.size
 
     def compute_delay(self, size: int) -> float:
-        """Return the seconds until the next poll after an answer of ``size`` bytes."""
-        pause = max(POLL_SECONDS, size / BUDGET_BYTES)
-        return pause * self._random.uniform(1 - JITTER_SHARE, 1 + JITTER_SHARE)
+        """Return the seconds until the next poll after a response of ``size`` bytes."""
+        delay = max(POLL_SECONDS, size / BUDGET_BYTES)
+        return delay * self._random.uniform(1 - JITTER_SHARE, 1 + JITTER_SHARE)
--- a/libraries/objects/src/bamboopier_objects/vm_inventory.py
+++ b/libraries/objects/src/bamboopier_objects/vm_inventory.py
@@ -1,4 +1,4 @@
-"""The last VM list that a process has seen."""
+"""Holds the last VM list that a process received."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
     from .vms import VmListSource
 
-# Readers that weigh how long a VM has been listed in a state are told this often even
-# when the list has not changed.
+# Subscribers are called this often even when the list has not changed, since some
+# depend on how long a VM has been listed in a state.
 NOTIFY_SECONDS = 5.0
 
 
 class VmInventory:
-    """Shows the last list, from the platform or, before that, from a peer."""
+    """The last list from the platform or, before the first one, from a peer."""
 
     def __init__(self, random: random.Random) -> None:
         self._random = random
@@ -32,16 +32,16 @@
 
     @property
     def has_list(self) -> bool:
-        """Say whether any list has been seen; before that no VM can be used."""
+        """Return whether a list was received; before that no VM can be used."""
         return bool(self.vms)
 
     @property
     def node_count(self) -> int:
-        """Return how many processes follow the configuration and this list."""
+        """Return the number of processes that follow configuration and VM list."""
         return max(1, sum(vm.role != "store" for vm in self.vms))
 
     def subscribe(self, subscriber: Callable[[VmInventory], None]) -> None:
-        """Call ``subscriber`` with each list, and again while it stays the same."""
+        """Call ``subscriber`` with each list, and repeatedly while it is unchanged."""
         self._subscribers.append(subscriber)
 
     def find(self, name: str) -> Vm | None:
@@ -49,17 +49,18 @@
         return next((vm for vm in self.vms if vm.name == name), None)
 
     def list_agent_addresses(self) -> list[str]:
-        """Return the addresses of the agents listed."""
+        """Return the addresses of the listed agents."""
         return [vm.address for vm in self.vms if vm.role == "target"]
 
     def encode(self) -> bytes:
-        """Return the list for a peer, empty when none was seen."""
+        """Return the list encoded for a peer; empty before the first one."""
         return msgspec.json.encode(self.vms) if self.vms else b""
 
     def apply_peer_list(self, encoded: bytes) -> None:
-        """Take a peer's list while the platform has not answered this process yet.
+        """Apply a peer's list until the platform's own list has been received.
 
-        A list that cannot be read is dropped: an odd peer must not end this process.
+        A list that cannot be decoded is dropped: a faulty peer must not end this
+        process.
         """
         if not encoded or self._has_platform_list:
             return
--- a/libraries/objects/src/bamboopier_objects/vms.py
+++ b/libraries/objects/src/bamboopier_objects/vms.py
@@ -14,13 +14,13 @@
 
 
 class Vm(msgspec.Struct, frozen=True):
-    """One live or leaving VM, as the platform last knew it."""
+    """One live or leaving VM, as the platform lists it."""
 
     name: str
     role: Literal["gateway", "target", "store"]
     data_centre: str
     region: str
-    # Where this VM's own process answers: an agent's gRPC port, a store's HTTP port.
+    # Where this VM's own process listens: an agent's gRPC port, a store's HTTP port.
     address: str
     state: Literal["live", "leaving"] = "live"
     # The service a target belongs to, or the store a store VM belongs to.
@@ -29,20 +29,20 @@
 
 @dataclass(frozen=True, slots=True)
 class VmListResponse:
-    """An answer of the VM list; ``vms`` is None when nothing changed since ``tag``."""
+    """A response with the VM list; ``vms`` is None if unchanged since ``tag``."""
 
     vms: tuple[Vm, ...] | None
-    # The list's entity tag, empty when the platform gives none.
+    # Entity tag of the list, empty when the platform sends none.
     tag: str
-    # Bytes that came over the network.
+    # Bytes received over the network.
     size: int
 
 
 class VmListSource(Protocol):
-    """Names the VMs that may exist; it lags behind the truth."""
+    """Lists the VMs; the list may lag behind the actual state."""
 
     async def list_vms(self) -> Result[list[Vm], PlatformError]:
-        """Return all VMs the platform lists now."""
+        """Return all VMs that the platform lists."""
         ...
 
     async def list_vms_since(self, tag: str) -> Result[VmListResponse, PlatformError]:
--- a/libraries/objects/tests/builders.py
+++ b/libraries/objects/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builds a platform in memory with faults, configurations and followers."""
+"""Builds an in-memory platform with faults, configurations and followers."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 
 
 class MemoryObjects:
-    """Versioned objects with faults.
+    """Versioned objects with injected faults.
 
-    ``faults`` are taken one by one by the writes of the head and ``part_faults`` by
-    those of other objects: ``lose`` carries a write out and loses its answer, ``drop``
-    does neither, ``hold`` keeps it on its way until ``deliver_held`` is called.
+    Each write of the head uses the next of ``faults``, each write of another object the
+    next of ``part_faults``: ``lose`` applies the write and loses its response, ``drop``
+    loses the write, ``hold`` delays it until ``deliver_held`` is called.
     """
 
     def __init__(self) -> None:
@@ -50,15 +50,15 @@
         self.part_faults: list[str] = []
         self.held: list[tuple[str, bytes, int]] = []
         self.down = False
-        # How many versions behind a read of the head is.
+        # Number of versions by which a read of the head lags.
         self.stale = 0
         self.before_head_write: list[Callable[[], Awaitable[object]]] = []
-        # Watches after an older revision than this one meet a gap.
+        # Watches after an older revision than this one fail with a gap.
         self.oldest_change = 0
-        # Watches tell of nothing.
+        # Whether watches report no changes.
         self.silent = False
         self._changed = asyncio.Event()
-        # Set once a watch waits.
+        # Set when a watch waits for a change.
         self.waiting = asyncio.Event()
 
     @property
@@ -93,7 +93,7 @@
         return Err(PlatformOutcomeUnknownError(key))
 
     def deliver_held(self) -> None:
-        """Let the writes that were held arrive."""
+        """Apply the writes that were held."""
         for write in self.held:
             self._apply(*write)
         self.held.clear()
@@ -141,7 +141,7 @@
 
 
 class Node:
-    """A follower whose applied generations are recorded; other nodes are its peers."""
+    """A follower that records applied generations and has other nodes as peers."""
 
     def __init__(self, objects: MemoryObjects) -> None:
         self.applied: list[Directory] = []
@@ -156,14 +156,14 @@
         self._changed.set()
 
     async def follow_until(self, generation: int) -> None:
-        """Run the follower; one that never gets there hangs into the limit."""
+        """Run the follower until ``generation`` is in force, at most 10 s."""
         async with asyncio.timeout(10):
             task = asyncio.create_task(self.follower.run())
             await self.wait_for(generation)
             task.cancel()
 
     async def wait_for(self, generation: int) -> None:
-        """Return once the node has that generation or a higher one in force."""
+        """Return once ``generation`` or a higher one is in force at the node."""
         while self.generation < generation:
             self._changed.clear()
             await self._changed.wait()
@@ -186,16 +186,16 @@
 
 
 async def skip_sleep(_: float) -> None:
-    """Take no time between attempts."""
+    """Return at once, so that attempts follow without delay."""
 
 
 def build_publisher(objects: MemoryObjects) -> Publisher:
-    """Return a publisher that does not wait and keeps few generations."""
+    """Return a publisher without retry delays that keeps few generations."""
     return Publisher(objects, skip_sleep, KEPT_GENERATIONS)
 
 
 def build_configuration(number: int) -> Configuration:
-    """Return a configuration that is told from others; numbers repeat contents."""
+    """Return a configuration whose content depends only on ``number``."""
     return Configuration(
         models=[Model("pillar-8b", f"v{number}")],
         workspaces=[Workspace("fosse", ["0" * 64], ["desk"], weight=number + 1)],
@@ -204,7 +204,7 @@
 
 
 def finish(work: Coroutine[Any, Any, Any]) -> Any:
-    """Run a coroutine that never has to wait."""
+    """Run a coroutine that never waits, and return its result."""
     try:
         work.send(None)
     except StopIteration as stop:
@@ -218,7 +218,7 @@
 
 
 class VmListSourceFake:
-    """A list that can change, go away and withhold its entity tags."""
+    """A VM list that can change, be unavailable and omit its entity tags."""
 
     def __init__(self, *vms: Vm) -> None:
         self.vms = vms
--- a/libraries/objects/tests/test_follower.py
+++ b/libraries/objects/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""The follower's loop: hints, gaps and lagging replicas around a watch."""
+"""The loop of the follower: announcements, watch gaps and lagging replicas."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
         finish(publisher.publish(base, build_configuration(number), f"id-{number}"))
 
     async def test_an_announcement_during_a_read_is_not_lost(self) -> None:
-        """A gateway's message names generation 2 while the head is being read.
+        """Generation 2 is announced while a read of the head returns generation 1.
 
-        The read still shows generation 1. A follower that cleared the hint before it
-        waits would stay on 1 until its watch ends.
+        Guards against a follower that clears the announcement before it waits: it would
+        stay on generation 1 until its watch ends.
         """
         self.objects.silent = True
         original = self.objects.read
@@ -48,7 +48,7 @@
         await self.node.follow_until(2)
 
     async def test_a_gap_in_the_watch_is_followed_by_a_read(self) -> None:
-        """The platform no longer knows the changes since this node's last watch."""
+        """The platform no longer has the changes since the node's last watch."""
         task = asyncio.create_task(self.node.follow_until(3))
         await self.objects.waiting.wait()
         self.objects.oldest_change = self.objects.revision + 1
@@ -58,9 +58,10 @@
         await task
 
     async def test_a_replica_behind_the_watch_is_read_again(self) -> None:
-        """The watch tells of a change, and the reads right after it show the old head.
+        """A watch reports a change, and the reads after it return the old head.
 
-        Taken as current, the node would wait for a further change.
+        Guards against a node that treats the old head as current and waits for a
+        further change.
         """
         self.publish(2)
         self.objects.stale = 1
@@ -79,10 +80,10 @@
     async def test_a_node_resumed_in_an_outage_applies_a_peers_generation(
         self,
     ) -> None:
-        """A gateway was paused while the fleet went on, and the platform is down now.
+        """A paused gateway resumes on generation 1 while the platform is unavailable.
 
-        A request that names generation 2 reaches it; on 1 it would send work to places
-        that operators have drained.
+        Generation 2 is announced to it. Guards against a gateway that stays on
+        generation 1 and sends work to targets that operators have drained.
         """
         peer = Node(self.objects)
         await self.node.follower.refresh()
@@ -94,7 +95,7 @@
         await self.node.follow_until(2)
 
     async def test_a_node_started_in_an_outage_reads_from_a_peer(self) -> None:
-        """A gateway starts while the platform is down; callers' keys must work."""
+        """A gateway starts while the platform is down; API keys must be valid."""
         peer = Node(self.objects)
         await peer.follower.refresh()
         self.objects.down = True
--- a/libraries/objects/tests/test_generations.py
+++ b/libraries/objects/tests/test_generations.py
@@ -1,4 +1,4 @@
-"""Publishing and following under faults, judged by what the platform recorded."""
+"""Publishing and following under faults, checked against the stored objects."""
 
 from __future__ import annotations
 
@@ -31,10 +31,11 @@
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Operators race each other while the platform loses, delays and lags.
+    """Concurrent publishers while the platform loses, delays and lags.
 
-    Callers would see a drained data centre or an old weight version come back if a
-    node went back, and operators would trust a publish that is not in force.
+    Guards against nodes that revert to an older generation, which would bring back a
+    drained data centre or an old weight version, and against a publish that is reported
+    as accepted but is not in force.
     """
 
     def __init__(self) -> None:
@@ -77,7 +78,7 @@
         self.contents[publish_id] = build_configuration(number)
         self.objects.faults, self.objects.part_faults = faults, part_faults
         base = self.bases[operator]
-        # The replica lags until the publisher has paused.
+        # The replica lags until the publisher has waited.
         self.objects.stale = stale
         response = finish(
             self.operators[operator].publish(
@@ -120,7 +121,7 @@
         down=st.booleans(),
     )
     def receive_peer_generation(self, node: int, peer: int, down: bool) -> None:
-        """A message names the peer's generation, which the peer holds."""
+        """A message announces the generation in force at a peer."""
         announced = self.nodes[peer].generation
         self.objects.down = down
         self.nodes[node].follower.record_announced(announced)
@@ -165,7 +166,7 @@
             assert set(head.parts.values()) <= stored
 
     def teardown(self) -> None:
-        """Once the platform is back the last accepted generation is in force."""
+        """Once the platform has recovered, the last accepted generation is in force."""
         self.objects.down = False
         self.objects.deliver_held()
         self.publish_results_match_the_stored_heads()
@@ -182,9 +183,10 @@
 
 class GenerationStoreTests(unittest.TestCase):
     def test_truncated_missing_and_swapped_parts_are_never_applied(self) -> None:
-        """A replica answers with half a part, none, or another part's content.
+        """A replica returns a truncated part, none, or the content of another part.
 
-        Applied, workspaces would vanish: their callers would all be turned away.
+        Guards against a configuration without some workspaces, whose callers would all
+        be refused.
         """
         objects = MemoryObjects()
         publisher = build_publisher(objects)
@@ -217,10 +219,10 @@
         self.assertIsInstance(response, Ok)
 
     def test_a_publish_with_a_lost_response_is_found_after_a_later_one(self) -> None:
-        """The operator's answer is lost, then another operator publishes on top.
+        """The response to a publish is lost, then another operator publishes on top.
 
-        Without the record of earlier publishes the first one would be told "unknown"
-        or, worse, "not published" while it had been in force.
+        Guards against reporting the first publish as unknown or as not published
+        although it was in force; the head's list of earlier publishes prevents that.
         """
         base = finish(self.publisher.read()).ok_value
         self.objects.faults = ["lose"]
@@ -241,7 +243,7 @@
         self.assertEqual(response.ok_value.number, 1)
 
     def test_unknown_only_when_the_platform_stays_down(self) -> None:
-        """The write is lost and the platform stays down: nobody can know."""
+        """The write is lost and the platform stays down: the outcome is unknown."""
         base = finish(self.publisher.read()).ok_value
         self.objects.faults = ["lose"]
 
@@ -259,18 +261,18 @@
         self.assertIsInstance(response.err_value, PlatformOutcomeUnknownError)
 
     def test_old_parts_are_removed(self) -> None:
-        """Without removal each of 2,300 changes a day would leave a part for ever."""
+        """Guards against a part left in the store by each of 2,300 changes a day."""
         for number in range(12):
             self.publish(number, f"publish-{number}")
         parts = [key for key in self.objects.objects if key.startswith(PART_PREFIX)]
-        # Three parts a generation; current, kept, and those found gone at the next.
+        # Three parts a generation: the current one, those kept and those just removed.
         self.assertLessEqual(len(parts), 3 * (KEPT_GENERATIONS + 1))
 
     def test_a_part_named_again_while_it_is_removed_stays(self) -> None:
-        """Two operators: one removes old parts as the other returns to their content.
+        """One publisher removes old parts while another publishes their content again.
 
-        The second one's head would name a part that the first one deletes after it; no
-        node could read that generation.
+        Guards against a head of the second publisher that refers to a part which the
+        first one then deletes; no node could read that generation.
         """
         for number in (0, 1, 2, 3):
             self.publish(number, f"publish-{number}")
@@ -279,7 +281,7 @@
         original = first._remove
 
         async def publish_between(expired: dict[str, int]) -> None:
-            # These parts were last named three generations ago.
+            # These parts were last referred to three generations ago.
             self.publish(1, "returns")
             await original(expired)
 
--- a/libraries/objects/tests/test_http_client.py
+++ b/libraries/objects/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""Answers that arrive slowly, and answers that stop arriving."""
+"""Responses that arrive slowly, and responses that stall."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 class SlowResponseTests(unittest.IsolatedAsyncioTestCase):
     async def serve(self, pieces: int, pause: float) -> HttpClient:
-        """Return a caller of a server that sends so many pieces of its answer."""
+        """Return a client of a server that sends ``pieces`` chunks of its response."""
 
         async def answer(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -35,14 +35,14 @@
         return HttpClient(f"http://127.0.0.1:{port}", call_timeout=CALL_TIMEOUT_SECONDS)
 
     async def test_a_response_longer_than_the_timeout_arrives_complete(self) -> None:
-        # Guards against a limit on the whole call, which a large answer on a weak link
-        # exceeds each time, however often it is asked for.
+        # Guards against a limit on the total time, which a large response on a slow
+        # link exceeds at each attempt.
         async with await self.serve(PIECES, CALL_TIMEOUT_SECONDS / 2) as caller:
             answer = await caller.call("GET", "/large")
         self.assertEqual(len(answer.unwrap().body), PIECES * len(PIECE))
 
     async def test_a_response_that_stalls_is_abandoned(self) -> None:
-        # Guards against waiting for ever on a connection that went silent.
+        # Guards against waiting for ever on a connection without further bytes.
         async with await self.serve(PIECES // 2, 0.0) as caller:
             async with asyncio.timeout(CALL_TIMEOUT_SECONDS * 10):
                 answer = await caller.call("GET", "/silent")
--- a/libraries/objects/tests/test_http_platform.py
+++ b/libraries/objects/tests/test_http_platform.py
@@ -1,7 +1,7 @@
 """A platform that closes the connection after a change took effect.
 
-The HTTP client would send the PUT again by itself; the second one meets its own first
-and is answered with a conflict, which reads as "certainly without effect".
+Guards against an HTTP client that repeats the PUT by itself: the second one ends in a
+conflict with the first, which means "certainly without effect" to the caller.
 """
 
 from __future__ import annotations
--- a/libraries/objects/tests/test_object_follower.py
+++ b/libraries/objects/tests/test_object_follower.py
@@ -1,4 +1,4 @@
-"""Since when a list may hold changes that a follower could not see."""
+"""The time since which a list may contain changes that were not reported."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     async def follow(
         self, *responses: tuple[float, Result[ChangeBatch, PlatformError]]
     ) -> list[float]:
-        """Answer watches after the given seconds; return what the lists were told."""
+        """Respond to watches after the given seconds; return each ``known_until``."""
         left = list(responses)
 
         async def watch(*_: object) -> Result[ChangeBatch, PlatformError]:
@@ -62,8 +62,8 @@
     async def test_a_watch_without_response_may_hide_changes_since_it_was_sent(
         self,
     ) -> None:
-        # One watch ends as it should after two seconds. The next gets no answer for
-        # three and a half, though something changed right after it was asked.
+        # One watch ends as expected after two seconds. The next gets no response for
+        # three and a half, although something changed right after it was sent.
         failed = Err(PlatformUnavailableError("no answer"))
         reported = await self.follow((2.0, NOTHING), (3.5, failed))
         self.assertEqual(reported[1], 102.0)
@@ -75,11 +75,12 @@
         self.assertEqual(reported[1], 102.0)
 
     async def test_changes_between_two_watches_may_be_hidden(self) -> None:
-        # A gateway stands still for four seconds. Its watch ends empty at the store in
-        # the middle, as it should after two, and new weights are named after that. It
-        # reads the empty answer when it runs again; its next watch fails after six
-        # seconds. The list then shows the new weights, taken for two seconds younger
-        # than they may be, and older ones serve callers for as much too long.
+        # A gateway is paused for four seconds. Its watch ends empty at the store after
+        # two, as expected, and a weight version is published after that. The gateway
+        # reads the empty response when it resumes; its next watch fails after six
+        # seconds. Guards against a follower that then assumes the version in the list
+        # to be two seconds younger than it may be: the older one would be used for two
+        # seconds too long.
         failed = Err(PlatformUnavailableError("no answer"))
         reported = await self.follow((4.0, NOTHING), (6.0, failed))
         self.assertLessEqual(reported[1], 102.0)
--- a/libraries/objects/tests/test_vm_follower.py
+++ b/libraries/objects/tests/test_vm_follower.py
@@ -1,4 +1,4 @@
-"""The VM list is followed within its budget and kept through outages."""
+"""The VM list is followed within its budget and retained during outages."""
 
 from __future__ import annotations
 
@@ -29,8 +29,9 @@
         self.assertEqual(self.fake.sizes[1:], [0] * 4)
 
     async def test_without_entity_tags_the_budget_still_holds(self) -> None:
-        # A platform that ignores tags sends 166 KB each time. Polled at the usual pace
-        # that is 55 KB/s, above all that a node may spend; the pause must stretch.
+        # A platform that ignores entity tags sends 166 KB each time. At the usual poll
+        # interval that is 55 KB/s, more than the total budget of a node, so the delay
+        # must grow.
         self.fake.tags = False
         pauses = []
         for _ in range(200):
@@ -40,8 +41,8 @@
         self.assertLessEqual(rate, BUDGET_BYTES * (1 + JITTER_SHARE))
 
     async def test_an_outage_keeps_the_last_list(self) -> None:
-        # The platform goes down for a while. Taken for an empty fleet, that would
-        # refuse every caller although all targets are well.
+        # Guards against an outage of the platform that is treated as an empty list:
+        # every caller would be refused although all targets are available.
         await self.follower.refresh()
         self.fake.down = True
         await self.follower.refresh()
--- a/libraries/objects/tests/test_vm_inventory.py
+++ b/libraries/objects/tests/test_vm_inventory.py
@@ -1,4 +1,4 @@
-"""What a process knows of the VMs before and after the platform has answered."""
+"""The VM list of a process before and after the first response of the platform."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 
 class VmInventoryTests(unittest.IsolatedAsyncioTestCase):
     async def test_a_peers_list_is_used_until_the_platform_responds(self) -> None:
-        """A gateway starts in an outage; a peer sends garbage, then an older list.
+        """A gateway starts in an outage; a peer sends invalid data, then an older list.
 
-        Garbage must not end the process, and the platform's own list wins for good.
+        Guards against invalid data that ends the process, and against a peer's list
+        that replaces the one of the platform.
         """
         inventory = VmInventory(random.Random(1))
         shown = asyncio.Event()
--- a/tools/safeguards/configuration.py
+++ b/tools/safeguards/configuration.py
@@ -128,8 +128,9 @@
     Mutation(
         "a gateway that slept takes the generation from an agent",
         "libraries/objects/src/bamboopier_objects/peers.py",
-        "        known = sorted({*self._seeds, *self._vms.list_agent_addresses()})\n",
-        "        known: list[str] = []\n",
+        "        addresses = sorted("
+        "{*self._seeds, *self._vms.list_agent_addresses()})\n",
+        "        addresses: list[str] = []\n",
         ".",
         "tests.test_drain.DrainTests."
         "test_the_agent_refuses_what_an_unaware_gateway_sends",
