--- a/libraries/configuration/src/bamboopier_configuration/collection.py
+++ b/libraries/configuration/src/bamboopier_configuration/collection.py
@@ -56,19 +56,21 @@
             services=[], workspaces=[], models=[], stores=[], drains=Drains([], [])
         )
         # File and JSON path of the first use of a name in a section, or of a digest.
-        self._names: dict[tuple[str, str], tuple[str, str]] = {}
-        self._digests: dict[str, tuple[str, str]] = {}
+        self._name_positions: dict[tuple[str, str], tuple[str, str]] = {}
+        self._digest_positions: dict[str, tuple[str, str]] = {}
 
     def add(self, part: ConfigurationFile, file: str) -> ConfigurationError | None:
         """Add one file; return the first error in it."""
         for section in SECTIONS:
             for index, item in enumerate(getattr(part, section)):
                 path = f"$.{section}[{index}]"
-                known = self._names.setdefault((section, item.name), (file, path))
-                if known != (file, path):
+                first = self._name_positions.setdefault(
+                    (section, item.name), (file, path)
+                )
+                if first != (file, path):
                     found = f"duplicate name '{item.name}'"
                     return _make_duplicate_error(
-                        file, f"{path}.name", found, "name", known
+                        file, f"{path}.name", found, "name", first
                     )
                 getattr(self.joined, section).append(item)
         return (
@@ -84,54 +86,54 @@
         models = {model.name for model in joined.models}
         stores = {store.name for store in joined.stores}
         for service in joined.services:
-            place = self._names["services", service.name]
+            position = self._name_positions["services", service.name]
             for index, model in enumerate(service.models):
                 if model not in models:
                     return _make_dangling_error(
-                        place, f"models[{index}]", model, models
+                        position, f"models[{index}]", model, models
                     )
             if service.store is not None and service.store not in stores:
-                return _make_dangling_error(place, "store", service.store, stores)
+                return _make_dangling_error(position, "store", service.store, stores)
         for workspace in joined.workspaces:
-            place = self._names["workspaces", workspace.name]
+            position = self._name_positions["workspaces", workspace.name]
             for index, name in enumerate(workspace.services):
                 if name not in services:
                     return _make_dangling_error(
-                        place, f"services[{index}]", name, services
+                        position, f"services[{index}]", name, services
                     )
         return None
 
     def _check_kinds(self, services: list[Service]) -> ConfigurationError | None:
         """Refuse fields that do not fit the kind of a service."""
         for service in services:
-            file, place = self._names["services", service.name]
+            file, position = self._name_positions["services", service.name]
             if service.kind == "model" and not service.models:
                 allowed = 'at least one model for a service of kind "model"'
-                return ConfigurationError(file, f"{place}.models", "none", allowed)
+                return ConfigurationError(file, f"{position}.models", "none", allowed)
             if service.kind == "plain" and (service.models or service.store):
                 field = "models" if service.models else "store"
                 found = format_value(getattr(service, field))
                 allowed = 'nothing for a service of kind "plain"'
-                return ConfigurationError(file, f"{place}.{field}", found, allowed)
+                return ConfigurationError(file, f"{position}.{field}", found, allowed)
         return None
 
     def _check_routes(self, services: list[Service]) -> ConfigurationError | None:
         """Refuse a route that no request can match."""
         for service in services:
-            file, place = self._names["services", service.name]
+            file, position = self._name_positions["services", service.name]
             seen: dict[tuple[str, str], tuple[str, str]] = {}
             for index, route in enumerate(service.routes):
-                path = f"{place}.routes[{index}]"
+                path = f"{position}.routes[{index}]"
                 if {".", ".."} & set(route.path.split("/")):
                     allowed = "a path without '.' and '..' segments"
                     return ConfigurationError(
                         file, f"{path}.path", f"'{route.path}'", allowed
                     )
                 key = (route.method, route.path.rstrip("/"))
-                known = seen.setdefault(key, (file, path))
-                if known != (file, path):
+                first = seen.setdefault(key, (file, path))
+                if first != (file, path):
                     found = f"second route for {route.method} {route.path}"
-                    return _make_duplicate_error(file, path, found, "route", known)
+                    return _make_duplicate_error(file, path, found, "route", first)
         return None
 
     def _check_digests(self, workspaces: list[Workspace]) -> ConfigurationError | None:
@@ -141,28 +143,28 @@
         workspace's context.
         """
         for workspace in workspaces:
-            file, place = self._names["workspaces", workspace.name]
+            file, position = self._name_positions["workspaces", workspace.name]
             for index, digest in enumerate(workspace.api_key_digests):
-                path = f"{place}.api_key_digests[{index}]"
-                known = self._digests.setdefault(digest, (file, path))
-                if known != (file, path):
+                path = f"{position}.api_key_digests[{index}]"
+                first = self._digest_positions.setdefault(digest, (file, path))
+                if first != (file, path):
                     found = "a digest that is already in use"
-                    return _make_duplicate_error(file, path, found, "digest", known)
+                    return _make_duplicate_error(file, path, found, "digest", first)
         return None
 
 
 def _make_duplicate_error(
-    file: str, path: str, found: str, kind: str, known: tuple[str, str]
+    file: str, path: str, found: str, kind: str, first: tuple[str, str]
 ) -> ConfigurationError:
-    allowed = f"a {kind} not yet used (first used in {known[0]} at {known[1]})"
+    allowed = f"a {kind} not yet used (first used in {first[0]} at {first[1]})"
     return ConfigurationError(file, path, found, allowed)
 
 
 def _make_dangling_error(
-    place: tuple[str, str], field: str, name: str, known: set[str]
+    position: tuple[str, str], field: str, name: str, defined: set[str]
 ) -> ConfigurationError:
-    file, path = place
-    allowed = ", ".join(sorted(known)) or "nothing is defined yet"
+    file, path = position
+    allowed = ", ".join(sorted(defined)) or "nothing is defined yet"
     return ConfigurationError(
         file, f"{path}.{field}", f"unknown name '{name}'", allowed
     )
--- a/libraries/configuration/src/bamboopier_configuration/settings_reader.py
+++ b/libraries/configuration/src/bamboopier_configuration/settings_reader.py
@@ -78,14 +78,14 @@
         section, listens_plain = "tls", settings.tls is None
         urls["$.target_url"] = settings.target_url
     if listens_plain and not settings.listen.is_loopback:
-        cure = (
+        allowed = (
             f'a loopback address, certificates in "{section}", or {_ALLOW_PLAIN_ENTRY}'
         )
-        return ConfigurationError(file, "$.listen", str(settings.listen), cure)
+        return ConfigurationError(file, "$.listen", str(settings.listen), allowed)
     for path, url in urls.items():
         if url.startswith("http:") and not _is_loopback_url(url):
-            cure = f"https, a loopback address, or {_ALLOW_PLAIN_ENTRY}"
-            return ConfigurationError(file, path, format_value(url), cure)
+            allowed = f"https, a loopback address, or {_ALLOW_PLAIN_ENTRY}"
+            return ConfigurationError(file, path, format_value(url), allowed)
     return None
 
 
--- a/libraries/daemon/src/bamboopier_daemon/certificates.py
+++ b/libraries/daemon/src/bamboopier_daemon/certificates.py
@@ -165,7 +165,7 @@
 
 
 class _Pem:
-    """The content of the files, as gRPC takes it."""
+    """The content of the files, as bytes for gRPC."""
 
     __slots__ = ("authority", "certificate", "key")
 
--- a/libraries/daemon/src/bamboopier_daemon/errors.py
+++ b/libraries/daemon/src/bamboopier_daemon/errors.py
@@ -18,7 +18,7 @@
 
     def __init__(self, setting: str, address: Address, cause: str) -> None:
         super().__init__(
-            f"cannot listen on {address}: {cause}; stop the process that has it or "
+            f"cannot listen on {address}: {cause}; stop the process that uses it or "
             f"change '{setting}' in the settings"
         )
         self.setting = setting
--- a/libraries/daemon/tests/test_log_sink.py
+++ b/libraries/daemon/tests/test_log_sink.py
@@ -45,10 +45,10 @@
         self.sink.write("after\n")
         rest = self.read()
         lines = (first + rest).split(b"\n")
-        told = [found for found in lines if b"log lines dropped" in found]
-        self.assertEqual(len(told), 1)
-        whole = [found for found in lines if found == b"x" * 500]
-        self.assertEqual(len(whole) + self.sink.dropped, 400)
+        reported = [found for found in lines if b"log lines dropped" in found]
+        self.assertEqual(len(reported), 1)
+        complete = [found for found in lines if found == b"x" * 500]
+        self.assertEqual(len(complete) + self.sink.dropped, 400)
 
     def test_lines_beyond_the_rate_are_dropped(self) -> None:
         for _ in range(int(BURST_LINES) + 500):
--- a/libraries/objects/src/bamboopier_objects/errors.py
+++ b/libraries/objects/src/bamboopier_objects/errors.py
@@ -32,7 +32,7 @@
 
 
 class WatchGapError(PlatformError):
-    """The changes after the requested revision are gone; read the state again."""
+    """Changes after the requested revision are unavailable; read the state again."""
 
 
 class MalformedObjectError(PlatformError):
--- a/libraries/objects/src/bamboopier_objects/generations.py
+++ b/libraries/objects/src/bamboopier_objects/generations.py
@@ -103,16 +103,18 @@
             return
         self.newest = head.generation
         self.head_value = head_value
-        named = set(head.parts.values())
-        self._parts = {d: part for d, part in self._parts.items() if d in named}
-        self.part_values = {d: v for d, v in self.part_values.items() if d in named}
+        referenced = set(head.parts.values())
+        self._parts = {d: part for d, part in self._parts.items() if d in referenced}
+        self.part_values = {
+            d: v for d, v in self.part_values.items() if d in referenced
+        }
 
     async def _find_part(
         self, digest: str, source: PartSource
     ) -> Result[Part, PlatformError]:
-        known = self._parts.get(digest)
-        if known is not None:
-            return Ok(known)
+        cached = self._parts.get(digest)
+        if cached is not None:
+            return Ok(cached)
         response = await source.read_part(digest)
         if isinstance(response, Err):
             return response
--- a/libraries/objects/src/bamboopier_objects/publisher.py
+++ b/libraries/objects/src/bamboopier_objects/publisher.py
@@ -99,9 +99,9 @@
         absent: set[str],
     ) -> Head:
         number = base.number + 1
-        named = set(parts.values())
-        retired = [p for p in base.head.retired if p.digest not in named | absent]
-        dropped = set(base.head.parts.values()) - named
+        referenced = set(parts.values())
+        retired = [p for p in base.head.retired if p.digest not in referenced | absent]
+        dropped = set(base.head.parts.values()) - referenced
         retired += [RetiredPart(digest, number) for digest in sorted(dropped)]
         earlier = list(base.head.earlier)
         if base.number:
@@ -186,7 +186,9 @@
                 break
         return Err(PlatformUnavailableError(f"part {digest}: {error}"))
 
-    async def _find_expired(self, base: Generation, named: set[str]) -> dict[str, int]:
+    async def _find_expired(
+        self, base: Generation, referenced: set[str]
+    ) -> dict[str, int]:
         """Return the versions of parts that no recent head refers to, by digest.
 
         Versions are read before the head is written: a publisher that refers to such a
@@ -197,7 +199,7 @@
         expired = [
             part.digest
             for part in base.head.retired
-            if part.generation <= limit and part.digest not in named
+            if part.generation <= limit and part.digest not in referenced
         ]
         versions: dict[str, int] = {}
         for digest in expired[:MAX_REMOVED_PARTS]:
--- a/libraries/objects/tests/test_generations.py
+++ b/libraries/objects/tests/test_generations.py
@@ -194,14 +194,19 @@
         finish(publisher.publish(base, build_configuration(1), "first"))
         node = Node(objects)
         keys = [key for key in objects.objects if key.startswith(PART_PREFIX)]
-        whole = dict(objects.objects)
-        for broken in (b"", whole[keys[0]].value[:-9], whole[keys[1]].value, b"{}"):
+        originals = dict(objects.objects)
+        for broken in (
+            b"",
+            originals[keys[0]].value[:-9],
+            originals[keys[1]].value,
+            b"{}",
+        ):
             objects.objects[keys[0]] = StoredObject(keys[0], 1, broken)
             self.assertFalse(finish(node.follower.refresh()))
         del objects.objects[keys[0]]
         self.assertFalse(finish(node.follower.refresh()))
         self.assertEqual(node.applied, [])
-        objects.objects.update(whole)
+        objects.objects.update(originals)
         self.assertTrue(finish(node.follower.refresh()))
         self.assertEqual(node.applied[0].configuration, build_configuration(1))
 
--- a/libraries/objects/tests/test_object_follower.py
+++ b/libraries/objects/tests/test_object_follower.py
@@ -64,7 +64,7 @@
     ) -> None:
         # One watch ends as expected after two seconds. The next gets no response for
         # three and a half, although something changed right after it was sent.
-        failed = Err(PlatformUnavailableError("no answer"))
+        failed = Err(PlatformUnavailableError("no response"))
         reported = await self.follow((2.0, NOTHING), (3.5, failed))
         self.assertEqual(reported[1], 102.0)
 
@@ -81,7 +81,7 @@
         # seconds. Guards against a follower that then assumes the version in the list
         # to be two seconds younger than it may be: the older one would be used for two
         # seconds too long.
-        failed = Err(PlatformUnavailableError("no answer"))
+        failed = Err(PlatformUnavailableError("no response"))
         reported = await self.follow((4.0, NOTHING), (6.0, failed))
         self.assertLessEqual(reported[1], 102.0)
 
