--- a/libraries/objects/tests/test_generations.py
+++ b/libraries/objects/tests/test_generations.py
@@ -176,7 +176,7 @@
 
 
 ConfigurationMachine.TestCase.settings = settings(
-    max_examples=150, stateful_step_count=30, derandomize=True, deadline=None
+    max_examples=600, stateful_step_count=30, derandomize=True, deadline=None
 )
 ConfigurationTests = ConfigurationMachine.TestCase
 
