--- a/tools/imports.py
+++ b/tools/imports.py
@@ -1,4 +1,4 @@
-"""Checks which library may import which, and that decisions perform no I/O."""
+"""Checks the imports between libraries, and that ``decisions`` imports no I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 LIBRARIES = Path(__file__).resolve().parent.parent / "libraries"
 PREFIX = "bamboopier_"
-# Every library and the libraries of this project it may use.
+# The libraries of this project that each library may import.
 ALLOWED: dict[str, set[str]] = {
     "decisions": set(),
     "protocol": set(),
@@ -23,7 +23,7 @@
     "cli": {"agent", "configuration", "daemon", "decisions", "gateway", "objects"}
     | {"protocol", "replay"},
 }
-# What the decision library may use: pure computation only.
+# The modules that the library ``decisions`` may import: pure computation only.
 PURE_MODULES = frozenset(
     {"__future__", "bisect", "collections", "dataclasses", "enum", "hashlib", "heapq"}
     | {"hmac", "itertools", "math", "random", "struct", "typing", "functools"}
@@ -41,23 +41,29 @@
     return found
 
 
-def find_faults(library: str, allowed: set[str]) -> list[str]:
-    """Return one line for each import a library may not make."""
-    faults: list[str] = []
+def find_violations(library: str, allowed: set[str]) -> list[str]:
+    """Return a line for each import that a library may not make."""
+    violations: list[str] = []
     for path in sorted((LIBRARIES / library / "src").rglob("*.py")):
         imports = list_imports(path)
-        own = {n.removeprefix(PREFIX) for n in imports if n.startswith(PREFIX)}
-        for name in sorted(own - allowed - {library}):
-            faults.append(f"{path.name}: {library} may not import {PREFIX}{name}")
+        imported_libraries = {
+            n.removeprefix(PREFIX) for n in imports if n.startswith(PREFIX)
+        }
+        for name in sorted(imported_libraries - allowed - {library}):
+            violations.append(f"{path.name}: {library} may not import {PREFIX}{name}")
         if library == "decisions":
             impure = imports - PURE_MODULES - {f"{PREFIX}{library}"}
-            faults.extend(f"{path}: decisions may not import {n}" for n in impure)
-            faults.extend(find_global_random(path))
-    return faults
+            violations.extend(f"{path}: decisions may not import {n}" for n in impure)
+            violations.extend(find_random_import(path))
+    return violations
 
 
-def find_global_random(path: Path) -> list[str]:
-    """Return a line for each call of a function of the global random generator."""
+def find_random_import(path: Path) -> list[str]:
+    """Return a line if a file imports ``random`` at the top level of the module.
+
+    Its functions use the global random generator; types of it may be imported under
+    ``TYPE_CHECKING``.
+    """
     tree = ast.parse(path.read_text())
     imported = any(
         isinstance(node, ast.Import) and any(a.name == "random" for a in node.names)
@@ -69,14 +75,16 @@
 
 
 def main() -> None:
-    """Check every library."""
-    known = {p.name for p in LIBRARIES.iterdir() if p.is_dir()}
-    faults = [f"no rule for library {name}" for name in sorted(known - set(ALLOWED))]
+    """Check every library; exit with 1 if an import breaks the rules."""
+    existing = {p.name for p in LIBRARIES.iterdir() if p.is_dir()}
+    violations = [
+        f"no rule for library {name}" for name in sorted(existing - set(ALLOWED))
+    ]
     for library, allowed in ALLOWED.items():
-        faults.extend(find_faults(library, allowed))
-    for fault in faults:
-        print(fault, file=sys.stderr)
-    sys.exit(1 if faults else 0)
+        violations.extend(find_violations(library, allowed))
+    for violation in violations:
+        print(violation, file=sys.stderr)
+    sys.exit(1 if violations else 0)
 
 
 if __name__ == "__main__":
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -1,7 +1,7 @@
-"""Takes each safeguard out, one at a time, and sees whether its test turns red.
+"""Removes each safeguard, one at a time, and checks that its test turns red.
 
-``make mutations`` prints the table and fails if any test stays green without its
-safeguard. Every mutation works on a copy of the tree.
+``make mutations`` prints a table and fails if any test stays green without its
+safeguard. Each mutation is applied to a copy of the tree.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
     from mutations import Mutation
 
 ROOT = Path(__file__).resolve().parent.parent
-LEFT_OUT = shutil.ignore_patterns(".venv", ".git", ".mypy_cache", ".ruff_cache")
-TEST_SECONDS = 300
+IGNORED_FOLDERS = shutil.ignore_patterns(".venv", ".git", ".mypy_cache", ".ruff_cache")
+TEST_TIMEOUT_SECONDS = 300
 WORKERS = 4
-ALL = (
+ALL_MUTATIONS = (
     *MUTATIONS,
     *ages.MUTATIONS,
     *at_most_once.MUTATIONS,
@@ -47,40 +47,42 @@
 
 
 def run_mutation(mutation: Mutation) -> str:
-    """Return ``red``, or what went wrong instead."""
+    """Return ``red`` if the test fails only with the mutation, or else the problem."""
     with tempfile.TemporaryDirectory(prefix="mutation-") as folder:
         copy = Path(folder) / "tree"
-        shutil.copytree(ROOT, copy, ignore=LEFT_OUT)
+        shutil.copytree(ROOT, copy, ignore=IGNORED_FOLDERS)
         path = copy / mutation.file
         source = path.read_text()
         if source.count(mutation.old) != 1:
-            return f"the code to change stands {source.count(mutation.old)} times"
+            return (
+                f"source text found {source.count(mutation.old)} times, expected once"
+            )
         if not _passes(copy, mutation):
-            return "red before the change"
+            return "red before the mutation"
         path.write_text(source.replace(mutation.old, mutation.new))
         return "STAYED GREEN" if _passes(copy, mutation) else "red"
 
 
 def _passes(copy: Path, mutation: Mutation) -> bool:
-    """Run the mutation's test in the copied tree."""
+    """Return whether the mutation's test passes in the copied tree."""
     sources = [str(p) for p in sorted(copy.glob("libraries/*/src"))]
     paths = os.pathsep.join([*sources, str(copy / "tools")])
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "unittest", mutation.test],
         cwd=copy / mutation.suite,
         env={**os.environ, "PYTHONPATH": paths, "PYTHONDONTWRITEBYTECODE": "1"},
         capture_output=True,
-        timeout=TEST_SECONDS,
+        timeout=TEST_TIMEOUT_SECONDS,
     )
-    return done.returncode == 0
+    return completed.returncode == 0
 
 
 def main(only: str = "") -> None:
     """Run every mutation whose safeguard contains ``only``."""
-    chosen = [m for m in ALL if only in m.safeguard]
+    selected = [m for m in ALL_MUTATIONS if only in m.safeguard]
     with ThreadPoolExecutor(WORKERS) as pool:
-        outcomes = list(pool.map(run_mutation, chosen))
-    for mutation, outcome in zip(chosen, outcomes, strict=True):
+        outcomes = list(pool.map(run_mutation, selected))
+    for mutation, outcome in zip(selected, outcomes, strict=True):
         print(f"{outcome:14} {mutation.safeguard}  [{mutation.test}]")
     red = outcomes.count("red")
     print(
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -1,4 +1,4 @@
-"""The safeguards: each with the change that removes it and the test that notices."""
+"""Safeguards, each with the change that removes it and the test that then fails."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True)
 class Mutation:
-    """Replace ``old`` by ``new`` in ``file``; ``test`` must turn red.
+    """A change that removes a safeguard and must make a test fail.
 
-    ``suite`` is the folder whose tests are run (``.`` for the system tests) and
-    ``test`` a dotted name below it.
+    ``old`` is replaced by ``new`` in ``file``. ``suite`` is the folder whose tests are
+    run (``.`` for the system tests) and ``test`` a dotted name below it.
     """
 
     safeguard: str
@@ -23,7 +23,7 @@
 
 MUTATIONS = (
     Mutation(
-        "a block's digest is checked by its reader",
+        "the reader of a block checks its digest",
         "libraries/decisions/src/bamboopier_decisions/context/envelope.py",
         "    if not hmac.compare_digest(_compute_digest(secret, content), digest):\n"
         "        return None\n",
@@ -32,7 +32,7 @@
         "tests.test_envelope",
     ),
     Mutation(
-        "a block's key and version are part of its proof",
+        "the reader of a block checks its key and version",
         "libraries/decisions/src/bamboopier_decisions/context/envelope.py",
         "        and found_key == key\n        and name == version.encode()\n",
         "",
@@ -40,7 +40,7 @@
         "tests.test_context.BlockIntegrityTests.test_a_foreign_or_older_block_under_the_name_is_not_imported",
     ),
     Mutation(
-        "the workspace is part of a block's secret",
+        "the secret of a block is derived from its workspace",
         "libraries/decisions/src/bamboopier_decisions/context/blocks.py",
         "        workspace.encode(), key=block_secret, digest_size=KEY_BYTES,",
         '        b"all", key=block_secret, digest_size=KEY_BYTES,',
@@ -48,7 +48,7 @@
         "tests.test_context.WorkspaceTests.test_the_same_prompt_in_two_workspaces_shares_nothing",
     ),
     Mutation(
-        "a torn write is told by its length",
+        "a truncated write is detected by its length",
         "libraries/agent/src/bamboopier_agent/block_exporter.py",
         "result.ok_value == size",
         "result.ok_value >= 0",
@@ -64,7 +64,7 @@
         "tests.test_context.BlockIntegrityTests.test_a_block_damaged_in_the_store_is_written_again",
     ),
     Mutation(
-        "an export names the version that made it",
+        "an export is discarded if another weight version made it",
         "libraries/agent/src/bamboopier_agent/target.py",
         "                if response.headers.get(VERSION_HEADER) != version:\n"
         "                    return None\n",
@@ -73,7 +73,7 @@
         "tests.test_context.BlockIntegrityTests.test_a_swap_between_run_and_export_stores_nothing",
     ),
     Mutation(
-        "a gap in cache events ends beliefs",
+        "a gap in cache events invalidates the view of the cache",
         "libraries/agent/src/bamboopier_agent/context.py",
         "        if gap:\n            self._resident.clear()\n",
         "",
@@ -81,7 +81,7 @@
         "tests.test_context.BlockIntegrityTests.test_a_stale_view_of_the_cache_costs_only_a_recomputation",
     ),
     Mutation(
-        "a hung store VM is passed over",
+        "an unresponsive store VM is skipped",
         "libraries/agent/src/bamboopier_agent/store_link.py",
         "self.health.record_failure(time.monotonic(), vm.name)",
         "pass",
@@ -89,7 +89,7 @@
         "tests.test_context.StoreFailureTests.test_a_hung_store_times_out_and_is_then_skipped",
     ),
     Mutation(
-        "concurrent requests share a read",
+        "concurrent requests for a block share one read",
         "libraries/agent/src/bamboopier_agent/block_fetcher.py",
         "        pending_read = self._pending_reads.get(name.key)\n"
         "        if pending_read is None:",
@@ -98,7 +98,7 @@
         "tests.test_context.LinkUseTests.test_concurrent_requests_fetch_a_block_once",
     ),
     Mutation(
-        "a block is looked for before it is sent",
+        "an export checks whether the block is already stored",
         "libraries/agent/src/bamboopier_agent/block_exporter.py",
         "return isinstance(result, Ok) and result.ok_value == size",
         "return False",
@@ -106,7 +106,7 @@
         "tests.test_context.LinkUseTests.test_a_restarted_agent_does_not_send_stored_blocks_again",
     ),
     Mutation(
-        "eviction takes from who holds most for its weight",
+        "eviction starts with the workspace that holds most for its weight",
         "libraries/decisions/src/bamboopier_decisions/context/eviction.py",
         "    by_tag, foreign = _group_by_tag(names)\n",
         "    return list(names)[:count]\n",
@@ -114,7 +114,7 @@
         "tests.test_context.WorkspaceTests.test_a_workspace_that_fills_the_store_evicts_only_itself",
     ),
     Mutation(
-        "a fetch timeout never exceeds what recomputing costs",
+        "a fetch timeout never exceeds the time of recomputing",
         "libraries/decisions/src/bamboopier_decisions/context/fetch_choice.py",
         "min(max_wait, timeout)",
         "timeout",
@@ -122,7 +122,7 @@
         "tests.test_fetch_choice.FetchChoiceTests.test_no_caller_waits_longer_for_a_store_than_recomputing_costs",
     ),
     Mutation(
-        "an export reserves nothing while it waits",
+        "an export reserves no link budget while it waits",
         "libraries/decisions/src/bamboopier_decisions/context/link_budget.py",
         "        if wait <= 0:\n            self._all.tokens",
         "        if True:\n            self._all.tokens",
@@ -130,7 +130,7 @@
         "tests.test_link_budget.LinkBudgetTests.test_an_export_lets_waiting_fetches_go_first",
     ),
     Mutation(
-        "an agent reads a few blocks at a time",
+        "an agent limits its concurrent block reads",
         "libraries/agent/src/bamboopier_agent/store_link.py",
         "asyncio.Semaphore(MAX_CONCURRENT_READS)",
         "asyncio.Semaphore(1000)",
@@ -148,7 +148,7 @@
         "test_a_caller_cannot_choose_the_salt_or_the_keys",
     ),
     Mutation(
-        "blocks behind a missing one are taken for lost",
+        "blocks after a missing one are assumed to be missing",
         "libraries/agent/src/bamboopier_agent/context.py",
         "        for key in keys[1:]:\n"
         "            self.exporter.invalidate_stored(key, damaged=False)\n",
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -1,4 +1,4 @@
-"""Writes docs/configuration.md from the checked types, or says that it has drifted."""
+"""Writes docs/configuration.md from the checked types, or checks that it is current."""
 
 from __future__ import annotations
 
@@ -53,11 +53,11 @@
 
 
 def describe(kind: msgspec.inspect.Type) -> str:
-    """Return a type and what is allowed in it, as a table cell."""
+    """Return a type and its allowed values, as a table cell."""
     inner = unwrap(kind)
     if isinstance(inner, msgspec.inspect.ListType):
-        least = f", at least {inner.min_length}" if inner.min_length else ""
-        return f"list of {describe(inner.item_type)}{least}"
+        length_bound = f", at least {inner.min_length}" if inner.min_length else ""
+        return f"list of {describe(inner.item_type)}{length_bound}"
     if isinstance(inner, msgspec.inspect.StructType):
         return f"[{inner.cls.__name__}](#{inner.cls.__name__.lower()})"
     if isinstance(inner, msgspec.inspect.LiteralType):
@@ -81,7 +81,7 @@
 
 
 def read_comments(kind: type) -> dict[str, str]:
-    """Return the comment above each field of a class."""
+    """Return the comment above each field of a class, by field name."""
     found: dict[str, str] = {}
     comment: list[str] = []
     for line in inspect.getsource(kind).splitlines():
@@ -107,7 +107,7 @@
 
 
 def describe_class(kind: type, level: str) -> list[str]:
-    """Return a heading, the doc comment and the table of fields."""
+    """Return a heading, the docstring and the table of fields of a class."""
     comments = read_comments(kind)
     lines = [f"{level} {kind.__name__}", "", inspect.getdoc(kind) or "", ""]
     lines += ["| key | allowed | default | meaning |", "|---|---|---|---|"]
@@ -121,7 +121,7 @@
 
 
 def list_classes(kind: msgspec.inspect.Type, found: dict[type, None]) -> None:
-    """Collect the classes of a type in the order in which they are met."""
+    """Add the classes that a type refers to, in the order of their first use."""
     inner = unwrap(kind)
     if isinstance(inner, msgspec.inspect.ListType):
         list_classes(inner.item_type, found)
@@ -132,28 +132,28 @@
 
 
 def make_page() -> str:
-    """Return the whole page."""
+    """Return the complete page."""
     lines = [INTRODUCTION]
-    known: dict[type, None] = {}
+    described: dict[type, None] = {}
     for title, text, root in PARTS:
         lines += [f"## {title}", "", text, ""]
         classes: dict[type, None] = {}
         list_classes(msgspec.inspect.type_info(root), classes)
         for kind in classes:
-            if kind not in known:
+            if kind not in described:
                 lines += describe_class(kind, "###")
-        known |= classes
+        described |= classes
     return "\n".join(lines).rstrip() + "\n"
 
 
 def main(check: bool = False) -> None:
-    """Write the page, or with --check compare it and end with 1 when it differs."""
+    """Write the page, or with ``--check`` exit with 1 if it is outdated."""
     page = make_page()
     if not check:
         PAGE.write_text(page)
         return
     if not PAGE.exists() or PAGE.read_text() != page:
-        print("docs/configuration.md has drifted: run make reference", file=sys.stderr)
+        print("docs/configuration.md is outdated: run make reference", file=sys.stderr)
         sys.exit(1)
 
 
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,8 +1,8 @@
-"""Runs every library's tests, a process each, and prints one closing line.
+"""Runs each test file in its own process and prints a closing line with the counts.
 
-A test named in KNOWN-RED.txt is expected to fail; it is printed and does not fail the
-run. One that passes although it is listed does fail it, so that the list stays true,
-unless its line says ``sometimes`` after the name: that one is printed either way.
+A test listed in KNOWN-RED.txt is expected to fail: it is printed and does not fail the
+run. A listed test that passes fails the run, so that the list stays accurate, unless
+its line has ``sometimes`` after the name: such a test is printed in both cases.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-SUITE_SECONDS = 900
-# Each system test starts some ten processes of its own.
+SUITE_TIMEOUT_SECONDS = 900
+# Each system test starts about ten processes of its own.
 WORKERS = 5
-# A test's name alone: its class and module follow in brackets.
+# Captures the test's name only; its class and module follow in brackets.
 _FAILED = re.compile(r"^(?:FAIL|ERROR): (\S+) \([\w.]+\)", re.MULTILINE)
 _RAN = re.compile(r"^Ran (\d+) tests?", re.MULTILINE)
 
 
 @dataclass(frozen=True)
 class Suite:
-    """A test file that one process runs, from its library's folder."""
+    """A test file, which one process runs from its library's folder."""
 
     name: str
     folder: Path
@@ -39,19 +39,19 @@
 
 @dataclass(frozen=True)
 class SuiteResult:
-    """What one suite printed."""
+    """The counts and the output of one suite."""
 
     name: str
     ran: int
     failed: tuple[str, ...]
-    # The process died or ran no test at all.
+    # The process failed without a failed test, or its count of tests is missing.
     broken: bool
     output: str
     seconds: float
 
 
 def find_suites(pattern: str) -> list[Suite]:
-    """Return a suite for each test file, those of the whole system first."""
+    """Return a suite for each test file, those of the system tests first."""
     folders = [ROOT, ROOT / "platform", *sorted((ROOT / "libraries").iterdir())]
     return [
         Suite(f"{name_suite(folder)}.{path.stem.removeprefix('test_')}", folder, path)
@@ -66,31 +66,31 @@
 
 
 def run_suite(suite: Suite) -> SuiteResult:
-    """Run one suite in a process of its own."""
+    """Run one suite in its own process."""
     name = suite.name
     module = suite.path.relative_to(suite.folder).with_suffix("")
     arguments = [sys.executable, "-m", "unittest", "-v", ".".join(module.parts)]
     started = time.monotonic()
     paths = f"{ROOT / 'tools'}:{os.environ.get('PYTHONPATH', '')}"
-    done = subprocess.run(
+    completed = subprocess.run(
         arguments,
         cwd=suite.folder,
         env={**os.environ, "PYTHONPATH": paths},
         capture_output=True,
         text=True,
-        timeout=SUITE_SECONDS,
+        timeout=SUITE_TIMEOUT_SECONDS,
     )
-    output = done.stdout + done.stderr
+    output = completed.stdout + completed.stderr
     ran = _RAN.search(output)
     failed = list_failed(name, output)
     count = int(ran.group(1)) if ran else 0
-    broken = ran is None or (done.returncode != 0 and not failed)
+    broken = ran is None or (completed.returncode != 0 and not failed)
     seconds = time.monotonic() - started
     return SuiteResult(name, count, failed, broken, output, seconds)
 
 
 def list_failed(suite: str, output: str) -> tuple[str, ...]:
-    """Return the failed tests in a suite's output as KNOWN-RED.txt names them."""
+    """Return the failed tests in a suite's output, named as in KNOWN-RED.txt."""
     return tuple(sorted({f"{suite}:{test}" for test in _FAILED.findall(output)}))
 
 
@@ -99,12 +99,12 @@
     """The tests listed in KNOWN-RED.txt."""
 
     tests: frozenset[str]
-    # Those of them that fail in some runs only.
+    # The subset that fails in some runs only.
     sometimes: frozenset[str]
 
 
 def read_known_red() -> KnownRed:
-    """Read KNOWN-RED.txt; without it no test is known to be red."""
+    """Read KNOWN-RED.txt; a missing file lists no tests."""
     if not KNOWN_RED.exists():
         return KnownRed(frozenset(), frozenset())
     lines = [x.split() for x in KNOWN_RED.read_text().splitlines() if x.strip()]
@@ -114,13 +114,13 @@
 
 
 def list_passed(red: KnownRed, failed: set[str], suites: set[str]) -> list[str]:
-    """Return the tests listed as failing in some runs that ran and did not fail."""
+    """Return the ``sometimes`` tests that passed, out of the ``suites`` that ran."""
     passed = red.sometimes - failed
     return sorted(test for test in passed if test.partition(":")[0] in suites)
 
 
 def main(pattern: str = "test_*.py", only: str = "") -> None:
-    """Run all suites, or the one named by ``only``."""
+    """Run the suites whose names start with ``only``, by default all."""
     suites = [s for s in find_suites(pattern) if s.name.startswith(only)]
     with ThreadPoolExecutor(max_workers=WORKERS) as pool:
         results = list(pool.map(run_suite, suites))
@@ -128,24 +128,25 @@
     known = red.tests
     failed = {test for result in results for test in result.failed}
     for result in results:
-        mark = "broken" if result.broken else f"{len(result.failed)} failed"
-        print(f"{result.name}: {result.ran} run, {mark}, {result.seconds:.1f} s")
-        # Also of a listed test: what one that fails in some runs says is its trace.
+        summary = "broken" if result.broken else f"{len(result.failed)} failed"
+        print(f"{result.name}: {result.ran} run, {summary}, {result.seconds:.1f} s")
+        # Printed for a listed test too: the output of a test that fails only in some
+        # runs is needed to find the cause.
         if result.broken or result.failed:
             print(result.output)
     for test in sorted(failed & known):
         print(f"known red, still failing: {test}")
     for test in list_passed(red, failed, {result.name for result in results}):
         print(f"known red, passed this time: {test}")
-    whole = not only and pattern == "test_*.py"
-    healed = known - failed - red.sometimes if whole else set()
-    for test in sorted(healed):
+    runs_everything = not only and pattern == "test_*.py"
+    unexpected_passes = known - failed - red.sometimes if runs_everything else set()
+    for test in sorted(unexpected_passes):
         print(f"listed in KNOWN-RED.txt but passing: {test}")
     broken = sum(result.broken for result in results)
-    new = len(failed - known) + broken + len(healed)
+    unexpected_results = len(failed - known) + broken + len(unexpected_passes)
     passed = sum(result.ran for result in results) - len(failed)
-    print(f"{passed} passed, {new} failed")
-    sys.exit(1 if new else 0)
+    print(f"{passed} passed, {unexpected_results} failed")
+    sys.exit(1 if unexpected_results else 0)
 
 
 if __name__ == "__main__":
--- a/tools/safeguards/__init__.py
+++ b/tools/safeguards/__init__.py
@@ -1,1 +1,1 @@
-"""Lists of safeguards by subject, for ``make mutations``."""
+"""Safeguards by subject, for ``make mutations``."""
--- a/tools/safeguards/ages.py
+++ b/tools/safeguards/ages.py
@@ -1,4 +1,4 @@
-"""Safeguards of what is heard late: ages, silences, and callers that have left."""
+"""Safeguards of publish times, gateway counts, store updates and aborted requests."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 PEERS = "tests.test_gateway_peers.GatewayCountTests"
 STARTS = "tests.test_part_relay.FormerStartTests"
 FORWARDING = "libraries/decisions/src/bamboopier_decisions/forwarding"
-PAUSES = f"{FORWARDING}/pause_tracker.py"
-WEIGHTS = f"{FORWARDING}/weight_versions.py"
+PAUSE_TRACKER = f"{FORWARDING}/pause_tracker.py"
+WEIGHT_VERSIONS = f"{FORWARDING}/weight_versions.py"
 
 MUTATIONS = (
     Mutation(
-        "weights heard of after a pause may be as old as that",
+        "a version received after a pause may be as old as the pause",
         f"{PROXY}/observers.py",
         "        earliest_arrival = self._pauses.find_earliest_arrival(now)\n",
         "        earliest_arrival = now\n",
@@ -25,7 +25,7 @@
         f"{OBSERVER}.test_a_version_received_after_a_pause_may_be_as_old_as_it",
     ),
     Mutation(
-        "weights found by a list may be as old as the watch that failed",
+        "a version found by a list may be as old as the failed watch",
         f"{PROXY}/observers.py",
         "        since = now if guessed else known_until\n",
         "        since = now\n",
@@ -33,7 +33,7 @@
         f"{OBSERVER}.test_a_list_after_a_silent_watch_dates_from_its_start",
     ),
     Mutation(
-        "what is written is the earliest time, not that of hearing",
+        "the earliest publish time is written, not the time of receipt",
         f"{PROXY}/publish_times.py",
         "        published_at = time.time() - age\n",
         "        published_at = time.time()\n",
@@ -41,7 +41,7 @@
         f"{AGES}.test_the_earliest_time_is_written_not_that_of_receipt",
     ),
     Mutation(
-        "a request whose caller has left is taken back by a reset",
+        "aborting a request resets its connection to the target",
         f"{PROXY}/target_connection.py",
         '            enable_reset_on_close(self._transport.get_extra_info("socket"))\n',
         "            pass\n",
@@ -49,7 +49,7 @@
         "tests.test_target_connection.AbortTests.test_aborting_a_request_resets_the_connection",
     ),
     Mutation(
-        "nothing is sent after the time of its route",
+        "nothing is sent after the route timeout",
         f"{PROXY}/forwarder.py",
         "            return Err(Cause.LATE)\n",
         "            pass\n",
@@ -57,7 +57,7 @@
         f"{ATTEMPTS}.test_nothing_is_sent_after_the_route_timeout",
     ),
     Mutation(
-        "a key's proof is looked at right before the send",
+        "configuration freshness is checked immediately before an attempt",
         f"{PROXY}/forwarder.py",
         "        self._check_freshness(call, now)\n",
         "",
@@ -65,7 +65,7 @@
         f"{ATTEMPTS}.test_a_key_is_refused_when_the_configuration_gets_stale",
     ),
     Mutation(
-        "the time of older weights is looked at right before the send",
+        "weight expiry is checked immediately before an attempt",
         f"{PROXY}/forwarder.py",
         "        if not is_open or"
         " not self._planner.may_start(now, call, in_flight):\n",
@@ -74,7 +74,7 @@
         f"{ATTEMPTS}.test_nothing_is_sent_to_a_target_whose_weights_expired",
     ),
     Mutation(
-        "a gateway's own pause is no silence of the others",
+        "a gateway's own pause does not count as silence of the others",
         f"{PROXY}/gateway_registry.py",
         "        return self._pauses.read_running_clock(read_clock())\n",
         "        return read_clock()\n",
@@ -82,23 +82,23 @@
         f"{PEERS}.test_gateways_resumed_together_share_the_limit_of_a_cold_target",
     ),
     Mutation(
-        "a pause that has not been noted yet is no silence of the others",
-        PAUSES,
+        "a pause not yet recorded does not count as silence of the others",
+        PAUSE_TRACKER,
         "        return now - self._paused_seconds - pending\n",
         "        return now - self._paused_seconds\n",
         "libraries/proxy",
         f"{PEERS}.test_gateways_resumed_together_share_the_limit_of_a_cold_target",
     ),
     Mutation(
-        "a pause that was noted is no silence of the others",
-        PAUSES,
+        "a recorded pause does not count as silence of the others",
+        PAUSE_TRACKER,
         "        self._paused_seconds += gap\n",
         "        pass\n",
         "libraries/proxy",
         f"{PEERS}.test_a_pause_recorded_before_the_count_is_no_silence",
     ),
     Mutation(
-        "registered gateways that are silent get hints",
+        "hints are also sent to registered gateways that are silent",
         f"{PROXY}/hint_exchange.py",
         ", *silent]:\n",
         "]:\n",
@@ -106,7 +106,7 @@
         f"{PEERS}.test_partitioned_gateways_rediscover_each_other",
     ),
     Mutation(
-        "a cold target gets less than one a second from each of many gateways",
+        "each of many gateways sends a cold target less than one request a second",
         f"{FORWARDING}/cold_start_limit.py",
         " and self._is_in_time_slot(\n"
         "            now, gateway_rate * TIME_SLOT_SHARE, phase\n"
@@ -117,7 +117,7 @@
         ".test_more_gateways_than_requests_a_second_of_a_cold_target",
     ),
     Mutation(
-        "gateways that do not know how many they are take the smallest part",
+        "a gateway without the gateway list assumes the smallest share",
         f"{PROXY}/gateway_state.py",
         "        self.fleet.gateway_count, self.fleet.gateway_index ="
         " ASSUMED_GATEWAYS, None\n",
@@ -126,7 +126,7 @@
         f"{PEERS}.test_a_gateway_without_the_list_sends_nothing_to_cold_targets",
     ),
     Mutation(
-        "a hint does not make known how many gateways there are",
+        "a hint without the gateway list does not set the gateway count",
         f"{PROXY}/gateway_registry.py",
         "        if self._has_list and counted != self._reported_count:\n",
         "        if counted != self._reported_count:\n",
@@ -134,7 +134,7 @@
         f"{PEERS}.test_a_gateway_without_the_list_sends_nothing_to_cold_targets",
     ),
     Mutation(
-        "news of a store's former start are not taken when they are handed on",
+        "a relayed update of a former instance of a store is ignored",
         f"{PROXY}/part_relay.py",
         "        if store.is_outdated(update):\n            return\n",
         "",
@@ -142,7 +142,7 @@
         f"{STARTS}.test_nothing_is_saved_soon_after_a_known_restart",
     ),
     Mutation(
-        "a start that is later by the stores' clock is taken when it is handed on",
+        "a relayed update of an instance later by the stores' clock is applied",
         f"{FORWARDING}/part_store_index.py",
         " and update.clock_ms < self.clock_ms\n",
         "\n",
@@ -150,7 +150,7 @@
         f"{STARTS}.test_an_instance_later_than_the_known_one_is_accepted",
     ),
     Mutation(
-        "what was told before a change bounds its age after a pause",
+        "the last response before a change bounds its age after a pause",
         f"{PROXY}/observers.py",
         "        return max(known_until, earliest_arrival)\n",
         "        return earliest_arrival\n",
@@ -158,7 +158,7 @@
         f"{FOLLOWED}.test_weights_published_after_a_pause_allow_older_ones",
     ),
     Mutation(
-        "what a watch tells late may be as old as the watch",
+        "a change in a late watch response may be as old as the watch",
         f"{PROXY}/observers.py",
         "            return known_until\n",
         "            return now\n",
@@ -166,7 +166,7 @@
         f"{FOLLOWED}.test_a_late_watch_response_may_be_as_old_as_the_watch",
     ),
     Mutation(
-        "who knows only that weights may be old writes last",
+        "a gateway that assumes only that a version may be old writes last",
         f"{PROXY}/publish_times.py",
         "    return 2 if age > TIMELY_SECONDS else 0\n",
         "    return 0\n",
@@ -175,8 +175,8 @@
         ".test_a_pause_of_one_gateway_expires_no_weights_at_others",
     ),
     Mutation(
-        "a guess makes no version younger than is known",
-        WEIGHTS,
+        "a guessed publish time does not replace a known one",
+        WEIGHT_VERSIONS,
         '    if recorded.guessed and known.published_at > float("-inf"):\n',
         "    if False:\n",
         "libraries/decisions",
@@ -184,7 +184,7 @@
         ".test_a_guess_does_not_replace_a_known_publish_time",
     ),
     Mutation(
-        "what waits at a target until its weights are over is taken back",
+        "a request that waits at a target until its weights expire is aborted",
         f"{PROXY}/weight_expiry_monitor.py",
         "            pending.connection.abort()\n",
         "",
@@ -193,7 +193,7 @@
         ".test_requests_not_started_in_time_are_aborted",
     ),
     Mutation(
-        "what has begun is not taken back",
+        "a started request is not aborted when its weights expire",
         f"{PROXY}/weight_expiry_monitor.py",
         "        self._pending.discard(pending)\n\n",
         "        pass\n\n",
--- a/tools/safeguards/at_most_once.py
+++ b/tools/safeguards/at_most_once.py
@@ -1,4 +1,4 @@
-"""The safeguards of "at most once", "not run" and whole answers."""
+"""Safeguards of "at most once", of "not run" and of complete responses."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 MUTATIONS = (
     Mutation(
-        "the HTTP client never sends a run again",
+        "the HTTP client never resends a run",
         "libraries/agent/src/bamboopier_agent/target.py",
         "            middlewares=(_prevent_resend,),\n",
         "",
@@ -14,7 +14,7 @@
         "tests.test_target.TargetClientTests.test_no_method_is_sent_twice",
     ),
     Mutation(
-        "each run has a connection of its own",
+        "each run has its own connection",
         "libraries/agent/src/bamboopier_agent/target.py",
         "aiohttp.TCPConnector(limit=0, force_close=True)",
         "aiohttp.TCPConnector(limit=0)",
@@ -30,7 +30,7 @@
         "tests.test_service.ServeTests.test_an_attempt_that_arrives_twice_runs_once",
     ),
     Mutation(
-        "a non-idempotent run goes on when its gateway leaves",
+        "a non-idempotent run continues when its gateway disconnects",
         "libraries/agent/src/bamboopier_agent/service.py",
         "            if not stream.detached:\n                run.cancel()",
         "            run.cancel()",
@@ -38,7 +38,7 @@
         "tests.test_service.ServeTests.test_a_run_continues_after_its_gateway_disconnects",
     ),
     Mutation(
-        "an idempotent run is cut when its gateway leaves",
+        "an idempotent run is cancelled when its gateway disconnects",
         "libraries/agent/src/bamboopier_agent/service.py",
         "        stream.detached = not request.idempotent\n",
         "        stream.detached = True\n",
@@ -46,7 +46,7 @@
         "tests.test_service.ServeTests.test_an_idempotent_run_is_cancelled_with_its_gateway",
     ),
     Mutation(
-        "an unused claim is released before not-run is said",
+        "an unused claim is released before not-run is reported",
         "libraries/agent/src/bamboopier_agent/service.py",
         "                        await self._claims.release(service, granted)\n",
         "",
@@ -54,7 +54,7 @@
         "tests.test_service.ServeTests.test_an_unreachable_target_frees_the_key_before_not_run",
     ),
     Mutation(
-        "a key that cannot be freed yet is said not to have run",
+        "a key that cannot be freed yet is reported as never run",
         "libraries/agent/src/bamboopier_agent/service.py",
         "        if self._claims.is_abandoned(request.workspace, "
         "request.idempotency_key):\n"
@@ -64,7 +64,7 @@
         "tests.test_service.ServeTests.test_a_key_that_cannot_be_freed_yet_is_reported_never_run",
     ),
     Mutation(
-        "a holder that stands still for a moment is asked all the same",
+        "connecting to a claim holder that stalls briefly is retried",
         "libraries/gateway/src/bamboopier_gateway/forwarder.py",
         "self._agents.connect_with_retries(result.claimed_by, remaining)",
         "self._agents.connect(result.claimed_by, remaining)",
@@ -72,7 +72,7 @@
         "tests.test_recall.RecallTests.test_the_claim_holder_stalls_briefly",
     ),
     Mutation(
-        "a claim without an outcome is not told as lost",
+        "an open claim without an outcome is reported as running",
         "libraries/agent/src/bamboopier_agent/service.py",
         "        if self._claims.is_open(request.claim_id):\n"
         "            return pb.RecallReply(state=pb.RecallReply.RUNNING)\n",
@@ -81,7 +81,7 @@
         "tests.test_service.ServeTests.test_a_claim_with_its_write_in_flight_is_running",
     ),
     Mutation(
-        "a granted claim is noted as a run before anything is awaited",
+        "a granted claim is recorded as a run before anything is awaited",
         "libraries/agent/src/bamboopier_agent/service.py",
         "        cached_response = "
         "self._response_cache.start(key, request.fingerprint)\n",
@@ -92,7 +92,7 @@
         "tests.test_service.RecallTests.test_the_holder_reports_its_claim_at_every_step",
     ),
     Mutation(
-        "a thawed process does not run after the deadline",
+        "a resumed process starts no run after the deadline",
         "libraries/agent/src/bamboopier_agent/service.py",
         "        if time.monotonic() >= stream.deadline:",
         "        if False:",
@@ -100,7 +100,7 @@
         "tests.test_service.ServeTests.test_a_process_resumed_after_the_deadline_does_not_run",
     ),
     Mutation(
-        "a hung target does not hold its place for ever",
+        "an unresponsive target does not hold its slot forever",
         "libraries/agent/src/bamboopier_agent/service.py",
         "asyncio.timeout_at(stream.deadline + DEADLINE_GRACE_SECONDS)",
         "asyncio.timeout(None)",
@@ -108,7 +108,7 @@
         "tests.test_service.ServeTests.test_a_hung_target_does_not_hold_its_slot_forever",
     ),
     Mutation(
-        "answers kept while they run are bounded",
+        "cached responses of running requests share a bounded capacity",
         "libraries/agent/src/bamboopier_agent/response_cache.py",
         "        if self._used > self._capacity:\n"
         "            self._used -= len(response.body)",
@@ -117,7 +117,7 @@
         "tests.test_response_cache.ResponseCacheTests.test_running_responses_share_the_capacity",
     ),
     Mutation(
-        "events of another attempt or out of order end it",
+        "events of another attempt or out of order end the attempt",
         "libraries/gateway/src/bamboopier_gateway/attempt.py",
         "        if (event.attempt_id, event.sequence) != expected:\n"
         "            return False\n",
@@ -126,7 +126,7 @@
         "tests.test_attempt",
     ),
     Mutation(
-        "not-run after the head is not believed",
+        "not-run after the response head is rejected",
         "libraries/gateway/src/bamboopier_gateway/attempt.py",
         '        if kind in ("head", "not_run"):\n'
         "            return not self._started\n"
@@ -136,7 +136,7 @@
         "tests.test_attempt.AttemptTests.test_every_stream",
     ),
     Mutation(
-        "the end of an answer proves its length",
+        "the length of a response is checked at its end",
         "libraries/gateway/src/bamboopier_gateway/attempt.py",
         "        if finished.body_bytes != self._body_bytes:\n"
         '            self._mark_broken("the response is incomplete")\n'
@@ -146,7 +146,7 @@
         "tests.test_attempt.AttemptTests.test_every_stream",
     ),
     Mutation(
-        "a silent agent holds nobody past the deadline",
+        "a silent agent delays no caller past the deadline",
         "libraries/gateway/src/bamboopier_gateway/attempt.py",
         "asyncio.timeout_at(loop.time() + remaining) as timeout",
         "asyncio.timeout(None) as timeout",
@@ -154,7 +154,7 @@
         "tests.test_attempt.AttemptTests.test_a_silent_agent_delays_no_caller_past_the_deadline",
     ),
     Mutation(
-        "a broken answer is cut",
+        "the caller's connection is aborted when a response is incomplete",
         "libraries/gateway/src/bamboopier_gateway/delivery.py",
         "            self._request.transport.abort()\n        return response",
         "            await response.write_eof()\n        return response",
@@ -162,7 +162,7 @@
         "tests.test_delivery",
     ),
     Mutation(
-        "the gateway sends only on a connection that stands",
+        "the gateway sends only on an established connection",
         "libraries/gateway/src/bamboopier_gateway/agent_connections.py",
         "                if await _wait_for_connection(channel):\n",
         "                if channel.get_state(try_to_connect=True):\n",
@@ -170,7 +170,7 @@
         "tests.test_agent_connections.AgentConnectionsTests.test_an_unresponsive_agent_is_sent_nothing",
     ),
     Mutation(
-        "an order is written only where its agent has just answered",
+        "a non-idempotent request is sent only after the agent answers a probe",
         "libraries/gateway/src/bamboopier_gateway/forwarder.py",
         "agents.connect if call.idempotent else agents.connect_and_probe",
         "agents.connect",
@@ -178,7 +178,7 @@
         "tests.test_forwarder",
     ),
     Mutation(
-        "an order is kept back when the agent does not answer",
+        "a non-idempotent request is not sent when the probe fails",
         "libraries/gateway/src/bamboopier_gateway/agent_connections.py",
         "            if not await _probe(stub, end - time.monotonic()):\n"
         "                return None\n",
@@ -187,7 +187,7 @@
         "tests.test_forwarder",
     ),
     Mutation(
-        "an order goes out on the channel that replaced the one that was asked",
+        "a channel replaced during its probe is not used",
         "libraries/gateway/src/bamboopier_gateway/agent_connections.py",
         "            if channel is not None and "
         "self._channels.get(address) is channel:\n",
@@ -196,7 +196,7 @@
         "tests.test_forwarder",
     ),
     Mutation(
-        "a question cancelled with its channel is not taken for a caller who left",
+        "a probe cancelled with its channel is not treated as a disconnected caller",
         "libraries/gateway/src/bamboopier_gateway/agent_connections.py",
         "        return await probe.code() is grpc.StatusCode.OK\n",
         "        return bool(await probe)\n",
@@ -204,7 +204,7 @@
         "tests.test_agent_connections",
     ),
     Mutation(
-        "a request that no connection had is told as not run",
+        "a request that was sent on no connection is reported as not run",
         "libraries/gateway/src/bamboopier_gateway/attempt.py",
         "        if refused or self._was_never_sent(error):\n",
         "        if refused:\n",
@@ -212,7 +212,7 @@
         "tests.test_lost_connections",
     ),
     Mutation(
-        "a request that a connection had is not told as not run",
+        "a request that was sent on a connection is not reported as not run",
         "libraries/gateway/src/bamboopier_gateway/attempt.py",
         '            and (error.details() or "").startswith(_NO_CONNECTION)\n',
         "",
@@ -220,7 +220,7 @@
         "tests.test_lost_connections",
     ),
     Mutation(
-        "an error of the agent's own is not taken for one of the connection",
+        "an error from the agent is not treated as a connection error",
         "libraries/gateway/src/bamboopier_gateway/attempt.py",
         "            error.code() is grpc.StatusCode.UNAVAILABLE\n"
         "            and self._expected_sequence == 0\n",
@@ -229,7 +229,7 @@
         "tests.test_attempt.AttemptTests.test_every_stream",
     ),
     Mutation(
-        "a request that was answered in part is not told as not run",
+        "a request with a partial response is not reported as not run",
         "libraries/gateway/src/bamboopier_gateway/attempt.py",
         "            and self._expected_sequence == 0\n",
         "",
@@ -237,7 +237,7 @@
         "tests.test_attempt.AttemptTests.test_every_stream",
     ),
     Mutation(
-        "a request that broke two targets is not sent to a third",
+        "a request that crashed two targets is not sent to a third",
         "libraries/decisions/src/bamboopier_decisions/routing/router.py",
         "        if pending.crashed_targets >= MAX_CRASHED_TARGETS:\n",
         "        if False:\n",
@@ -253,7 +253,7 @@
         "tests.test_quarantine",
     ),
     Mutation(
-        "other gateways are told of a quarantine",
+        "a quarantine is published to the other gateways",
         "libraries/gateway/src/bamboopier_gateway/shared_quarantine.py",
         "            if unpublished and await self._publish_entries(unpublished):\n",
         "            if False:\n",
@@ -261,7 +261,7 @@
         "tests.test_quarantine",
     ),
     Mutation(
-        "requests that broke with another are not quarantined",
+        "a request that shares all its crashes with another is not quarantined",
         "libraries/decisions/src/bamboopier_decisions/quarantine/quarantine.py",
         "        return set.intersection(*sharing) == {fingerprint}\n",
         "        return bool(sharing)\n",
@@ -269,7 +269,7 @@
         "tests.test_quarantine",
     ),
     Mutation(
-        "an outage quarantines nobody",
+        "an outage quarantines no request",
         "libraries/decisions/src/bamboopier_decisions/quarantine/quarantine.py",
         "        if self._is_outage(now):\n",
         "        if False:\n",
@@ -277,7 +277,7 @@
         "tests.test_quarantine",
     ),
     Mutation(
-        "the platform client never sends a change again by itself",
+        "the platform client never resends a change by itself",
         "libraries/objects/src/bamboopier_objects/http_client.py",
         "timeout=timeout, connector=connector, middlewares=(_send_once,)",
         "timeout=timeout, connector=connector",
--- a/tools/safeguards/claims.py
+++ b/tools/safeguards/claims.py
@@ -1,4 +1,4 @@
-"""Safeguards of claims of idempotency keys."""
+"""Safeguards of the claims of idempotency keys."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 MUTATIONS = (
     Mutation(
-        "a delayed claim write is made impossible before its claim counts as released",
+        "a claim counts as released only once its delayed write cannot take effect",
         "libraries/decisions/src/bamboopier_decisions/claims/partition.py",
         "        must_advance = (\n"
         "            bool(self._abandoned) and self._version "
@@ -17,7 +17,7 @@
         "tests.test_claims.ClaimCellTests",
     ),
     Mutation(
-        "a given-up claim is remembered while its write may land",
+        "an abandoned claim is retained while its write may take effect",
         "libraries/decisions/src/bamboopier_decisions/claims/partition.py",
         "        if self._version <= self._uncertain_version:\n"
         "            return\n"
@@ -27,7 +27,7 @@
         "tests.test_claims.ClaimCellTests",
     ),
     Mutation(
-        "a given-up claim is left out of every later write",
+        "an abandoned claim is excluded from every later write",
         "libraries/decisions/src/bamboopier_decisions/claims/partition.py",
         "        kept = [c for c in self._claims if c.claim_id not "
         "in self._abandoned]\n",
@@ -36,7 +36,7 @@
         "tests.test_claims.ClaimCellTests",
     ),
     Mutation(
-        "only the claim's own id is granted again",
+        "a claimed key is granted again only to the same claim id",
         "libraries/decisions/src/bamboopier_decisions/claims/table.py",
         "    if found.claim_id == claim.claim_id:",
         "    if found.holder == claim.holder:",
@@ -44,7 +44,7 @@
         "tests.test_claims.ClaimMachineTests",
     ),
     Mutation(
-        "a claim given up during its write is released",
+        "a claim abandoned during its write is released",
         "libraries/decisions/src/bamboopier_decisions/claims/partition.py",
         "        written = claim_id in self._in_flight_ids or claim_id in "
         "self._uncertain_ids\n",
@@ -53,7 +53,7 @@
         "tests.test_claims.ClaimCellTests",
     ),
     Mutation(
-        "a key that stands is not granted for another body",
+        "a claimed key is not granted for another body",
         "libraries/decisions/src/bamboopier_decisions/claims/table.py",
         "    if found is None:\n",
         "    if found is None or found.fingerprint != claim.fingerprint:\n",
@@ -61,7 +61,7 @@
         "tests.test_claims.LifetimeTests",
     ),
     Mutation(
-        "an older replica does not prove a granted claim gone",
+        "a lagging replica does not prove that a granted claim is gone",
         "libraries/decisions/src/bamboopier_decisions/claims/partition.py",
         "            self._uncertain_version = max(self._uncertain_version, "
         "granted_at - 1)\n",
@@ -70,7 +70,7 @@
         "tests.test_claims.ClaimCellTests",
     ),
     Mutation(
-        "a claim left while it is written is released",
+        "a claim cancelled during its write is released",
         "libraries/agent/src/bamboopier_agent/claims.py",
         "        except asyncio.CancelledError:\n"
         "            self._abandon(writer, claim)\n"
@@ -80,7 +80,7 @@
         "tests.test_claims.ClaimTableTests.test_a_claim_cancelled_during_its_write_is_released",
     ),
     Mutation(
-        "a stop waits for a claim left as its grant arrived",
+        "a stop waits for a claim cancelled as its grant arrived",
         "libraries/agent/src/bamboopier_agent/claims.py",
         "        current.abandon(claim, 0 if current is writer else writer.version)\n",
         "        writer.abandon(claim)\n",
@@ -89,7 +89,7 @@
         "test_a_stop_waits_for_a_claim_cancelled_as_it_is_granted",
     ),
     Mutation(
-        "only an answered claim write grants",
+        "a claim is granted only by a write with a response",
         "libraries/agent/src/bamboopier_agent/claim_writer.py",
         "                    self._partition.mark_uncertain(plan)\n"
         "                    last = error\n",
@@ -100,7 +100,7 @@
         "tests.test_claims.ClaimTableTests.test_at_most_one_is_granted_and_no_key_is_lost",
     ),
     Mutation(
-        "a claim write with a lost answer is remembered",
+        "a claim write with a lost response is recorded as uncertain",
         "libraries/agent/src/bamboopier_agent/claim_writer.py",
         "                    self._partition.mark_uncertain(plan)\n",
         "                    self._partition.abort()\n",
@@ -108,7 +108,7 @@
         "tests.test_claims.ClaimTableTests.test_at_most_one_is_granted_and_no_key_is_lost",
     ),
     Mutation(
-        "a slow platform is refused in time",
+        "a claim is refused in time when the platform is slow",
         "libraries/agent/src/bamboopier_agent/claims.py",
         "            async with asyncio.timeout(CLAIM_TIMEOUT_SECONDS):",
         "            async with asyncio.timeout(None):",
@@ -125,7 +125,7 @@
         "tests.test_claims.ClaimTableTests.test_an_outage_leaves_no_pending_work",
     ),
     Mutation(
-        "each wish to run a key has an id of its own",
+        "each claim of a key has its own id",
         "libraries/agent/src/bamboopier_agent/claims.py",
         "uuid.uuid4().hex, self._holder",
         "self._holder, self._holder",
--- a/tools/safeguards/places.py
+++ b/tools/safeguards/places.py
@@ -1,4 +1,4 @@
-"""Safeguards of drains, leaving targets and shutdown."""
+"""Safeguards of drains, targets that leave, and shutdown."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 MUTATIONS = (
     Mutation(
-        "a leaving VM stays out while the list wavers",
+        "a leaving VM stays excluded while lists alternate",
         "libraries/decisions/src/bamboopier_decisions/membership/leaving.py",
         "            elif name in self._live_since:\n"
         "                self._record_live(now, name)\n",
@@ -16,7 +16,7 @@
         "test_a_leaving_vm_stays_excluded_while_lists_alternate",
     ),
     Mutation(
-        "a drained data centre takes its targets out",
+        "the targets of a drained data centre are excluded",
         "libraries/decisions/src/bamboopier_decisions/membership/fleet_view.py",
         "        return target in self.targets or data_centre in self.data_centres\n",
         "        return target in self.targets\n",
@@ -25,7 +25,7 @@
         "test_drained_targets_are_excluded_until_restored",
     ),
     Mutation(
-        "the agent of a drained target refuses by itself",
+        "the agent of a drained target itself refuses requests",
         "libraries/agent/src/bamboopier_agent/availability_gate.py",
         "        self._drained = drained_set.contains(\n"
         "            self._settings.target, self._settings.data_centre\n"
@@ -36,7 +36,7 @@
         "test_the_agent_refuses_what_an_unaware_gateway_sends",
     ),
     Mutation(
-        "the agent of a leaving target refuses by itself",
+        "the agent of a leaving target itself refuses requests",
         "libraries/agent/src/bamboopier_agent/availability_gate.py",
         "            self._leaving = "
         "bool(self._leaving_vms.update(time.monotonic(), listed))\n",
@@ -46,7 +46,7 @@
         "test_a_leaving_target_finishes_and_vanishes_without_a_cut",
     ),
     Mutation(
-        "a vanished target keeps its streams",
+        "open streams of a removed target continue",
         "libraries/gateway/src/bamboopier_gateway/agent_connections.py",
         "close(CLOSE_GRACE_SECONDS)",
         "close(None)",
@@ -55,7 +55,7 @@
         "test_a_leaving_target_finishes_and_vanishes_without_a_cut",
     ),
     Mutation(
-        "drains by several operators compose",
+        "a drain that conflicts with another operator's is retried",
         "libraries/cli/src/bamboopier_cli/publishing.py",
         "        if not isinstance(outcome.err_value, VersionConflictError):\n"
         "            raise CommandError(str(outcome.err_value))\n",
@@ -92,7 +92,7 @@
         "test_a_gateway_finishes_streams_and_refuses_new_requests",
     ),
     Mutation(
-        "a gateway that must end tells open callers",
+        "a gateway forced to stop reports the outcome to open callers",
         "libraries/gateway/src/bamboopier_gateway/daemon.py",
         "                await application.abort_requests()\n",
         "                pass\n",
@@ -108,7 +108,7 @@
         "tests.test_shutdown.ForcedTests.test_a_second_signal_ends_an_agent_at_once",
     ),
     Mutation(
-        "a shutdown that takes too long ends in order",
+        "a shutdown that exceeds its time limit still ends in order",
         "libraries/daemon/src/bamboopier_daemon/stopping.py",
         "                {work, second}, timeout=timeout,",
         "                {work, second}, timeout=None,",
