--- a/tests/builders.py
+++ b/tests/builders.py
@@ -19,7 +19,7 @@
 
 
 @dataclass
-class Answer:
+class Response:
     """What a caller received."""
 
     status: int
@@ -60,7 +60,7 @@
     body: object = None,
     headers: dict[str, str] | None = None,
     key: str = FOSSE_KEY,
-) -> Answer:
+) -> Response:
     """Make one HTTP call as an ordinary caller would."""
     connection = http.client.HTTPConnection(urlsplit(url).netloc, timeout=30)
     sent = {"Authorization": f"Bearer {key}", **(headers or {})}
@@ -68,12 +68,12 @@
     try:
         connection.request(method, path, data, sent)
         response = connection.getresponse()
-        return Answer(response.status, dict(response.headers), response.read())
+        return Response(response.status, dict(response.headers), response.read())
     finally:
         connection.close()
 
 
-def dispatch_van(url: str, key: str, pillar: str = "A46-117") -> Answer:
+def dispatch_van(url: str, key: str, pillar: str = "A46-117") -> Response:
     """Order a fitter van under an idempotency key."""
     headers = {"Idempotency-Key": key}
     return call(url, "POST", "/services/dispatch/vans", {"pillar": pillar}, headers)
--- a/tests/order_lab.py
+++ b/tests/dispatch_harness.py
@@ -17,8 +17,8 @@
 
 from bamboopier_agent.claims import hash_key
 
-from .builders import FOSSE_KEY, Answer, publish_examples
-from .relay import Relay, Trap
+from .builders import FOSSE_KEY, Response, publish_examples
+from .relay import Relay, FaultTrigger
 
 if TYPE_CHECKING:
     from types import TracebackType
@@ -29,22 +29,22 @@
 # The caller's deadline; a frozen hop costs a cell this long.
 TIMEOUT_SECONDS = 0.8
 # How long a caller keeps asking while it is told to come back.
-PATIENCE_SECONDS = 45.0
-HANG_SECONDS = 20.0
+RETRY_TIMEOUT_SECONDS = 45.0
+WAIT_TIMEOUT_SECONDS = 20.0
 # Longer than a gateway passes over an agent that broke again and again, 30 s.
-WARM_SECONDS = 60.0
+WARM_UP_TIMEOUT_SECONDS = 60.0
 # Passed on to the target with the caller's other headers.
-SEND_HEADER = "X-Send"
+ATTEMPT_HEADER = "X-Send"
 
 
 @dataclass(frozen=True)
-class Order:
+class Dispatch:
     """One dispatch as its caller sends it, again and again."""
 
     pillar: str
     key: str
     # Tells one send of the order from another in the target's record.
-    send_name: str = "first"
+    attempt_name: str = "first"
 
     @property
     def headers(self) -> dict[str, str]:
@@ -52,7 +52,7 @@
         sent = {
             "Authorization": f"Bearer {FOSSE_KEY}",
             "X-Timeout-Seconds": str(TIMEOUT_SECONDS),
-            SEND_HEADER: self.send_name,
+            ATTEMPT_HEADER: self.attempt_name,
         }
         return sent | ({"Idempotency-Key": self.key} if self.key else {})
 
@@ -60,34 +60,34 @@
 class Caller:
     """One send of an order; it can leave while it waits."""
 
-    def __init__(self, url: str, order: Order) -> None:
-        self._order = order
+    def __init__(self, url: str, dispatch: Dispatch) -> None:
+        self._dispatch = dispatch
         self._connection = http.client.HTTPConnection(
             urlsplit(url).netloc, timeout=TIMEOUT_SECONDS + 1
         )
 
-    def send(self) -> Answer | None:
+    def send(self) -> Response | None:
         """Return the answer, or None when none arrived whole."""
-        body = json.dumps({"pillar": self._order.pillar})
+        body = json.dumps({"pillar": self._dispatch.pillar})
         try:
             self._connection.request(
-                "POST", "/services/dispatch/vans", body, self._order.headers
+                "POST", "/services/dispatch/vans", body, self._dispatch.headers
             )
             response = self._connection.getresponse()
-            return Answer(response.status, dict(response.headers), response.read())
+            return Response(response.status, dict(response.headers), response.read())
         except (OSError, http.client.HTTPException, AttributeError):
             return None
         finally:
             self._connection.close()
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         """Close the connection without waiting for the answer."""
         if self._connection.sock is not None:
             with suppress(OSError):
                 self._connection.sock.shutdown(2)
 
 
-class OrderLab:
+class DispatchHarness:
     """The processes, the relays and what the target recorded."""
 
     def __init__(self) -> None:
@@ -99,7 +99,7 @@
         # The target's own record, which outlives it.
         self._target_log = self.installation.directory / "target-log.jsonl"
         self.caller: Caller | None = None
-        self.resent: Answer | None = None
+        self.resent: Response | None = None
 
     def __enter__(self) -> Self:
         installation = self._stack.enter_context(self.installation)
@@ -121,27 +121,27 @@
     ) -> None:
         self._stack.close()
 
-    def lay_trap(self, cell: Cell, order: Order) -> Trap:
+    def arm_fault(self, cell: Cell, dispatch: Dispatch) -> FaultTrigger:
         """Make the cell's fault happen when the order reaches the cell's step."""
-        marker = order.pillar.encode()
+        marker = dispatch.pillar.encode()
         if cell.hop is Hop.AGENT_PLATFORM:
-            marker = hash_key(WORKSPACE, order.key)
-        trap = Trap(
+            marker = hash_key(WORKSPACE, dispatch.key)
+        trigger = FaultTrigger(
             cell.step,
             marker,
-            lambda relay: self._act(cell, order, relay),
+            lambda relay: self._apply_fault(cell, dispatch, relay),
             cut=cell.fault is Fault.CUT,
             freeze=cell.fault in (Fault.FREEZE, Fault.LEAVE_AND_FREEZE),
-            marked_answer=cell.hop is Hop.GATEWAY_AGENT,
+            match_response=cell.hop is Hop.GATEWAY_AGENT,
         )
         for relay in self._relays[cell.hop]:
-            relay.set_trap(trap)
-        return trap
+            relay.set_trigger(trigger)
+        return trigger
 
-    def heal(self) -> None:
+    def restore(self) -> None:
         """Continue, restart and connect whatever the cell stopped."""
         for relay in (relay for relays in self._relays.values() for relay in relays):
-            relay.heal()
+            relay.restore()
         for name, daemon in list(self.installation.daemons.items()):
             if not daemon.has_ended():
                 daemon.send(signal.SIGCONT)
@@ -153,20 +153,20 @@
                 self._restart(name, "agent")
         self.installation.wait_until_ready()
 
-    def send(self, gateway: str, order: Order) -> Answer | None:
+    def send(self, gateway: str, dispatch: Dispatch) -> Response | None:
         """Send an order once."""
-        self.caller = Caller(self.installation.gateways[gateway], order)
+        self.caller = Caller(self.installation.gateways[gateway], dispatch)
         return self.caller.send()
 
-    def insist(self, gateway: str, order: Order) -> Answer | None:
+    def send_with_retries(self, gateway: str, dispatch: Dispatch) -> Response | None:
         """Send an order as often as the caller is told to come back."""
-        limit = time.monotonic() + PATIENCE_SECONDS
+        deadline = time.monotonic() + RETRY_TIMEOUT_SECONDS
         while True:
-            answer = self.send(gateway, order)
-            if answer is not None and not _may_return(answer):
-                return answer
-            if time.monotonic() > limit:
-                return answer
+            response = self.send(gateway, dispatch)
+            if response is not None and not _is_retryable(response):
+                return response
+            if time.monotonic() > deadline:
+                return response
             time.sleep(0.05)
 
     def warm_up(self) -> None:
@@ -176,30 +176,30 @@
         this wait, and an order finds no agent instead of the fault that was laid.
         """
         for gateway in GATEWAYS:
-            limit = time.monotonic() + WARM_SECONDS
+            deadline = time.monotonic() + WARM_UP_TIMEOUT_SECONDS
             answered: list[str] = []
             while len(answered) < 4 or not set(AGENTS) <= set(answered):
-                if time.monotonic() > limit:
+                if time.monotonic() > deadline:
                     raise TimeoutError(f"{gateway} has answers of {set(answered)} only")
                 self.installation.check_alive(gateway)
-                answered += self._ask(gateway)
+                answered += self._find_responding_agent(gateway)
 
-    def count_runs(self, order: Order) -> int:
+    def count_runs(self, dispatch: Dispatch) -> int:
         """Return how often the target recorded the order."""
-        return len(self._list_runs(order))
+        return len(self._list_runs(dispatch))
 
-    def list_sends_run(self, order: Order) -> list[str]:
+    def list_recorded_attempts(self, dispatch: Dispatch) -> list[str]:
         """Return the names of the sends of the order that the target recorded."""
-        runs = map(json.loads, self._list_runs(order))
-        return [dict(run["headers"])[SEND_HEADER] for run in runs]
+        runs = map(json.loads, self._list_runs(dispatch))
+        return [dict(run["headers"])[ATTEMPT_HEADER] for run in runs]
 
-    def _list_runs(self, order: Order) -> list[str]:
+    def _list_runs(self, dispatch: Dispatch) -> list[str]:
         if not self._target_log.exists():
             return []
         lines = self._target_log.read_text().splitlines()
-        return [line for line in lines if order.pillar in line]
+        return [line for line in lines if dispatch.pillar in line]
 
-    def _ask(self, gateway: str) -> list[str]:
+    def _find_responding_agent(self, gateway: str) -> list[str]:
         """Return the agent that answered, if one did."""
         url = f"{self.installation.gateways[gateway]}/services/dispatch/boxes/7"
         connection = http.client.HTTPConnection(urlsplit(url).netloc, timeout=5)
@@ -218,21 +218,21 @@
 
     def _find_agent(self, gateway: str, request_id: str) -> str:
         """Return the last agent that the gateway chose for a request, by its log."""
-        limit = time.monotonic() + HANG_SECONDS
+        deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
         path = self.installation.daemons[gateway].output
-        while time.monotonic() < limit:
+        while time.monotonic() < deadline:
             lines = [x for x in path.read_text().splitlines() if request_id in x]
-            chosen = [x for x in map(_read_line, lines) if "target" in x]
+            chosen = [x for x in map(_parse_log_line, lines) if "target" in x]
             if chosen:
                 return str(chosen[-1]["target"])
             time.sleep(0.005)
         raise TimeoutError(f"{gateway} logged no target for {request_id}")
 
-    def _act(self, cell: Cell, order: Order, relay: Relay) -> None:
+    def _apply_fault(self, cell: Cell, dispatch: Dispatch, relay: Relay) -> None:
         """Bring the fault about; the relay's connection stands still meanwhile."""
         received = cell.hop is Hop.AGENT_TARGET and cell.step is Step.REQUEST_RECEIVED
         if received:
-            self._wait_until_recorded(order)
+            self._wait_until_recorded(dispatch)
         match cell.fault:
             case Fault.KILL_GATEWAY:
                 self.installation.daemons["gateway-1"].kill()
@@ -251,21 +251,21 @@
                 self.installation.daemons["target"].send(signal.SIGSTOP)
             case Fault.CALLER_LEAVES | Fault.LEAVE_AND_FREEZE:
                 if self.caller is not None:
-                    self.caller.leave()
+                    self.caller.disconnect()
             case Fault.RESEND:
                 url = self.installation.gateways["gateway-2"]
-                self.resent = Caller(url, order).send()
+                self.resent = Caller(url, dispatch).send()
 
-    def _wait_until_recorded(self, order: Order) -> None:
-        limit = time.monotonic() + HANG_SECONDS
-        while self.count_runs(order) == 0 and time.monotonic() < limit:
+    def _wait_until_recorded(self, dispatch: Dispatch) -> None:
+        deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
+        while self.count_runs(dispatch) == 0 and time.monotonic() < deadline:
             time.sleep(0.005)
 
     def _start_target(self) -> None:
         arguments = ["-m", "bamboopier_standins.plain", f"--port={self._target_port}"]
         arguments.append(f"--log_path={self._target_log}")
         self.installation.start_process("target", arguments)
-        _wait_for(f"http://{HOST}:{self._target_port}/state")
+        _wait_until_reachable(f"http://{HOST}:{self._target_port}/state")
 
     def _start_agent(self, name: str) -> None:
         listen, admin = find_port(), find_port()
@@ -306,21 +306,21 @@
         self.installation.start_daemon(name, command, settings)
 
 
-def _read_line(line: str) -> dict[str, Any]:
+def _parse_log_line(line: str) -> dict[str, Any]:
     """Return a line of a log; empty while it is being written."""
     with suppress(json.JSONDecodeError):
         return dict(json.loads(line))
     return {}
 
 
-def _may_return(answer: Answer) -> bool:
+def _is_retryable(response: Response) -> bool:
     """Say whether the caller was told that asking again helps."""
-    return "Retry-After" in answer.headers and answer.status in (409, 503, 504)
+    return "Retry-After" in response.headers and response.status in (409, 503, 504)
 
 
-def _wait_for(url: str) -> None:
-    limit = time.monotonic() + HANG_SECONDS
-    while time.monotonic() < limit:
+def _wait_until_reachable(url: str) -> None:
+    deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
+    while time.monotonic() < deadline:
         with suppress(urllib.error.URLError, ConnectionError):
             fetch(url)
             return
--- a/tests/fleet_builders.py
+++ b/tests/fleet_builders.py
@@ -13,7 +13,7 @@
 
 from processes import fetch
 
-from .builders import EXAMPLES, FOSSE_KEY, Answer, call
+from .builders import EXAMPLES, FOSSE_KEY, Response, call
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -23,10 +23,10 @@
     from processes import Installation
 
 # A condition that is never met fails the test after this long; none is met by luck.
-LIMIT_SECONDS = 40.0
+WAIT_TIMEOUT_SECONDS = 40.0
 FAULT_DESK = "fault-desk"
 # Events that say which targets take work, whatever the request.
-TURNING_POINTS = frozenset(
+AVAILABILITY_EVENTS = frozenset(
     {
         "agent started",
         "gateway started",
@@ -73,10 +73,10 @@
 
 def publish(installation: Installation, folder: Path, *options: str) -> str:
     """Publish a folder's files; return what the command printed."""
-    return run(installation, "publish", str(folder), *options)
+    return run_platform_command(installation, "publish", str(folder), *options)
 
 
-def run(installation: Installation, *arguments: str) -> str:
+def run_platform_command(installation: Installation, *arguments: str) -> str:
     """Run a command against the platform and expect success."""
     done = installation.run_command(*arguments, "--platform", installation.platform_url)
     assert done.returncode == 0, done.stderr
@@ -85,7 +85,7 @@
 
 def read_status(installation: Installation) -> dict[str, Any]:
     """Return what ``bamboopier status --json`` prints."""
-    return dict(json.loads(run(installation, "status", "--json")))
+    return dict(json.loads(run_platform_command(installation, "status", "--json")))
 
 
 def read_generation(url: str) -> int:
@@ -93,16 +93,16 @@
     return int(json.loads(fetch(f"{url}/v1/status"))["generation"])
 
 
-def wait_until(reached: Callable[[], bool], what: str) -> None:
-    """Return once ``reached`` holds; fail naming ``what`` if it never does."""
-    limit = time.monotonic() + LIMIT_SECONDS
-    while not reached():
-        if time.monotonic() > limit:
-            raise AssertionError(f"never reached: {what}")
+def wait_until(condition: Callable[[], bool], description: str) -> None:
+    """Return once ``condition`` holds; fail naming ``description`` if it never does."""
+    deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
+    while not condition():
+        if time.monotonic() > deadline:
+            raise AssertionError(f"never reached: {description}")
         time.sleep(0.05)
 
 
-def complete(url: str, prompt: str, max_tokens: int = 2) -> Answer:
+def request_completion(url: str, prompt: str, max_tokens: int = 2) -> Response:
     """Ask for a completion and wait for all of it."""
     body = {"model": "pillar-8b", "prompt": prompt, "max_tokens": max_tokens}
     return call(url, "POST", "/v1/completions", body)
@@ -118,12 +118,12 @@
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
-    begun: threading.Event = field(default_factory=threading.Event)
+    started: threading.Event = field(default_factory=threading.Event)
 
     def __post_init__(self) -> None:
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
-        if not self.begun.wait(LIMIT_SECONDS):
+        if not self.started.wait(WAIT_TIMEOUT_SECONDS):
             raise AssertionError(f"{self.prompt}: no first byte")
 
     @property
@@ -131,7 +131,7 @@
         return self.headers["X-Request-Id"]
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Say whether the last word and the end mark arrived."""
         last = f"{self.prompt.split()[-1]}.{self.max_tokens - 1}".encode()
         return last in self.body and self.body.endswith(b"data: [DONE]\n\n")
@@ -142,7 +142,7 @@
 
     def join(self) -> None:
         """Wait for the end, good or bad."""
-        self._thread.join(LIMIT_SECONDS)
+        self._thread.join(WAIT_TIMEOUT_SECONDS)
         assert not self._thread.is_alive(), f"{self.prompt}: no end"
 
     def _run(self) -> None:
@@ -154,13 +154,13 @@
             connection.request("POST", "/v1/completions", json.dumps(body), headers)
             response = connection.getresponse()
             self.status, self.headers = response.status, dict(response.headers)
-            self.begun.set()
+            self.started.set()
             while chunk := response.read1(65_536):
                 self.body += chunk
         except (OSError, http.client.HTTPException) as error:
             self.body += f"cut: {error}".encode()
         finally:
-            self.begun.set()
+            self.started.set()
             connection.close()
 
 
@@ -169,7 +169,7 @@
     """Short completions through gateways in turn, one after another, in a thread."""
 
     urls: list[str]
-    answers: list[Answer] = field(default_factory=list)
+    responses: list[Response] = field(default_factory=list)
     _stopped: threading.Event = field(default_factory=threading.Event)
 
     def __enter__(self) -> Self:
@@ -184,22 +184,22 @@
         traceback: TracebackType | None,
     ) -> None:
         self._stopped.set()
-        self._thread.join(LIMIT_SECONDS)
+        self._thread.join(WAIT_TIMEOUT_SECONDS)
 
     @property
     def statuses(self) -> set[int]:
-        return {answer.status for answer in self.answers}
+        return {response.status for response in self.responses}
 
-    def wait_for_more(self, count: int) -> None:
+    def wait_for_responses(self, count: int) -> None:
         """Return once ``count`` further requests have been answered."""
-        wanted = len(self.answers) + count
-        wait_until(lambda: len(self.answers) >= wanted, f"{count} more answers")
+        wanted = len(self.responses) + count
+        wait_until(lambda: len(self.responses) >= wanted, f"{count} more answers")
 
     def _run(self) -> None:
         number = 0
         while not self._stopped.is_set():
             url = self.urls[number % len(self.urls)]
-            self.answers.append(complete(url, f"is box {number} live?"))
+            self.responses.append(request_completion(url, f"is box {number} live?"))
             number += 1
 
 
@@ -209,22 +209,22 @@
     The lines on targets that closed, opened or loaded stand between, so that a failed
     test's message shows what its gateways could know. Empty when all were served.
     """
-    refused = [answer for answer in traffic.answers if answer.status != 200]
+    refused = [response for response in traffic.responses if response.status != 200]
     if not refused:
         return ""
-    ids = {answer.headers.get("X-Request-Id") for answer in refused}
-    answers = [f"{a.status} {a.headers} {a.body.decode()}" for a in refused]
+    ids = {response.headers.get("X-Request-Id") for response in refused}
+    responses = [f"{a.status} {a.headers} {a.body.decode()}" for a in refused]
     lines = [
         json.dumps(line)
         for line in installation.read_all_logs()
-        if line.get("request_id") in ids or line.get("event") in TURNING_POINTS
+        if line.get("request_id") in ids or line.get("event") in AVAILABILITY_EVENTS
     ]
     loads = [
         load
         for name in installation.targets
         for load in _list_loads(installation, name)
     ]
-    return "\n".join(["", *answers, *lines, *loads])
+    return "\n".join(["", *responses, *lines, *loads])
 
 
 def _list_loads(installation: Installation, target: str) -> list[str]:
--- a/tests/pages.py
+++ b/tests/pages.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Block:
+class CodeBlock:
     """One fenced block of a page."""
 
     page: str
@@ -35,12 +35,12 @@
         return f"{self.page}:{self.line} ({self.info})"
 
 
-def list_blocks(info: str = "") -> list[Block]:
+def list_code_blocks(info: str = "") -> list[CodeBlock]:
     """Return the blocks of all pages, or those with just this ``info``."""
-    found: list[Block] = []
+    found: list[CodeBlock] = []
     for page in PAGES:
         text = (ROOT / page).read_text()
         for match in _FENCE.finditer(text):
             line = text.count("\n", 0, match.start()) + 1
-            found.append(Block(page, line, match["info"], match["body"]))
+            found.append(CodeBlock(page, line, match["info"], match["body"]))
     return [block for block in found if info in ("", block.info)]
--- a/tests/raw_calls.py
+++ b/tests/raw_calls.py
@@ -11,7 +11,7 @@
 from .builders import FOSSE_KEY
 
 # Long enough for any limit that a test sets; reaching it fails the test.
-PATIENCE_SECONDS = 30.0
+WAIT_TIMEOUT_SECONDS = 30.0
 AUTHORIZATION = f"Authorization: Bearer {FOSSE_KEY}\r\n"
 
 
@@ -19,7 +19,7 @@
     """Open a connection; a small ``receive_buffer`` makes a slow reader."""
     address = urlsplit(url)
     connection = socket.socket()
-    connection.settimeout(PATIENCE_SECONDS)
+    connection.settimeout(WAIT_TIMEOUT_SECONDS)
     if receive_buffer:
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
     connection.connect((address.hostname or "", address.port or 0))
@@ -49,7 +49,7 @@
         return read_to_end(connection)
 
 
-def read_answer(received: bytes) -> tuple[int, dict[str, Any]]:
+def read_response(received: bytes) -> tuple[int, dict[str, Any]]:
     """Return status and typed error of a raw answer."""
     head, _, body = received.partition(b"\r\n\r\n")
     return int(head.split()[1]), dict(json.loads(body)["error"])
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -17,33 +17,33 @@
 
     Address = tuple[str, int]
 
-BUFFER = 65536
+BUFFER_BYTES = 65536
 # Only reached by a test that would hang.
-HANG_SECONDS = 30.0
+WAIT_TIMEOUT_SECONDS = 30.0
 
 
 @dataclass
-class Trap:
+class FaultTrigger:
     """What happens, once, when ``marker`` passes ``step``; shared by several relays."""
 
     step: Step
     marker: bytes
     # Called by the relay's own thread; nothing passes on the connection meanwhile.
-    act: Callable[[Relay], None]
+    action: Callable[[Relay], None]
     cut: bool = False
     freeze: bool = False
     # The answer carries the marker too; other bytes come back before it.
-    marked_answer: bool = False
-    sprung: threading.Event = field(default_factory=threading.Event)
-    # Set once ``act`` has been carried out.
-    acted: threading.Event = field(default_factory=threading.Event)
+    match_response: bool = False
+    fired: threading.Event = field(default_factory=threading.Event)
+    # Set once ``action`` has been carried out.
+    action_done: threading.Event = field(default_factory=threading.Event)
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
-    def spring(self) -> bool:
+    def fire(self) -> bool:
         """Say whether this is the first time."""
         with self._lock:
-            first = not self.sprung.is_set()
-            self.sprung.set()
+            first = not self.fired.is_set()
+            self.fired.set()
         return first
 
 
@@ -53,9 +53,9 @@
     def __init__(self, name: str, upstream: Address) -> None:
         self.name = name
         self.upstream = upstream
-        self.trap: Trap | None = None
-        self._thawed = threading.Event()
-        self._thawed.set()
+        self.trigger: FaultTrigger | None = None
+        self._unfrozen = threading.Event()
+        self._unfrozen.set()
         self._open: set[socket.socket] = set()
         self._closed = False
         self._port = 0
@@ -78,34 +78,34 @@
         self._closed = True
         self.refuse()
 
-    def set_trap(self, trap: Trap) -> None:
+    def set_trigger(self, trigger: FaultTrigger) -> None:
         """Lay a trap; one for connecting also drops the connections there are."""
-        self.trap = trap
-        if trap.freeze:
-            self._thawed.clear()
-        if trap.step is Step.CONNECT:
+        self.trigger = trigger
+        if trigger.freeze:
+            self._unfrozen.clear()
+        if trigger.step is Step.CONNECT:
             self.refuse()
-            if trap.freeze:
+            if trigger.freeze:
                 self._listener = self._listen()
 
-    def heal(self) -> None:
+    def restore(self) -> None:
         """Let everything pass again, also what was held."""
-        self.trap = None
-        self._thawed.set()
+        self.trigger = None
+        self._unfrozen.set()
         if self._listener.fileno() < 0:
             self._listener = self._listen()
 
-    def wait_until_thawed(self) -> None:
+    def wait_until_unfrozen(self) -> None:
         """Return once what is held may pass."""
-        self._thawed.wait(HANG_SECONDS)
+        self._unfrozen.wait(WAIT_TIMEOUT_SECONDS)
 
     def refuse(self) -> None:
         """Refuse connections from now on and drop those there are."""
         with suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
-        for end in list(self._open):
-            _close(end)
+        for endpoint in list(self._open):
+            _close(endpoint)
 
     def _listen(self) -> socket.socket:
         listener = socket.socket()
@@ -119,49 +119,49 @@
     def _accept(self, listener: socket.socket) -> None:
         with suppress(OSError):
             while True:
-                near, _ = listener.accept()
-                worker = threading.Thread(target=self._serve, args=(near,), daemon=True)
+                client, _ = listener.accept()
+                worker = threading.Thread(target=self._serve, args=(client,), daemon=True)
                 worker.start()
 
-    def _serve(self, near: socket.socket) -> None:
-        trap = self.trap
-        self._open.add(near)
-        if trap is not None and trap.step is Step.CONNECT:
-            trap.spring()
-            trap.acted.set()
-            self.wait_until_thawed()
+    def _serve(self, client: socket.socket) -> None:
+        trigger = self.trigger
+        self._open.add(client)
+        if trigger is not None and trigger.step is Step.CONNECT:
+            trigger.fire()
+            trigger.action_done.set()
+            self.wait_until_unfrozen()
         try:
-            far = socket.create_connection(self.upstream)
+            server = socket.create_connection(self.upstream)
         except OSError:
-            self._open.discard(near)
-            near.close()
+            self._open.discard(client)
+            client.close()
             return
-        self._open.add(far)
-        connection = _Connection(self, near, far)
-        back = threading.Thread(target=connection.pass_answers, daemon=True)
-        back.start()
+        self._open.add(server)
+        connection = _Connection(self, client, server)
+        response_thread = threading.Thread(target=connection.pass_responses, daemon=True)
+        response_thread.start()
         connection.pass_requests()
-        back.join()
-        self._open -= {near, far}
-        near.close()
-        far.close()
+        response_thread.join()
+        self._open -= {client, server}
+        client.close()
+        server.close()
 
 
 class _Connection:
     """One relayed connection; a thread for each direction."""
 
-    def __init__(self, relay: Relay, near: socket.socket, far: socket.socket) -> None:
+    def __init__(self, relay: Relay, client: socket.socket, server: socket.socket) -> None:
         self._relay = relay
-        self._near = near
-        self._far = far
+        self._client = client
+        self._server = server
         # The trap whose marker went up on this connection.
-        self._marked: Trap | None = None
+        self._matched_trigger: FaultTrigger | None = None
 
     def pass_requests(self) -> None:
-        self._pass(self._near, self._far, self._send_request)
+        self._pass(self._client, self._server, self._send_request)
 
-    def pass_answers(self) -> None:
-        self._pass(self._far, self._near, self._send_answer)
+    def pass_responses(self) -> None:
+        self._pass(self._server, self._client, self._send_response)
 
     def _pass(
         self,
@@ -170,57 +170,57 @@
         send: Callable[[bytes], None],
     ) -> None:
         with suppress(OSError):
-            while data := source.recv(BUFFER):
+            while data := source.recv(BUFFER_BYTES):
                 send(data)
-        for end in (source, sink):
+        for endpoint in (source, sink):
             with suppress(OSError):
-                end.shutdown(socket.SHUT_RDWR)
+                endpoint.shutdown(socket.SHUT_RDWR)
 
     def _send_request(self, data: bytes) -> None:
-        trap = self._relay.trap
-        if trap is None or trap.marker not in data:
-            self._far.sendall(data)
+        trigger = self._relay.trigger
+        if trigger is None or trigger.marker not in data:
+            self._server.sendall(data)
             return
-        if trap.step is Step.REQUEST_SENT:
-            self._spring(trap)
-        self._marked = trap
-        self._far.sendall(data)
-        if trap.step is Step.REQUEST_RECEIVED:
-            self._spring(trap)
-
-    def _send_answer(self, data: bytes) -> None:
-        trap = self._marked
-        if trap is not None and trap.step is Step.REQUEST_RECEIVED:
+        if trigger.step is Step.REQUEST_SENT:
+            self._fire(trigger)
+        self._matched_trigger = trigger
+        self._server.sendall(data)
+        if trigger.step is Step.REQUEST_RECEIVED:
+            self._fire(trigger)
+
+    def _send_response(self, data: bytes) -> None:
+        trigger = self._matched_trigger
+        if trigger is not None and trigger.step is Step.REQUEST_RECEIVED:
             # The answer must not overtake what happens to its connection.
-            trap.acted.wait(HANG_SECONDS)
-            if trap.freeze:
-                self._relay.wait_until_thawed()
-        if trap is None or (trap.marked_answer and trap.marker not in data):
-            self._near.sendall(data)
+            trigger.action_done.wait(WAIT_TIMEOUT_SECONDS)
+            if trigger.freeze:
+                self._relay.wait_until_unfrozen()
+        if trigger is None or (trigger.match_response and trigger.marker not in data):
+            self._client.sendall(data)
             return
-        if trap.step is Step.ANSWER_SENT:
-            self._spring(trap)
-        if trap.step is Step.ANSWER_PART:
+        if trigger.step is Step.ANSWER_SENT:
+            self._fire(trigger)
+        if trigger.step is Step.ANSWER_PART:
             half = len(data) // 2
-            self._near.sendall(data[:half])
+            self._client.sendall(data[:half])
             data = data[half:]
-            self._spring(trap)
-        self._near.sendall(data)
+            self._fire(trigger)
+        self._client.sendall(data)
 
-    def _spring(self, trap: Trap) -> None:
-        if not trap.spring():
+    def _fire(self, trigger: FaultTrigger) -> None:
+        if not trigger.fire():
             return
-        trap.act(self._relay)
-        if trap.cut:
-            _close(self._near)
-            _close(self._far)
-        trap.acted.set()
-        if trap.freeze:
-            self._relay.wait_until_thawed()
-        if trap.cut:
+        trigger.action(self._relay)
+        if trigger.cut:
+            _close(self._client)
+            _close(self._server)
+        trigger.action_done.set()
+        if trigger.freeze:
+            self._relay.wait_until_unfrozen()
+        if trigger.cut:
             raise ConnectionAbortedError
 
 
-def _close(end: socket.socket) -> None:
+def _close(endpoint: socket.socket) -> None:
     with suppress(OSError):
-        end.shutdown(socket.SHUT_RDWR)
+        endpoint.shutdown(socket.SHUT_RDWR)
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -19,15 +19,15 @@
 
 from fault_matrix import Cell, Fault, Hop, Step, list_cells
 
-from .order_lab import Order, OrderLab
+from .dispatch_harness import Dispatch, DispatchHarness
 
 if TYPE_CHECKING:
-    from .builders import Answer
-    from .relay import Trap
+    from .builders import Response
+    from .relay import FaultTrigger
 
-ONLY = os.environ.get("CELLS", "")
-ACT_SECONDS = 5.0
-_HELD_BACK = {
+CELL_FILTER = os.environ.get("CELLS", "")
+ACTION_TIMEOUT_SECONDS = 5.0
+_RETRIED_BEFORE_RESTORE = {
     Fault.FREEZE,
     Fault.LEAVE_AND_FREEZE,
     Fault.STOP_GATEWAY,
@@ -37,89 +37,89 @@
 
 
 @dataclass
-class Report:
+class HopResults:
     """What became of the cells of one hop."""
 
     passed: list[str] = field(default_factory=list)
     failed: list[str] = field(default_factory=list)
-    not_sprung: list[str] = field(default_factory=list)
+    not_triggered: list[str] = field(default_factory=list)
     unreachable: list[str] = field(default_factory=list)
 
 
 class AtMostOnceTests(unittest.TestCase):
     def test_every_fault_at_every_step(self) -> None:
         with ThreadPoolExecutor(len(Hop)) as pool:
-            reports = list(pool.map(run_hop, Hop))
-        for hop, report in zip(Hop, reports, strict=True):
-            done = len(report.passed) + len(report.failed)
+            hop_results = list(pool.map(run_hop, Hop))
+        for hop, results in zip(Hop, hop_results, strict=True):
+            done = len(results.passed) + len(results.failed)
             print(
-                f"{hop}: {done} cells run, {len(report.passed)} passed,"
-                f" {len(report.failed)} failed, {len(report.not_sprung)} not sprung,"
-                f" {len(report.unreachable)} not reachable"
+                f"{hop}: {done} cells run, {len(results.passed)} passed,"
+                f" {len(results.failed)} failed, {len(results.not_triggered)} not sprung,"
+                f" {len(results.unreachable)} not reachable"
             )
-            for line in report.failed + report.not_sprung + report.unreachable:
+            for line in results.failed + results.not_triggered + results.unreachable:
                 print(f"  {line}")
-        faults = [line for r in reports for line in r.failed + r.not_sprung]
-        self.assertEqual(faults, [])
+        failures = [line for r in hop_results for line in r.failed + r.not_triggered]
+        self.assertEqual(failures, [])
 
 
-def run_hop(hop: Hop) -> Report:
+def run_hop(hop: Hop) -> HopResults:
     """Run all cells of one hop in an installation of its own."""
-    report = Report()
-    sent: list[tuple[Cell, Order, list[Answer | None]]] = []
-    with OrderLab() as lab:
+    results = HopResults()
+    sent: list[tuple[Cell, Dispatch, list[Response | None]]] = []
+    with DispatchHarness() as harness:
         for number, cell in enumerate(list_cells()):
-            if cell.hop is not hop or ONLY not in cell.name:
+            if cell.hop is not hop or CELL_FILTER not in cell.name:
                 continue
             if cell.unreachable:
-                report.unreachable.append(f"{cell.name}: {cell.unreachable}")
+                results.unreachable.append(f"{cell.name}: {cell.unreachable}")
                 continue
-            order = Order(f"pillar-{number:04}", f"key-{number:04}")
-            lab.warm_up()
-            trap = lab.lay_trap(cell, order)
-            answers = run_cell(lab, cell, order, trap)
-            if not trap.sprung.is_set() and cell.step is not Step.CONNECT:
-                report.not_sprung.append(f"{cell.name}: {describe(answers)}")
-            sent.append((cell, order, answers))
+            dispatch = Dispatch(f"pillar-{number:04}", f"key-{number:04}")
+            harness.warm_up()
+            trigger = harness.arm_fault(cell, dispatch)
+            responses = run_cell(harness, cell, dispatch, trigger)
+            if not trigger.fired.is_set() and cell.step is not Step.CONNECT:
+                results.not_triggered.append(f"{cell.name}: {describe(responses)}")
+            sent.append((cell, dispatch, responses))
         # A thawed process may act late: the log is read once all is over.
-        for cell, order, answers in sent:
-            fault = find_fault(cell, answers, lab.count_runs(order))
-            if fault:
-                report.failed.append(f"{cell.name}: {fault}: {describe(answers)}")
+        for cell, dispatch, responses in sent:
+            violation = find_violation(cell, responses, harness.count_runs(dispatch))
+            if violation:
+                results.failed.append(f"{cell.name}: {violation}: {describe(responses)}")
             else:
-                report.passed.append(cell.name)
-    return report
+                results.passed.append(cell.name)
+    return results
 
 
 def run_cell(
-    lab: OrderLab, cell: Cell, order: Order, trap: Trap
-) -> list[Answer | None]:
+    harness: DispatchHarness, cell: Cell, dispatch: Dispatch, trigger: FaultTrigger
+) -> list[Response | None]:
     """Return what the caller received, send by send; the last is the final answer."""
-    lab.resent = None
-    answers = [lab.send("gateway-1", order)]
+    harness.resent = None
+    responses = [harness.send("gateway-1", dispatch)]
     if cell.step is not Step.CONNECT:
         # The answer may be here before the relay's thread has done its part.
-        trap.acted.wait(ACT_SECONDS)
+        trigger.action_done.wait(ACTION_TIMEOUT_SECONDS)
     if cell.fault is Fault.RESEND:
-        answers.append(lab.resent)
-    if cell.fault in _HELD_BACK:
-        answers.append(lab.send("gateway-2", order))
-    lab.heal()
-    answers.append(lab.insist("gateway-2", order))
-    return answers
+        responses.append(harness.resent)
+    if cell.fault in _RETRIED_BEFORE_RESTORE:
+        responses.append(harness.send("gateway-2", dispatch))
+    harness.restore()
+    responses.append(harness.send_with_retries("gateway-2", dispatch))
+    return responses
 
 
-def find_fault(cell: Cell, answers: list[Answer | None], runs: int) -> str:
+def find_violation(cell: Cell, responses: list[Response | None], runs: int) -> str:
     """Return what was wrong with a cell, or nothing."""
     if runs > 1:
         return f"ran {runs} times"
-    whole = [answer for answer in answers if answer and answer.status == 201]
-    if whole and runs == 0:
+    completed = [response for response in responses if response and response.status == 201]
+    if completed and runs == 0:
         return "answered without a run"
-    if any(json.loads(answer.body)["path"] != "/vans" for answer in whole):
+    if any(json.loads(response.body)["path"] != "/vans" for response in completed):
         return "answer of another request"
-    final = answers[-1]
-    earlier = [answer for answer in answers[:-1] if not _said_not_run(answer)]
+    final = responses[-1]
+    earlier = [response for response in responses[:-1] if not _reports_not_run(response)]
     if runs and not earlier and (final is None or "X-Replayed" in final.headers):
         return "ran although every send was told that it had not"
     if final is None:
@@ -131,10 +131,10 @@
     return "" if _may_be_unknown(cell) else f"unknown after {runs} runs"
 
 
-def _said_not_run(answer: Answer | None) -> bool:
-    if answer is None or answer.status == 201:
+def _reports_not_run(response: Response | None) -> bool:
+    if response is None or response.status == 201:
         return False
-    return bool(answer.error["ran"] == "no")
+    return bool(response.error["ran"] == "no")
 
 
 def _may_be_unknown(cell: Cell) -> bool:
@@ -147,13 +147,13 @@
     return cell.fault is Fault.KILL_TARGET and cell.step is Step.REQUEST_RECEIVED
 
 
-def describe(answers: list[Answer | None]) -> str:
+def describe(responses: list[Response | None]) -> str:
     """Return the answers in short."""
     return ", ".join(
         "none"
-        if answer is None
-        else f"{answer.status}"
-        if answer.status == 201
-        else f"{answer.status} {answer.error['code']} ran {answer.error['ran']}"
-        for answer in answers
+        if response is None
+        else f"{response.status}"
+        if response.status == 201
+        else f"{response.status} {response.error['code']} ran {response.error['ran']}"
+        for response in responses
     )
--- a/tests/test_blocks.py
+++ b/tests/test_blocks.py
@@ -16,12 +16,12 @@
 
 from bamboopier_standins.engine import make_block
 
-from .builders import DESK, FOSSE_KEY, Answer, build_small_installation, call
+from .builders import DESK, FOSSE_KEY, Response, build_small_installation, call
 
 BLOCK_TOKENS = 2000
 BLOCKS = 3
 WORDS = [f"visit-{n}" for n in range(BLOCKS * BLOCK_TOKENS)]
-WAIT_SECONDS = 20.0
+WAIT_TIMEOUT_SECONDS = 20.0
 
 
 class BlockTests(unittest.TestCase):
@@ -31,73 +31,73 @@
         store = next(vm for vm in self.installation.vms if vm["role"] == "store")
         self.store_url = f"http://{store['address']}"
 
-    def test_a_prompt_returns_to_a_cold_engine_through_kills(self) -> None:
+    def test_blocks_are_imported_after_engine_and_agent_are_replaced(self) -> None:
         # The caller's prompt runs and is exported. Engine and agent are replaced: the
         # blocks come from the store. Then the store freezes, and later dies: the
         # caller is answered all the same, and the engine is given nothing new.
-        self.ask()
+        self.request_completion()
         self.wait_for_blocks(BLOCKS)
-        self.make_cold()
-        self.assertEqual(self.ask(), BLOCKS * BLOCK_TOKENS)
+        self.reset_engine_and_agent()
+        self.assertEqual(self.request_completion(), BLOCKS * BLOCK_TOKENS)
         self.assertEqual(self.list_imported(), list_digests())
 
         store = self.installation.daemons["store-1"]
         store.send(signal.SIGSTOP)
-        self.make_cold()
-        self.assertEqual(self.ask(), 0)
+        self.reset_engine_and_agent()
+        self.assertEqual(self.request_completion(), 0)
         store.kill()
-        self.make_cold()
-        self.assertEqual(self.ask(), 0)
+        self.reset_engine_and_agent()
+        self.assertEqual(self.request_completion(), 0)
         self.assertEqual(self.list_imported(), list_digests())
 
-    def test_an_agent_killed_in_its_write_leaves_nothing_to_import(self) -> None:
+    def test_a_partial_block_write_is_not_imported(self) -> None:
         # The agent is killed while its block is half-way into the store, which keeps
         # what arrived. The next agent takes it for a miss and writes it whole.
         send("POST", f"{self.store_url}/faults", {"cut": 70_000})
-        self.ask()
+        self.request_completion()
         self.wait_for_blocks(1)
         self.installation.daemons[f"{DESK}-agent"].kill()
         send("POST", f"{self.store_url}/faults", {})
-        self.make_cold()
-        self.assertEqual(self.ask(), 0)
+        self.reset_engine_and_agent()
+        self.assertEqual(self.request_completion(), 0)
         self.assertEqual(self.list_imported(), [])
-        self.wait_for_blocks(BLOCKS, whole=True)
-        self.make_cold()
-        self.assertEqual(self.ask(), BLOCKS * BLOCK_TOKENS)
+        self.wait_for_blocks(BLOCKS, complete=True)
+        self.reset_engine_and_agent()
+        self.assertEqual(self.request_completion(), BLOCKS * BLOCK_TOKENS)
         self.assertEqual(self.list_imported(), list_digests())
 
-    def ask(self) -> int:
+    def request_completion(self) -> int:
         """Send the prompt as its caller; return the tokens that were cached."""
         body = {"model": "pillar-8b", "prompt": " ".join(WORDS), "max_tokens": 2}
-        limit = time.monotonic() + WAIT_SECONDS
-        answer = self.call(body)
+        deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
+        response = self.call(body)
         # A replaced agent is found with the next reading of the VM list; until then
         # the gateway calls the killed one, and says that the outcome is unknown.
-        while answer.status in (502, 503) and time.monotonic() < limit:
+        while response.status in (502, 503) and time.monotonic() < deadline:
             time.sleep(0.1)
-            answer = self.call(body)
-        self.assertEqual(answer.status, 200, answer.body)
-        usage = json.loads(answer.body)["usage"]
+            response = self.call(body)
+        self.assertEqual(response.status, 200, response.body)
+        usage = json.loads(response.body)["usage"]
         return int(usage["prompt_tokens_details"]["cached_tokens"])
 
-    def call(self, body: object) -> Answer:
+    def call(self, body: object) -> Response:
         url = self.installation.gateways["gateway-1"]
         return call(url, "POST", "/v1/completions", body, key=FOSSE_KEY)
 
-    def make_cold(self) -> None:
+    def reset_engine_and_agent(self) -> None:
         """Empty the engine's cache and replace the agent, which knows nothing."""
         self.installation.daemons[f"{DESK}-agent"].kill()
         send("POST", f"{self.installation.targets[DESK]}/evict", {})
         self.installation.start_agent(DESK, "fault-desk", "dc-east")
         self.installation.wait_until_ready()
 
-    def wait_for_blocks(self, count: int, *, whole: bool = False) -> None:
-        limit = time.monotonic() + WAIT_SECONDS
-        least = count * BLOCK_TOKENS * 64 if whole else 0
+    def wait_for_blocks(self, count: int, *, complete: bool = False) -> None:
+        deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
+        min_bytes = count * BLOCK_TOKENS * 64 if complete else 0
         stats = {"blocks": 0, "used": 0}
-        while time.monotonic() < limit:
+        while time.monotonic() < deadline:
             stats = json.loads(fetch(f"{self.store_url}/stats"))
-            if stats["blocks"] >= count and stats["used"] >= least:
+            if stats["blocks"] >= count and stats["used"] >= min_bytes:
                 return
             time.sleep(0.05)
         self.fail(f"the store has {stats}")
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -12,11 +12,11 @@
 
 from .builders import DESK, VANS, build_small_installation, call
 from .raw_calls import (
-    PATIENCE_SECONDS,
+    WAIT_TIMEOUT_SECONDS,
     connect,
     exchange,
     make_head,
-    read_answer,
+    read_response,
     read_to_end,
 )
 
@@ -24,14 +24,14 @@
 CHAT = "/v1/chat/completions"
 TEXT = "/v1/completions"
 USER = {"role": "user"}
-TIGHT = {
+SHORT_TIMEOUTS = {
     "header_timeout_seconds": 0.5,
     "body_timeout_seconds": 0.5,
     "write_timeout_seconds": 1.0,
     "idle_timeout_seconds": 2.0,
 }
 MAX_CONNECTIONS = 3
-HELD_BYTES = 1024 * 1024
+MAX_HELD_BYTES = 1024 * 1024
 # Each row: method, path, body, headers, status, code.
 ERRORS: list[tuple[str, str, Any, dict[str, str], int, str]] = [
     ("GET", "/nowhere", None, {}, 404, "not_found"),
@@ -61,7 +61,7 @@
     ("GET", "/services/dispatch/a", None, {"X-HTTP-Method-Override": "PUT"}, 400, "b"),
 ]
 # Each row: bytes, status, code. None of them is a request of HTTP as it should be.
-GARBAGE: list[tuple[bytes, int, str]] = [
+MALFORMED_REQUESTS: list[tuple[bytes, int, str]] = [
     (b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", 400, "bad_request"),
     (b"GET / HTTP/9.9\r\n\r\n", 400, "bad_request"),
     (make_head("GET", "/", "X: " + "a" * 9000), 431, "headers_too_large"),
@@ -81,7 +81,7 @@
     ),
 ]
 # Bodies that are no JSON, or hide it in a field that the gateway does not read.
-BAD_BODIES = [
+INVALID_BODIES = [
     b"{",
     b'{"model": "\xff"}',
     b"[" * 50_000,
@@ -93,7 +93,7 @@
     b'{"model": "pillar-8b", "prompt": "a", "x": ' + b"[" * 300 + b"]" * 300 + b"}",
 ]
 # Spellings of one order that must not pass as the idempotent /boxes or run twice.
-DODGES = [
+BYPASS_PATHS = [
     "/boxes/../vans",
     "/boxes/%2e%2e/vans",
     "/boxes/..%2fvans",
@@ -107,7 +107,7 @@
     "/%2576ans",
     "/vans%zz",
 ]
-SPELLINGS = ["/vans", "/vans/", "/VANS", "/%76ans", "/Vans/now", "/vans?a=/boxes"]
+EQUIVALENT_PATHS = ["/vans", "/vans/", "/VANS", "/%76ans", "/Vans/now", "/vans?a=/boxes"]
 
 
 class CallerTests(unittest.TestCase):
@@ -115,50 +115,50 @@
     def setUpClass(cls) -> None:
         cls.installation = cls.enterClassContext(Installation())
         build_small_installation(cls.installation)
-        cls.installation.start_gateway("tight", "dc-east", **TIGHT)
+        cls.installation.start_gateway("tight", "dc-east", **SHORT_TIMEOUTS)
         cls.installation.start_gateway(
             "few",
             "dc-east",
             max_connections=MAX_CONNECTIONS,
-            max_held_body_bytes=HELD_BYTES,
+            max_held_body_bytes=MAX_HELD_BYTES,
         )
         cls.installation.wait_until_ready()
         cls.url = cls.installation.gateways["gateway-1"]
-        cls.tight_url = cls.installation.gateways["tight"]
+        cls.short_timeouts_url = cls.installation.gateways["tight"]
 
     def test_each_refused_request_gets_a_typed_error(self) -> None:
         for method, path, body, headers, status, code in ERRORS:
             with self.subTest(path=path, body=body, headers=headers):
-                answer = call(self.url, method, path, body, headers)
-                self.assertEqual(answer.status, status, answer.body)
-                self.assertTrue(answer.error["code"].startswith(code), answer.body)
-                self.assertEqual(answer.error["ran"], "no")
-                self.assertTrue(answer.error["message"])
-                self.assertTrue(answer.error["type"].endswith("_error"))
-                request_id = answer.headers["X-Request-Id"]
-                self.assertEqual(answer.error["request_id"], request_id)
+                response = call(self.url, method, path, body, headers)
+                self.assertEqual(response.status, status, response.body)
+                self.assertTrue(response.error["code"].startswith(code), response.body)
+                self.assertEqual(response.error["ran"], "no")
+                self.assertTrue(response.error["message"])
+                self.assertTrue(response.error["type"].endswith("_error"))
+                request_id = response.headers["X-Request-Id"]
+                self.assertEqual(response.error["request_id"], request_id)
 
-    def test_what_is_no_http_gets_a_typed_error_and_no_trace(self) -> None:
-        for sent, status, code in GARBAGE:
+    def test_malformed_http_gets_a_typed_error_and_no_traceback(self) -> None:
+        for sent, status, code in MALFORMED_REQUESTS:
             with self.subTest(sent[:40]):
                 received = exchange(self.url, sent)
-                found, error = read_answer(received)
+                found, error = read_response(received)
                 self.assertEqual((found, error["ran"]), (status, "no"))
                 self.assertTrue(error["code"].startswith(code), error)
                 self.assertNotIn(b"Traceback", received)
 
-    def test_bodies_that_are_no_json_get_a_typed_error(self) -> None:
+    def test_invalid_json_bodies_get_a_typed_error(self) -> None:
         # What the gateway lets through its agent must be able to read: a body that only
         # the agent stumbles over ends "unknown", counts as the target's failure, and is
         # tried at the next target, until one caller has all of them set aside.
-        for body in BAD_BODIES:
+        for body in INVALID_BODIES:
             with self.subTest(body[:20]):
                 size = f"Content-Length: {len(body)}"
                 head = make_head("POST", TEXT, size, "Connection: close")
-                status, error = read_answer(exchange(self.url, head + body))
+                status, error = read_response(exchange(self.url, head + body))
                 self.assertEqual((status, error["code"]), (400, "bad_request"))
 
-    def test_garbage_after_a_good_request_spoils_neither(self) -> None:
+    def test_garbage_after_a_valid_request_gets_a_typed_error(self) -> None:
         # The garbage arrives while the first answer is on its way, or in one piece
         # with the first request: then neither is run, and the answer says so.
         good = make_head("GET", "/v1/models")
@@ -168,9 +168,9 @@
             connection.sendall(b"\x00\x01garbage\r\n\r\n")
             second = read_to_end(connection)
         self.assertIn(MODEL.encode(), first)
-        self.assertEqual(read_answer(second)[1]["code"], "bad_request")
+        self.assertEqual(read_response(second)[1]["code"], "bad_request")
         order = make_head("DELETE", "/services/dispatch/vans/piped")
-        status, error = read_answer(exchange(self.url, order + b"\x00garbage\r\n\r\n"))
+        status, error = read_response(exchange(self.url, order + b"\x00garbage\r\n\r\n"))
         self.assertEqual((status, error["ran"]), (400, "no"))
         self.assertNotIn("piped", str(self.installation.read_target_log(VANS)))
 
@@ -181,42 +181,42 @@
             "POST", "/services/dispatch/vans", "Transfer-Encoding: chunked"
         )
         received = exchange(self.url, head + chunk * 5)
-        status, error = read_answer(received)
+        status, error = read_response(received)
         self.assertEqual((status, error["code"]), (413, "too_large"))
         self.assertNotIn("a" * 100, str(self.installation.read_target_log(VANS)))
 
-    def test_headers_that_trickle_in_lose_their_connection(self) -> None:
+    def test_slow_request_headers_close_the_connection(self) -> None:
         # A caller opens a connection, sends half a header and keeps it open: without a
         # limit a few such callers would hold every connection the gateway has.
-        self.assertEqual(exchange(self.tight_url, b"GET / HTTP/1.1\r\nHost: "), b"")
+        self.assertEqual(exchange(self.short_timeouts_url, b"GET / HTTP/1.1\r\nHost: "), b"")
 
-    def test_a_body_that_trickles_in_is_refused(self) -> None:
+    def test_a_slow_request_body_is_refused(self) -> None:
         head = make_head("POST", "/services/dispatch/vans", "Content-Length: 100")
-        status, error = read_answer(exchange(self.tight_url, head + b"half"))
+        status, error = read_response(exchange(self.short_timeouts_url, head + b"half"))
         self.assertEqual((status, error["code"]), (408, "body_timeout"))
         self.assertEqual(error["ran"], "no")
 
     def test_an_idle_connection_is_closed(self) -> None:
-        self.assertEqual(exchange(self.tight_url, b""), b"")
+        self.assertEqual(exchange(self.short_timeouts_url, b""), b"")
 
     def test_a_connection_above_the_limit_is_refused_at_once(self) -> None:
         url = self.installation.gateways["few"]
         held = [connect(url) for _ in range(MAX_CONNECTIONS)]
         try:
-            status, error = read_answer(exchange(url, make_head("GET", "/")))
+            status, error = read_response(exchange(url, make_head("GET", "/")))
         finally:
             for connection in held:
                 connection.close()
         self.assertEqual((status, error["code"]), (503, "too_many_connections"))
         self.assertEqual(error["ran"], "no")
 
-    def test_bodies_that_fill_the_memory_are_refused_and_the_held_ones_run(
+    def test_bodies_over_the_memory_limit_are_refused_and_accepted_ones_run(
         self,
     ) -> None:
         # One caller's large body has nearly arrived; the next one's does not fit beside
         # it. The second is refused at once, the first one ends as if alone.
         url = self.installation.gateways["few"]
-        size = HELD_BYTES - 1000
+        size = MAX_HELD_BYTES - 1000
         head = make_head(
             "POST",
             "/services/dispatch/held",
@@ -226,31 +226,31 @@
         with connect(url) as first:
             first.sendall(head + b"a" * (size - 1))
             self.wait_for_held(size - 1)
-            answer = call(url, "POST", "/services/dispatch/next", "b" * 2000)
+            response = call(url, "POST", "/services/dispatch/next", "b" * 2000)
             first.sendall(b"a")
             received = read_to_end(first)
-        self.assertEqual((answer.status, answer.error["ran"]), (503, "no"))
-        self.assertEqual(answer.error["code"], "overloaded")
-        self.assertEqual(answer.headers["Retry-After"], "1")
+        self.assertEqual((response.status, response.error["ran"]), (503, "no"))
+        self.assertEqual(response.error["code"], "overloaded")
+        self.assertEqual(response.headers["Retry-After"], "1")
         self.assertIn(b"201 Created", received)
         self.assertEqual(call(url, "POST", "/services/dispatch/held", "b").status, 201)
 
     def wait_for_held(self, size: int) -> None:
         """Wait until the gateway has read ``size`` bytes of bodies."""
-        limit = time.monotonic() + PATIENCE_SECONDS
+        deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
         url = self.installation.admin["few"] + "/metrics"
         held = re.compile(r"^bamboopier_held_body_bytes (\S+)$", re.MULTILINE)
         while float(held.findall(fetch(url).decode())[0]) != size:
-            self.assertLess(time.monotonic(), limit, "never read")
+            self.assertLess(time.monotonic(), deadline, "never read")
             time.sleep(0.05)
 
-    def test_a_caller_that_takes_nothing_loses_its_connection(self) -> None:
+    def test_a_caller_that_reads_nothing_is_disconnected(self) -> None:
         # The caller asks for a large answer and reads none of it. Without a limit the
         # answer, its target and its memory would wait for that caller for ever.
         order = b'"' * 3_500_000
         size = f"Content-Length: {len(order)}"
         head = make_head("POST", "/services/dispatch/echo", size)
-        with connect(self.tight_url, receive_buffer=4096) as connection:
+        with connect(self.short_timeouts_url, receive_buffer=4096) as connection:
             connection.sendall(head + order)
             self.wait_for_log("tight", "caller too slow")
             received = read_to_end(connection)
@@ -259,25 +259,25 @@
         self.assertLess(len(received), 2 * len(order))
         self.assertFalse(received.endswith(b"0\r\n\r\n"))
 
-    def test_no_spelling_of_a_path_dodges_its_route(self) -> None:
+    def test_no_spelling_of_a_path_bypasses_its_route(self) -> None:
         # A caller sends one order twice under one key, each time spelt in a way that a
         # text comparison takes for something idempotent and the target for /vans.
-        for number, path in enumerate([*DODGES, *SPELLINGS]):
+        for number, path in enumerate([*BYPASS_PATHS, *EQUIVALENT_PATHS]):
             with self.subTest(path):
                 mark = f"order-{number}."
                 headers = {"Idempotency-Key": mark}
                 full = "/services/dispatch" + path
-                answers = [
+                responses = [
                     call(self.url, "POST", full, {"for": mark}, headers)
                     for _ in range(2)
                 ]
                 log = self.installation.read_target_log(VANS)
                 runs = [entry for entry in log if mark in entry["body"]]
-                if path in DODGES:
-                    self.assertEqual(answers[0].error["code"], "bad_path")
+                if path in BYPASS_PATHS:
+                    self.assertEqual(responses[0].error["code"], "bad_path")
                     self.assertEqual(runs, [])
                 else:
-                    self.assertEqual([a.status for a in answers], [201, 201])
+                    self.assertEqual([a.status for a in responses], [201, 201])
                     self.assertEqual(len(runs), 1)
 
     def test_method_path_query_headers_body_and_status_pass_through(self) -> None:
@@ -293,9 +293,9 @@
             with self.subTest(method):
                 body = {"at": method} if method in ("PUT", "PATCH") else None
                 full = "/services/dispatch" + path
-                answer = call(self.url, method, full, body, headers)
-                self.assertEqual(answer.status, 201 if body else 200)
-                self.assertNotEqual(answer.headers["X-Request-Id"], "callers-own")
+                response = call(self.url, method, full, body, headers)
+                self.assertEqual(response.status, 201 if body else 200)
+                self.assertNotEqual(response.headers["X-Request-Id"], "callers-own")
                 entry = self.installation.read_target_log(VANS)[-1]
                 self.assertEqual((entry["method"], entry["raw_path"]), (method, path))
                 self.assertEqual(entry["body"], json.dumps(body) if body else "")
@@ -304,7 +304,7 @@
                 for name in ("x-named", "cookie", "authorization"):
                     self.assertNotIn(name, names)
 
-    def test_the_shapes_of_openai_clients_are_understood(self) -> None:
+    def test_request_formats_of_openai_clients_are_accepted(self) -> None:
         part = [{"type": "text", "text": "is the box"}, {"type": "text", "text": "up"}]
         bodies: list[tuple[str, dict[str, Any]]] = [
             (TEXT, {"prompt": ["one text"], "max_tokens": 2, "n": 1, "stop": ["x"]}),
@@ -316,20 +316,20 @@
         ]
         for path, body in bodies:
             with self.subTest(body):
-                answer = call(self.url, "POST", path, {"model": MODEL, **body})
-                self.assertEqual(answer.status, 200, answer.body)
+                response = call(self.url, "POST", path, {"model": MODEL, **body})
+                self.assertEqual(response.status, 200, response.body)
         self.assertTrue(self.installation.read_target_log(DESK))
 
     def test_the_models_of_the_workspace_are_listed(self) -> None:
-        answer = call(self.url, "GET", "/v1/models")
-        listed = json.loads(answer.body)
+        response = call(self.url, "GET", "/v1/models")
+        listed = json.loads(response.body)
         self.assertEqual([model["id"] for model in listed["data"]], [MODEL])
         self.assertEqual(listed["object"], "list")
 
-    def test_the_measures_are_counted_on_both_daemons(self) -> None:
+    def test_both_daemons_export_request_metrics(self) -> None:
         body = {"model": MODEL, "prompt": "count this", "max_tokens": 2}
-        answer = call(self.url, "POST", TEXT, body)
-        self.assertEqual(answer.status, 200, answer.body)
+        response = call(self.url, "POST", TEXT, body)
+        self.assertEqual(response.status, 200, response.body)
         # The caller has its last byte a moment before the answer is counted.
         gateway = self.wait_for_metric("bamboopier_caller_prompt_tokens_total{")
         agent = fetch(self.installation.admin[f"{DESK}-agent"] + "/metrics").decode()
@@ -347,8 +347,8 @@
     def wait_for_metric(self, start: str) -> str:
         """Return gateway-1's metrics once a line that begins so is above zero."""
         url = self.installation.admin["gateway-1"] + "/metrics"
-        limit = time.monotonic() + PATIENCE_SECONDS
-        while time.monotonic() < limit:
+        deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
+        while time.monotonic() < deadline:
             text = fetch(url).decode()
             found = [line for line in text.splitlines() if line.startswith(start)]
             if any(not line.endswith(" 0.0") for line in found):
@@ -357,8 +357,8 @@
         raise AssertionError(f"no metric {start} above zero")
 
     def wait_for_log(self, name: str, event: str) -> None:
-        limit = time.monotonic() + PATIENCE_SECONDS
-        while time.monotonic() < limit:
+        deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
+        while time.monotonic() < deadline:
             log = self.installation.daemons[name].read_log()
             if any(line["event"] == event for line in log):
                 return
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -13,7 +13,7 @@
 from .builders import EXAMPLES
 
 # Each row: the words, the exit code, what standard error must say.
-MISTAKES: list[tuple[list[str], int, str]] = [
+USAGE_ERRORS: list[tuple[list[str], int, str]] = [
     (["chekc"], 2, "did you mean 'check'"),
     (["gateway"], 2, "--settings is missing"),
     (["gateway", "--setings", "x"], 2, "did you mean '--settings'"),
@@ -29,33 +29,33 @@
     def setUpClass(cls) -> None:
         cls.installation = cls.enterClassContext(Installation())
 
-    def run_command(self, *words: str) -> Any:
-        return self.installation.run_command(*words)
+    def run_command(self, *arguments: str) -> Any:
+        return self.installation.run_command(*arguments)
 
-    def test_each_mistake_is_one_line_on_standard_error(self) -> None:
-        for words, status, text in MISTAKES:
-            with self.subTest(words):
-                done = self.run_command(*words)
+    def test_each_usage_error_is_one_line_on_standard_error(self) -> None:
+        for arguments, status, text in USAGE_ERRORS:
+            with self.subTest(arguments):
+                done = self.run_command(*arguments)
                 self.assertEqual(done.returncode, status)
                 self.assertEqual(done.stdout, "")
                 self.assertIn(text, done.stderr)
                 self.assertEqual(done.stderr.count("\n"), 1, done.stderr)
 
     def test_help_needs_no_pager_and_goes_to_standard_output(self) -> None:
-        for words in (["--help"], ["help"], [], ["check", "--help"], ["gateway", "-h"]):
-            with self.subTest(words):
-                done = self.run_command(*words)
+        for arguments in (["--help"], ["help"], [], ["check", "--help"], ["gateway", "-h"]):
+            with self.subTest(arguments):
+                done = self.run_command(*arguments)
                 self.assertEqual((done.returncode, done.stderr), (0, ""))
                 self.assertIn("Usage: bamboopier", done.stdout)
                 self.assertIn("Exit codes", done.stdout)
 
-    def test_check_and_version_speak_json(self) -> None:
+    def test_check_and_version_print_json(self) -> None:
         found = json.loads(self.run_command("check", str(EXAMPLES), "--json").stdout)
         self.assertEqual((found["services"], found["workspaces"]), (3, 2))
         version = json.loads(self.run_command("version", "--json").stdout)
         self.assertTrue(version["bamboopier"])
 
-    def test_a_wrong_file_is_named_and_nothing_is_published(self) -> None:
+    def test_an_invalid_file_is_reported_and_not_published(self) -> None:
         path = Path(self.installation.directory) / "wrong.bamboopier.json"
         path.write_text('{"services": [{"name": "a", "kind": "plan"}]}')
         self.addCleanup(path.unlink)
@@ -66,7 +66,7 @@
         self.assertIn('$.services[0].kind: found "plan"', done.stderr)
         self.assertIn('allowed: "model", "plain"', done.stderr)
 
-    def test_a_port_in_use_is_named_with_its_cure(self) -> None:
+    def test_a_port_in_use_is_reported_with_the_setting_to_change(self) -> None:
         for command in ("gateway", "agent"):
             for setting in ("listen", "admin"):
                 with self.subTest(command=command, setting=setting):
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -12,11 +12,11 @@
 
 from .fleet_builders import (
     build_fleet,
-    complete,
+    request_completion,
     publish,
     read_generation,
     read_status,
-    run,
+    run_platform_command,
     wait_until,
     write_configuration,
 )
@@ -35,7 +35,7 @@
         build_fleet(self.installation, {DESK: "dc-east"}, gateways)
         self.urls = list(self.installation.gateways.values())
 
-    def publish_limit(self, seconds: int) -> subprocess.CompletedProcess[str]:
+    def publish_timeout(self, seconds: int) -> subprocess.CompletedProcess[str]:
         """Publish files that differ by a timeout; return how it went."""
         folder = write_configuration(
             self.installation, f"v1-{seconds}", default_timeout_seconds=seconds
@@ -45,7 +45,7 @@
         arguments = ("publish", str(folder), "--platform")
         return self.installation.run_command(*arguments, self.installation.platform_url)
 
-    def test_racing_publishers_are_each_told_the_truth(self) -> None:
+    def test_each_concurrent_publisher_gets_its_own_result(self) -> None:
         """Six operators publish different files at once, and answers are lost too.
 
         Each success is one generation; each loser is told that nothing of his is in
@@ -53,16 +53,16 @@
         """
         self.installation.set_faults({"lose_answers": 4})
         with ThreadPoolExecutor(PUBLISHERS) as pool:
-            done = list(pool.map(self.publish_limit, range(30, 30 + PUBLISHERS)))
-        won = [d for d in done if d.returncode == 0]
-        lost = [d for d in done if d.returncode == 1]
-        self.assertEqual(len(won) + len(lost), PUBLISHERS)
-        self.assertGreaterEqual(len(won), 1)
-        for loser in lost:
+            done = list(pool.map(self.publish_timeout, range(30, 30 + PUBLISHERS)))
+        succeeded = [d for d in done if d.returncode == 0]
+        failed = [d for d in done if d.returncode == 1]
+        self.assertEqual(len(succeeded) + len(failed), PUBLISHERS)
+        self.assertGreaterEqual(len(succeeded), 1)
+        for loser in failed:
             self.assertIn("another publisher came first", loser.stderr)
-        generations = sorted(int(d.stdout.split()[-1]) for d in won)
-        self.assertEqual(generations, list(range(2, 2 + len(won))))
-        self.assertEqual(read_status(self.installation)["generation"], 1 + len(won))
+        generations = sorted(int(d.stdout.split()[-1]) for d in succeeded)
+        self.assertEqual(generations, list(range(2, 2 + len(succeeded))))
+        self.assertEqual(read_status(self.installation)["generation"], 1 + len(succeeded))
 
     def test_a_gateway_started_in_an_outage_serves(self) -> None:
         """The platform is down; a VM is replaced and its gateway knows one agent.
@@ -75,10 +75,10 @@
             "gateway-3", "dc-east", peers=[agent["address"]]
         )
         self.installation.wait_until_ready()
-        answer = complete(self.installation.gateways["gateway-3"], "is the box live?")
-        self.assertEqual(answer.status, 200)
+        response = request_completion(self.installation.gateways["gateway-3"], "is the box live?")
+        self.assertEqual(response.status, 200)
 
-    def test_no_node_goes_back_when_a_replica_answers_with_the_past(self) -> None:
+    def test_no_node_reverts_when_a_replica_returns_stale_data(self) -> None:
         """A generation is in force; reads then show the head before it for a while.
 
         A node paused since before wakes into that and still reaches the newest one.
@@ -86,7 +86,7 @@
         paused = self.installation.daemons["gateway-2"]
         paused.send(signal.SIGSTOP)
         try:
-            self.assertEqual(self.publish_limit(41).returncode, 0)
+            self.assertEqual(self.publish_timeout(41).returncode, 0)
             wait_until(lambda: read_generation(self.urls[0]) == 2, "generation 2")
             self.installation.set_faults({"lag": 12})
         finally:
@@ -100,11 +100,11 @@
         wait_until(is_reached, "generation 2 at the gateway that woke")
         self.assertEqual(set(seen), {2})
         self.installation.set_faults({})
-        self.assertEqual(self.publish_limit(42).returncode, 0)
+        self.assertEqual(self.publish_timeout(42).returncode, 0)
         for url in self.urls:
             wait_until(lambda url=url: read_generation(url) == 3, "generation 3")
 
-    def test_what_publish_and_status_tell(self) -> None:
+    def test_output_of_publish_and_status(self) -> None:
         folder = write_configuration(self.installation, "v2", loads_at_once=1)
         shown = publish(self.installation, folder, "--dry-run")
         self.assertEqual(
@@ -121,7 +121,7 @@
         self.assertEqual(status["generation"], 2)
         self.assertEqual({node["generation"] for node in status["nodes"]}, {2})
         self.assertIn("says the same", publish(self.installation, folder))
-        text = run(self.installation, "status")
+        text = run_platform_command(self.installation, "status")
         self.assertIn("generation 2, in force at 3 of 3 nodes", text)
         # No node writes down what it has in force: 1,070 writes a change would be the
         # most that the platform is asked for.
@@ -129,7 +129,7 @@
         kinds = {stored["key"].split("/")[0] for stored in json.loads(fetch(url))}
         self.assertEqual(kinds, {"configuration", "leases"})
 
-    def test_a_node_that_cannot_be_reached_fails_the_wait(self) -> None:
+    def test_an_unreachable_node_fails_publish_wait(self) -> None:
         """A gateway hangs: nobody can say what it does, so the operator is told."""
         hung = self.installation.daemons["gateway-2"]
         hung.send(signal.SIGSTOP)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -20,38 +20,38 @@
 from bamboopier_gateway.metrics import GatewayMetrics
 
 from .builders import FOSSE_KEY, build_small_installation
-from .pages import NOT_RUN, PAGES, ROOT, Block, list_blocks
+from .pages import NOT_RUN, PAGES, ROOT, CodeBlock, list_code_blocks
 
 if TYPE_CHECKING:
     from pathlib import Path
 
-JSON_KINDS = {
+JSON_BLOCK_TYPES = {
     "json configuration": ConfigurationFile,
     "json gateway-settings": GatewaySettings,
     "json agent-settings": AgentSettings,
 }
-OTHER_KINDS = {"sh", "text", "json error"}
-SECONDS = 120
+OTHER_BLOCK_INFOS = {"sh", "text", "json error"}
+COMMAND_TIMEOUT_SECONDS = 120
 _MODULE = re.compile(r"`(\w+)/([\w/]+\.py)`")
 _LINK = re.compile(r"\]\(([^)#]+)(?:#[^)]*)?\)")
 
 
 class PageTests(unittest.TestCase):
-    def test_every_block_says_how_it_is_checked(self) -> None:
-        for block in list_blocks():
-            known = block.info in JSON_KINDS or block.info in OTHER_KINDS
+    def test_every_code_block_has_a_known_kind(self) -> None:
+        for block in list_code_blocks():
+            known = block.info in JSON_BLOCK_TYPES or block.info in OTHER_BLOCK_INFOS
             reason = block.info.removeprefix(NOT_RUN).strip()
             marked = block.info.startswith(NOT_RUN) and len(reason) > 10
             self.assertTrue(known or marked, str(block))
 
     def test_every_json_example_fits_its_type(self) -> None:
-        for info, kind in JSON_KINDS.items():
-            for block in list_blocks(info):
+        for info, kind in JSON_BLOCK_TYPES.items():
+            for block in list_code_blocks(info):
                 with self.subTest(str(block)):
                     decode(block.body.encode(), kind, str(block)).unwrap()
 
     def test_the_error_example_is_what_callers_get(self) -> None:
-        for block in list_blocks("json error"):
+        for block in list_code_blocks("json error"):
             shown = json.loads(block.body)["error"]
             error = CallerError(ErrorCode(shown["code"]), shown["message"])
             made = json.loads(error.make_body(shown["request_id"]))["error"]
@@ -101,20 +101,20 @@
         }
 
     def test_every_command_of_the_pages_works(self) -> None:
-        blocks = list_blocks("sh")
+        blocks = list_code_blocks("sh")
         self.assertGreater(len(blocks), 10)
         for block in blocks:
             with self.subTest(str(block)):
                 self.run_block(block)
 
-    def run_block(self, block: Block) -> None:
+    def run_block(self, block: CodeBlock) -> None:
         done = subprocess.run(
             ["bash", "-euo", "pipefail", "-c", block.body],
             cwd=self.folder,
             env=self.environment,
             capture_output=True,
             text=True,
-            timeout=SECONDS,
+            timeout=COMMAND_TIMEOUT_SECONDS,
         )
         self.assertEqual(done.returncode, 0, done.stdout + done.stderr)
 
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -15,12 +15,12 @@
     LongStream,
     Traffic,
     build_fleet,
-    complete,
+    request_completion,
     explain_refusals,
     list_started,
     read_generation,
     read_status,
-    run,
+    run_platform_command,
     wait_until,
 )
 
@@ -48,7 +48,7 @@
                 vm["state"] = state
         self.installation.put_vms()
 
-    def test_a_data_centre_out_and_back_while_the_platform_is_slow(self) -> None:
+    def test_a_data_centre_is_drained_and_restored_while_the_platform_is_slow(self) -> None:
         """Operators pull a data centre at 1 s a platform call; streams run on there.
 
         Nothing new starts there once the command says that the drain is in force, the
@@ -62,13 +62,13 @@
                 for number, url in enumerate(self.urls * 3)
             ]
             installation.set_faults({"delay": 1.0})
-            run(installation, "drain", "data-centre", "dc-east", "--wait")
+            run_platform_command(installation, "drain", "data-centre", "dc-east", "--wait")
             in_force = time.monotonic()
-            traffic.wait_for_more(20)
+            traffic.wait_for_responses(20)
             self.assertEqual(list_started(installation, EAST, in_force), [])
             self.assertFalse(self.is_ready("gateway-east"))
             self.assertTrue(self.is_ready("gateway-west"))
-            run(installation, "restore", "data-centre", "dc-east", "--wait")
+            run_platform_command(installation, "restore", "data-centre", "dc-east", "--wait")
             installation.set_faults({})
             wait_until(
                 lambda: bool(list_started(installation, EAST, in_force)),
@@ -77,11 +77,11 @@
             self.assertTrue(self.is_ready("gateway-east"))
             for stream in streams:
                 stream.join()
-        self.assertEqual([s.describe() for s in streams if not s.whole], [])
+        self.assertEqual([s.describe() for s in streams if not s.is_complete], [])
         refusals = explain_refusals(self.installation, traffic)
         self.assertEqual(traffic.statuses, {200}, refusals)
 
-    def test_the_agent_refuses_what_an_unaware_gateway_sends(self) -> None:
+    def test_the_agent_refuses_requests_of_a_gateway_with_stale_configuration(self) -> None:
         """A gateway is paused while a target is drained, then the platform goes down.
 
         Awake again, the gateway still takes the target for usable. The target's agent
@@ -92,19 +92,19 @@
         gateway = installation.daemons["gateway-east"]
         gateway.send(signal.SIGSTOP)
         try:
-            run(installation, "drain", "target", EAST)
+            run_platform_command(installation, "drain", "target", EAST)
             wait_until(lambda: not self.is_ready(f"{EAST}-agent"), "agent closed")
             installation.set_faults({"down": True})
             drained = time.monotonic()
         finally:
             gateway.send(signal.SIGCONT)
         url = installation.gateways["gateway-east"]
-        answers = [complete(url, f"box {number}") for number in range(12)]
-        self.assertEqual({answer.status for answer in answers}, {200})
+        responses = [request_completion(url, f"box {number}") for number in range(12)]
+        self.assertEqual({response.status for response in responses}, {200})
         self.assertEqual(list_started(installation, EAST, drained), [])
         wait_until(lambda: read_generation(url) == 2, "generation 2 from a peer")
 
-    def test_a_leaving_target_finishes_and_vanishes_without_a_cut(self) -> None:
+    def test_a_removed_target_completes_its_streams(self) -> None:
         """The VM list says leaving, then no longer names the VM, while a stream runs.
 
         A gateway that closed its connection with the entry would cut the stream.
@@ -118,24 +118,24 @@
             self.set_vm_state(EAST, "leaving")
             wait_until(lambda: not self.is_ready(f"{EAST}-agent"), "agent closed")
             closed = time.monotonic()
-            traffic.wait_for_more(10)
+            traffic.wait_for_responses(10)
             self.assertEqual(list_started(installation, EAST, closed), [])
             installation.vms = [vm for vm in installation.vms if vm["name"] != EAST]
             installation.put_vms()
             for stream in streams:
                 stream.join()
-        self.assertEqual([s.describe() for s in streams if not s.whole], [])
+        self.assertEqual([s.describe() for s in streams if not s.is_complete], [])
         refusals = explain_refusals(self.installation, traffic)
         self.assertEqual(traffic.statuses, {200}, refusals)
         ran_east = {entry["request_id"] for entry in installation.read_target_log(EAST)}
         self.assertTrue(any(stream.request_id in ran_east for stream in streams))
 
-    def test_drains_compose_and_unknown_names_are_explained(self) -> None:
+    def test_concurrent_drains_combine_and_unknown_names_are_explained(self) -> None:
         """Two operators drain different places in the same moment; a third mistypes."""
         installation = self.installation
         places = [("target", EAST), ("target", WEST), ("data-centre", "dc-west")]
         with ThreadPoolExecutor(3) as pool:
-            list(pool.map(lambda place: run(installation, "drain", *place), places))
+            list(pool.map(lambda place: run_platform_command(installation, "drain", *place), places))
         status = read_status(installation)
         self.assertEqual(status["generation"], 4)
         self.assertEqual(status["drained_targets"], [EAST, WEST])
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -13,7 +13,7 @@
 
 from fault_matrix import Cell, Fault, Hop, Step
 
-from .order_lab import Order, OrderLab
+from .dispatch_harness import Dispatch, DispatchHarness
 
 GATEWAY, PLATFORM, TARGET = Hop.GATEWAY_AGENT, Hop.AGENT_PLATFORM, Hop.AGENT_TARGET
 UNKNOWN = (502, "outcome_unknown", "unknown")
@@ -45,7 +45,7 @@
 )
 
 # What the caller gets in the end, once the platform is back.
-SECOND_FAULTS = (
+PLATFORM_OUTAGE_CASES = (
     (GATEWAY, Step.REQUEST_SENT, Fault.CUT, 201),
     (GATEWAY, Step.REQUEST_SENT, Fault.FREEZE, 201),
     (GATEWAY, Step.ANSWER_SENT, Fault.KILL_GATEWAY, 201),
@@ -54,80 +54,80 @@
     (TARGET, Step.ANSWER_SENT, Fault.CUT, 502),
     (TARGET, Step.ANSWER_SENT, Fault.KILL_AGENT, 502),
 )
-ACT_SECONDS = 5.0
+ACTION_TIMEOUT_SECONDS = 5.0
 
 
 class OutcomeTests(unittest.TestCase):
     @classmethod
     def setUpClass(cls) -> None:
-        cls.lab = cls.enterClassContext(OrderLab())
+        cls.harness = cls.enterClassContext(DispatchHarness())
 
     def test_what_the_caller_is_told_is_true(self) -> None:
-        not_run: list[tuple[Order, object]] = []
+        not_run: list[tuple[Dispatch, object]] = []
         for number, (hop, step, fault, keyed, expected) in enumerate(CASES):
             cell = Cell(hop, step, fault)
-            order = Order(f"case-{number:04}", f"case-{number}" if keyed else "")
+            dispatch = Dispatch(f"case-{number:04}", f"case-{number}" if keyed else "")
             with self.subTest(cell=cell.name, keyed=keyed):
-                self.lab.warm_up()
-                self.lab.lay_trap(cell, order)
-                told = self._send(order)
-                self.lab.heal()
-                self.assertEqual(told, expected)
-                self.assertLessEqual(self.lab.count_runs(order), 1)
-                if told[2] == "no":
-                    not_run.append((order, cell.name))
+                self.harness.warm_up()
+                self.harness.arm_fault(cell, dispatch)
+                result = self._send(dispatch)
+                self.harness.restore()
+                self.assertEqual(result, expected)
+                self.assertLessEqual(self.harness.count_runs(dispatch), 1)
+                if result[2] == "no":
+                    not_run.append((dispatch, cell.name))
         # What thawed late has had time to act by now.
-        for order, name in not_run:
-            self.assertEqual(self.lab.count_runs(order), 0, name)
+        for dispatch, name in not_run:
+            self.assertEqual(self.harness.count_runs(dispatch), 0, name)
 
-    def test_a_call_whose_caller_left_runs_on_and_is_answered_to_its_resend(
+    def test_a_dispatch_runs_on_after_a_disconnect_and_its_retry_gets_the_response(
         self,
     ) -> None:
         # The target has the order and answers slowly; the caller gives up and asks
         # again at the other gateway, first while it runs, then when it is done.
-        order = Order("left-behind", "left-behind")
-        self.lab.warm_up()
-        self.lab.lay_trap(Cell(TARGET, Step.ANSWER_SENT, Fault.LEAVE_AND_FREEZE), order)
-        self.assertIsNone(self.lab.send("gateway-1", order))
-        running = self.lab.send("gateway-2", order)
+        dispatch = Dispatch("left-behind", "left-behind")
+        self.harness.warm_up()
+        self.harness.arm_fault(Cell(TARGET, Step.ANSWER_SENT, Fault.LEAVE_AND_FREEZE), dispatch)
+        self.assertIsNone(self.harness.send("gateway-1", dispatch))
+        running = self.harness.send("gateway-2", dispatch)
         assert running is not None
         self.assertEqual(running.error["code"], "idempotency_key_in_progress")
-        self.lab.heal()
-        answer = self.lab.insist("gateway-2", order)
-        assert answer is not None
-        self.assertEqual((answer.status, answer.headers["X-Replayed"]), (201, "true"))
-        self.assertIn(order.pillar, json.loads(answer.body)["body"])
-        self.assertEqual(self.lab.count_runs(order), 1)
+        self.harness.restore()
+        response = self.harness.send_with_retries("gateway-2", dispatch)
+        assert response is not None
+        self.assertEqual((response.status, response.headers["X-Replayed"]), (201, "true"))
+        self.assertIn(dispatch.pillar, json.loads(response.body)["body"])
+        self.assertEqual(self.harness.count_runs(dispatch), 1)
 
-    def test_the_platform_is_down_at_the_same_time(self) -> None:
+    def test_a_retry_during_a_platform_outage_does_not_run(self) -> None:
         # The first fault takes the answer, and the platform is gone when the caller
         # resends: refused at once, or answered from what was kept; never run again.
-        for number, (hop, step, fault, final) in enumerate(SECOND_FAULTS):
+        for number, (hop, step, fault, final) in enumerate(PLATFORM_OUTAGE_CASES):
             cell = Cell(hop, step, fault)
-            order = Order(f"second-{number:04}", f"second-{number}")
+            dispatch = Dispatch(f"second-{number:04}", f"second-{number}")
             with self.subTest(cell=cell.name):
-                self.lab.warm_up()
-                trap = self.lab.lay_trap(cell, order)
-                self.lab.send("gateway-1", order)
-                trap.acted.wait(ACT_SECONDS)
-                self.lab.installation.set_faults({"down": True})
-                again = replace(order, send_name="again")
-                resent = self.lab.send("gateway-2", again)
+                self.harness.warm_up()
+                trigger = self.harness.arm_fault(cell, dispatch)
+                self.harness.send("gateway-1", dispatch)
+                trigger.action_done.wait(ACTION_TIMEOUT_SECONDS)
+                self.harness.installation.set_faults({"down": True})
+                retry = replace(dispatch, attempt_name="again")
+                resent = self.harness.send("gateway-2", retry)
                 # The first send may reach the target only now: its agent had its claim
                 # before the platform went, and does not know yet that its gateway died.
-                self.assertNotIn("again", self.lab.list_sends_run(order))
-                self.lab.installation.set_faults({})
-                self.lab.heal()
-                answer = self.lab.insist("gateway-2", order)
-                assert resent is not None and answer is not None
+                self.assertNotIn("again", self.harness.list_recorded_attempts(dispatch))
+                self.harness.installation.set_faults({})
+                self.harness.restore()
+                response = self.harness.send_with_retries("gateway-2", dispatch)
+                assert resent is not None and response is not None
                 self.assertIn(resent.status, (409, 502, 503))
-                self.assertEqual(answer.status, final)
-                self.assertLessEqual(self.lab.count_runs(order), 1)
+                self.assertEqual(response.status, final)
+                self.assertLessEqual(self.harness.count_runs(dispatch), 1)
 
-    def _send(self, order: Order) -> tuple[int, str, str]:
-        answer = self.lab.send("gateway-1", order)
-        if answer is None:
+    def _send(self, dispatch: Dispatch) -> tuple[int, str, str]:
+        response = self.harness.send("gateway-1", dispatch)
+        if response is None:
             return (0, "", "")
-        if answer.status == 201:
+        if response.status == 201:
             return (201, "", "yes")
-        return (answer.status, answer.error["code"], answer.error["ran"])
+        return (response.status, response.error["code"], response.error["ran"])
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -16,13 +16,13 @@
 from .builders import call, publish_examples
 
 if TYPE_CHECKING:
-    from .builders import Answer
+    from .builders import Response
 
 ENGINES = tuple(f"desk-{number}" for number in range(1, 5))
-POISON = {"model": "pillar-8b", "prompt": "pillar !crash! A46", "max_tokens": 2}
+CRASHING = {"model": "pillar-8b", "prompt": "pillar !crash! A46", "max_tokens": 2}
 HEALTHY = {"model": "pillar-8b", "prompt": "pillar works A46", "max_tokens": 2}
-SENDS = 5
-HANG_SECONDS = 20.0
+ATTEMPTS = 5
+WAIT_TIMEOUT_SECONDS = 20.0
 
 
 class QuarantineTests(unittest.TestCase):
@@ -37,34 +37,34 @@
         publish_examples(cls.installation)
         cls.installation.wait_until_ready()
 
-    def test_it_breaks_two_engines_whatever_the_gateway(self) -> None:
-        first = self._send("gateway-1", POISON)
+    def test_a_crashing_request_runs_on_two_engines_at_most(self) -> None:
+        first = self._send("gateway-1", CRASHING)
         self.assertEqual((first.status, first.error["ran"]), (502, "unknown"))
         self.assertEqual(self._count_runs(), 2)
-        for _ in range(SENDS):
-            again = self._send("gateway-1", POISON)
+        for _ in range(ATTEMPTS):
+            again = self._send("gateway-1", CRASHING)
             self.assertEqual((again.status, again.error["code"]), (422, "quarantined"))
             self.assertEqual(again.error["ran"], "no")
             self.assertIn("Retry-After", again.headers)
-        self._wait_until_learned("gateway-2")
-        for _ in range(SENDS):
-            other = self._send("gateway-2", POISON)
+        self._wait_until_quarantine_received("gateway-2")
+        for _ in range(ATTEMPTS):
+            other = self._send("gateway-2", CRASHING)
             self.assertEqual(other.error["code"], "quarantined")
         self.assertEqual(self._count_runs(), 2)
         self.assertEqual(self._send("gateway-2", HEALTHY).status, 200)
         self.assertEqual(self._count_runs(), 3)
 
-    def _send(self, gateway: str, body: object) -> Answer:
+    def _send(self, gateway: str, body: object) -> Response:
         url = self.installation.gateways[gateway]
         return call(url, "POST", "/v1/completions", body)
 
     def _count_runs(self) -> int:
         return sum(len(self.installation.read_target_log(name)) for name in ENGINES)
 
-    def _wait_until_learned(self, gateway: str) -> None:
+    def _wait_until_quarantine_received(self, gateway: str) -> None:
         daemon = self.installation.daemons[gateway]
-        limit = time.monotonic() + HANG_SECONDS
-        while time.monotonic() < limit:
+        deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
+        while time.monotonic() < deadline:
             events = [line["event"] for line in daemon.read_log()]
             if "quarantine learned" in events:
                 return
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -10,7 +10,7 @@
 
 from .builders import publish_examples
 
-LIMIT_SECONDS = 20.0
+WAIT_TIMEOUT_SECONDS = 20.0
 
 
 class ReadinessTests(unittest.TestCase):
@@ -38,8 +38,8 @@
 
     def wait_for_generation(self, url: str) -> None:
         """Wait until the process has a configuration."""
-        limit = time.monotonic() + LIMIT_SECONDS
-        while time.monotonic() < limit:
+        deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
+        while time.monotonic() < deadline:
             try:
                 if (
                     "bamboopier_configuration_generation 1.0"
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -15,8 +15,8 @@
 
 from .builders import FOSSE_KEY, VANS, build_small_installation
 
-ORDERS = 20
-SENDS = 3
+DISPATCHES = 20
+ATTEMPTS = 3
 
 
 class ReplayTests(unittest.TestCase):
@@ -25,7 +25,7 @@
         build_small_installation(self.installation, gateways=2)
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         (self.folder / "keys").write_text(json.dumps({"fosse-midlands": FOSSE_KEY}))
-        write_trace(self.folder / "trace", make_dispatch_trace(7, ORDERS, SENDS))
+        write_trace(self.folder / "trace", make_dispatch_trace(7, DISPATCHES, ATTEMPTS))
 
     def replay(self, answered_share: float) -> tuple[int, str]:
         stated = [
@@ -48,14 +48,14 @@
         # Each of 20 orders is sent three times under its key, the repeats through the
         # other gateway; a repeat is answered like the first or, while the first still
         # runs, told so; vans leave once.
-        status, output = self.replay(answered_share=1 / SENDS)
+        status, output = self.replay(answered_share=1 / ATTEMPTS)
         self.assertEqual(status, 0, output)
         log = self.installation.read_target_log(VANS)
         runs = Counter(entry["body"] for entry in log)
         self.assertEqual(set(runs.values()), {1}, output)
-        self.assertEqual(len(runs), ORDERS, output)
+        self.assertEqual(len(runs), DISPATCHES, output)
 
-    def test_a_missed_outcome_ends_with_one(self) -> None:
+    def test_a_missed_outcome_exits_with_status_one(self) -> None:
         # One gateway is killed before the replay: its callers see cut connections,
         # the stated share of answers is missed, and the command says so.
         self.installation.daemons["gateway-2"].kill()
--- a/tests/test_run_tests.py
+++ b/tests/test_run_tests.py
@@ -15,7 +15,7 @@
 
 
 class FailedTests(unittest.TestCase):
-    def test_a_failed_test_has_the_name_that_the_list_of_known_reds_uses(self) -> None:
+    def test_names_of_failed_tests_match_the_known_red_list(self) -> None:
         # A test on the list fails. Named in another way than there, it would be taken
         # for a new failure, and the run would end with an error.
         names = ("path:test_outcomes", "path:test_start")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -13,7 +13,7 @@
     LongStream,
     Traffic,
     build_fleet,
-    complete,
+    request_completion,
     explain_refusals,
     list_started,
     wait_until,
@@ -37,10 +37,10 @@
             for number in range(STREAMS)
         ]
 
-    def check_whole(self, streams: list[LongStream]) -> None:
+    def check_complete(self, streams: list[LongStream]) -> None:
         for stream in streams:
             stream.join()
-            self.assertEqual((stream.status, stream.whole), (200, True))
+            self.assertEqual((stream.status, stream.is_complete), (200, True))
 
     def count_at(self, target: str, streams: list[LongStream]) -> int:
         log = self.installation.read_target_log(target)
@@ -57,13 +57,13 @@
         gateway = self.installation.daemons["gateway-1"]
         gateway.send(signal.SIGTERM)
         wait_until(
-            lambda: complete(self.urls[0], "late?").status == 503, "late caller refused"
+            lambda: request_completion(self.urls[0], "late?").status == 503, "late caller refused"
         )
-        answer = complete(self.urls[0], "late?")
-        self.assertEqual(answer.error["code"], "stopping")
-        self.assertEqual(answer.error["ran"], "no")
-        self.assertIn("Retry-After", answer.headers)
-        self.check_whole(streams)
+        response = request_completion(self.urls[0], "late?")
+        self.assertEqual(response.error["code"], "stopping")
+        self.assertEqual(response.error["ran"], "no")
+        self.assertIn("Retry-After", response.headers)
+        self.check_complete(streams)
         self.assertEqual(gateway.process.wait(20), 0)
 
     def test_an_agent_finishes_streams_while_new_work_goes_elsewhere(self) -> None:
@@ -73,10 +73,10 @@
             self.assertGreater(self.count_at(EAST, streams), 0)
             agent = self.installation.daemons[f"{EAST}-agent"]
             agent.send(signal.SIGTERM)
-            self.check_whole(streams)
+            self.check_complete(streams)
             self.assertEqual(agent.process.wait(20), 0)
             stopped = time.monotonic()
-            traffic.wait_for_more(10)
+            traffic.wait_for_responses(10)
         self.assertEqual(list_started(self.installation, EAST, stopped), [])
         refusals = explain_refusals(self.installation, traffic)
         self.assertEqual(traffic.statuses, {200}, refusals)
@@ -88,9 +88,9 @@
             self.assertGreater(self.count_at(EAST, streams), 0)
             target = self.installation.daemons[f"{EAST}-target"]
             target.send(signal.SIGTERM)
-            self.check_whole(streams)
+            self.check_complete(streams)
             self.assertEqual(target.process.wait(20), 0)
-            traffic.wait_for_more(10)
+            traffic.wait_for_responses(10)
         refusals = explain_refusals(self.installation, traffic)
         self.assertEqual(traffic.statuses, {200}, refusals)
 
@@ -106,27 +106,27 @@
         build_fleet(self.installation, {EAST: "dc-east"}, gateways, agent)
         return self.installation.gateways["gateway-1"]
 
-    def check_told(self, stream: LongStream) -> None:
+    def check_unknown_outcome(self, stream: LongStream) -> None:
         """The stream says that it is not whole and that the outcome is unknown."""
         stream.join()
-        self.assertFalse(stream.whole)
+        self.assertFalse(stream.is_complete)
         self.assertIn(b'"code":"outcome_unknown"', stream.body)
         self.assertIn(b'"ran":"unknown"', stream.body)
 
-    def check_end(self, name: str, reason: str) -> None:
+    def check_exit(self, name: str, reason: str) -> None:
         """The process ended with 0 and says why it cut requests."""
         daemon = self.installation.daemons[name]
         self.assertEqual(daemon.process.wait(20), 0)
         cut = [line for line in daemon.read_log() if line["event"] == "requests cut"]
         self.assertEqual([line["reason"] for line in cut], [reason])
 
-    def test_an_agent_whose_time_is_over_ends_in_order(self) -> None:
+    def test_an_agent_exits_cleanly_after_its_shutdown_timeout(self) -> None:
         """A stream outlasts the shutdown timeout; its caller learns that it was cut."""
         url = self.build(shutdown_timeout_seconds=0.5)
         stream = LongStream(url, "history", 2000)
         self.installation.daemons[f"{EAST}-agent"].send(signal.SIGTERM)
-        self.check_told(stream)
-        self.check_end(f"{EAST}-agent", "timeout")
+        self.check_unknown_outcome(stream)
+        self.check_exit(f"{EAST}-agent", "timeout")
 
     def test_a_second_signal_ends_an_agent_at_once(self) -> None:
         url = self.build()
@@ -138,8 +138,8 @@
             "agent stopping",
         )
         agent.send(signal.SIGTERM)
-        self.check_told(stream)
-        self.check_end(f"{EAST}-agent", "second-signal")
+        self.check_unknown_outcome(stream)
+        self.check_exit(f"{EAST}-agent", "second-signal")
 
     def test_a_second_signal_ends_a_gateway_at_once(self) -> None:
         """A stream is open at the gateway; its caller learns that it was cut."""
@@ -154,7 +154,7 @@
             "gateway stopping",
         )
         gateway.send(signal.SIGTERM)
-        self.check_told(stream)
-        self.check_end("gateway-1", "second-signal")
+        self.check_unknown_outcome(stream)
+        self.check_exit("gateway-1", "second-signal")
         with self.assertRaises(OSError):
             call(url, "GET", "/v1/status")
--- a/tests/test_thin_path.py
+++ b/tests/test_thin_path.py
@@ -21,18 +21,18 @@
         cls.url = cls.installation.gateways["gateway-1"]
         cls.other_url = cls.installation.gateways["gateway-2"]
 
-    def test_a_streamed_completion_arrives_whole(self) -> None:
+    def test_a_streamed_completion_arrives_complete(self) -> None:
         body = {"model": "pillar-8b", "prompt": PROMPT, "max_tokens": 5, "stream": True}
-        answer = call(self.url, "POST", "/v1/completions", body)
-        self.assertEqual(answer.status, 200)
-        self.assertIn(b"visit-49.4", answer.body)
-        self.assertTrue(answer.body.endswith(b"data: [DONE]\n\n"))
+        response = call(self.url, "POST", "/v1/completions", body)
+        self.assertEqual(response.status, 200)
+        self.assertIn(b"visit-49.4", response.body)
+        self.assertTrue(response.body.endswith(b"data: [DONE]\n\n"))
 
-    def test_a_whole_completion_arrives(self) -> None:
+    def test_a_completion_without_streaming_arrives(self) -> None:
         body = {"model": "pillar-8b", "prompt": PROMPT, "max_tokens": 5}
-        answer = call(self.url, "POST", "/v1/completions", body)
-        self.assertEqual(answer.status, 200)
-        self.assertIn(b"visit-49.4", answer.body)
+        response = call(self.url, "POST", "/v1/completions", body)
+        self.assertEqual(response.status, 200)
+        self.assertIn(b"visit-49.4", response.body)
 
     def test_a_dispatch_repeated_at_another_gateway_runs_once(self) -> None:
         first = dispatch_van(self.url, "once")
@@ -43,16 +43,16 @@
         log = self.installation.read_target_log(VANS)
         self.assertEqual(sum("A46-117" in entry["body"] for entry in log), 1)
 
-    def test_a_key_used_for_another_order_is_refused(self) -> None:
+    def test_a_key_used_for_another_dispatch_is_refused(self) -> None:
         dispatch_van(self.url, "reused", "M6-1")
-        answer = dispatch_van(self.url, "reused", "M6-2")
-        self.assertEqual(answer.status, 422)
-        self.assertEqual(answer.error["code"], "idempotency_key_reused")
+        response = dispatch_van(self.url, "reused", "M6-2")
+        self.assertEqual(response.status, 422)
+        self.assertEqual(response.error["code"], "idempotency_key_reused")
 
     def test_an_unknown_api_key_is_refused(self) -> None:
-        answer = call(self.url, "GET", "/services/dispatch/boxes/7", key="wrong")
-        self.assertEqual(answer.status, 401)
-        self.assertEqual(answer.error["ran"], "no")
+        response = call(self.url, "GET", "/services/dispatch/boxes/7", key="wrong")
+        self.assertEqual(response.status, 401)
+        self.assertEqual(response.error["ran"], "no")
 
     def test_no_daemon_holds_io_uring_shared_memory_or_children(self) -> None:
         # uvloop opens an io_uring instance unless told otherwise; the brief forbids it.
@@ -69,7 +69,7 @@
             with open(f"/proc/{pid}/task/{pid}/children") as children:
                 self.assertEqual(children.read(), "", name)
 
-    def test_the_engine_saw_each_request_once(self) -> None:
+    def test_the_engine_receives_each_request_once(self) -> None:
         log = self.installation.read_target_log(DESK)
         ids = [entry["request_id"] for entry in log]
         self.assertEqual(len(ids), len(set(ids)))
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -14,8 +14,8 @@
 import trustme
 from processes import Installation
 
-from .builders import DESK, FOSSE_KEY, Answer, publish_examples
-from .raw_calls import PATIENCE_SECONDS, exchange, make_head
+from .builders import DESK, FOSSE_KEY, Response, publish_examples
+from .raw_calls import WAIT_TIMEOUT_SECONDS, exchange, make_head
 from .tls_files import AGENT_NAME, GATEWAY_NAME, HOST, TlsFiles, without_authority
 
 ORDER = {"model": "pillar-8b", "prompt": "is the box live?", "max_tokens": 2}
@@ -39,7 +39,7 @@
         publish_examples(cls.installation)
         cls.installation.wait_until_ready()
 
-    def ask(self, gateway: str, authority: trustme.CA | None = None) -> Answer:
+    def send_completion(self, gateway: str, authority: trustme.CA | None = None) -> Response:
         context = ssl.create_default_context()
         (authority or self.files.authority).configure_trust(context)
         address = urlsplit(self.installation.gateways[gateway])
@@ -50,7 +50,7 @@
         try:
             connection.request("POST", "/v1/completions", json.dumps(ORDER), headers)
             response = connection.getresponse()
-            return Answer(response.status, dict(response.headers), response.read())
+            return Response(response.status, dict(response.headers), response.read())
         finally:
             connection.close()
 
@@ -58,7 +58,7 @@
         return len(self.installation.read_target_log(DESK))
 
     def test_a_completion_runs_over_tls_on_both_sides(self) -> None:
-        self.assertEqual(self.ask("good").status, 200)
+        self.assertEqual(self.send_completion("good").status, 200)
 
     def test_an_operator_reaches_nodes_with_a_certificate_only(self) -> None:
         section = self.files.issue("operator", "operator.bamboopier")
@@ -81,10 +81,10 @@
     def test_a_caller_that_does_not_trust_the_gateway_sends_nothing(self) -> None:
         before = self.count_runs()
         with self.assertRaises(ssl.SSLCertVerificationError):
-            self.ask("good", authority=trustme.CA())
+            self.send_completion("good", authority=trustme.CA())
         self.assertEqual(self.count_runs(), before)
 
-    def test_a_gateway_that_agents_do_not_accept_says_not_run(self) -> None:
+    def test_a_gateway_rejected_by_agents_reports_not_run(self) -> None:
         # The gateway reaches the agent, which turns it away in the handshake or, when
         # only the name is wrong, with the first call. Nothing gets to the target, and
         # the caller may send its request again elsewhere.
@@ -104,8 +104,8 @@
                 self.installation.start_gateway(name, "dc-east")
                 self.installation.wait_until_ready()
                 before = self.count_runs()
-                answer = self.ask(name)
-                self.assertEqual(answer.error["ran"], "no", answer.body)
+                response = self.send_completion(name)
+                self.assertEqual(response.error["ran"], "no", response.body)
                 self.assertEqual(self.count_runs(), before)
 
     def test_a_replaced_certificate_is_used_without_a_restart(self) -> None:
@@ -116,18 +116,18 @@
         self.files.issue("gateway", GATEWAY_NAME, HOST)
         wanted = ssl.PEM_cert_to_DER_cert(path.read_text())
         self.assertNotEqual(before, wanted)
-        limit = time.monotonic() + PATIENCE_SECONDS
+        deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
         while self.read_served_certificate() != wanted:
-            self.assertLess(time.monotonic(), limit, "never replaced")
+            self.assertLess(time.monotonic(), deadline, "never replaced")
             time.sleep(0.2)
-        self.assertEqual(self.ask("good").status, 200)
+        self.assertEqual(self.send_completion("good").status, 200)
 
     def read_served_certificate(self) -> bytes:
         address = urlsplit(self.installation.gateways["good"])
         place = (address.hostname or "", address.port or 0)
         return ssl.PEM_cert_to_DER_cert(ssl.get_server_certificate(place))
 
-    def test_an_agent_that_a_gateway_does_not_accept_gets_no_request(self) -> None:
+    def test_an_agent_rejected_by_the_gateway_gets_no_request(self) -> None:
         # Something else answers at the agent's address: with a certificate of another
         # authority, of another machine, or one that has expired.
         foreign = trustme.CA()
@@ -143,8 +143,8 @@
             with self.subTest(name):
                 self.restart_agent(section)
                 before = self.count_runs()
-                answer = self.ask("good")
-                self.assertEqual(answer.error["ran"], "no", answer.body)
+                response = self.send_completion("good")
+                self.assertEqual(response.error["ran"], "no", response.body)
                 self.assertEqual(self.count_runs(), before)
 
     def restart_agent(self, section: dict[str, str]) -> None:
@@ -159,7 +159,7 @@
         self.installation.wait_until_ready()
 
     def wait_until_served(self, gateway: str) -> None:
-        limit = time.monotonic() + PATIENCE_SECONDS
-        while self.ask(gateway).status != 200:
-            self.assertLess(time.monotonic(), limit, "never served again")
+        deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
+        while self.send_completion(gateway).status != 200:
+            self.assertLess(time.monotonic(), deadline, "never served again")
             time.sleep(0.1)
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -28,7 +28,7 @@
     from collections.abc import Iterable
 
 ENGINES = {f"desk-{n}": ("dc-east", "dc-west")[n % 2] for n in range(1, 5)}
-LOADS_AT_ONCE = 2
+MAX_CONCURRENT_LOADS = 2
 
 
 class WeightsTests(unittest.TestCase):
@@ -38,10 +38,10 @@
         build_fleet(self.installation, ENGINES, gateways, load_seconds=0.6)
         self.urls = list(self.installation.gateways.values())
 
-    def roll_out(self, version: str) -> None:
+    def publish_version(self, version: str) -> None:
         publish(self.installation, write_configuration(self.installation, version))
 
-    def is_everywhere(self, version: str) -> bool:
+    def is_loaded_everywhere(self, version: str) -> bool:
         return all(
             json.loads(fetch(f"{url}/state"))["version"] == version
             for url in self.installation.targets.values()
@@ -51,7 +51,7 @@
         logs = [self.installation.read_target_log(name) for name in ENGINES]
         return [entry for log in logs for entry in log if "order" in entry]
 
-    def check_answers(self, traffic: Traffic, versions: Iterable[str]) -> None:
+    def check_responses(self, traffic: Traffic, versions: Iterable[str]) -> None:
         """Each answer was made by the version that it names, one that was in use."""
         refusals = explain_refusals(self.installation, traffic)
         self.assertEqual(traffic.statuses, {200}, refusals)
@@ -61,9 +61,9 @@
             for entry in self.installation.read_target_log(name)
             if "request_id" in entry
         }
-        for answer in traffic.answers:
-            named = answer.headers["X-Weight-Version"]
-            self.assertEqual(named, made_by[answer.headers["X-Request-Id"]])
+        for response in traffic.responses:
+            named = response.headers["X-Weight-Version"]
+            self.assertEqual(named, made_by[response.headers["X-Request-Id"]])
             self.assertIn(named, versions)
 
     def test_a_version_rolls_out_under_traffic(self) -> None:
@@ -81,26 +81,26 @@
                 LongStream(url, f"history {number}", 400)
                 for number, url in enumerate(self.urls * 2)
             ]
-            self.roll_out("v2")
-            wait_until(lambda: self.is_everywhere("v2"), "v2 everywhere")
-            answered = len(traffic.answers)
+            self.publish_version("v2")
+            wait_until(lambda: self.is_loaded_everywhere("v2"), "v2 everywhere")
+            answered = len(traffic.responses)
             wait_until(
                 lambda: (
-                    {a.headers["X-Weight-Version"] for a in traffic.answers[-8:]}
+                    {a.headers["X-Weight-Version"] for a in traffic.responses[-8:]}
                     == {"v2"}
                 ),
                 "v2 for all requests",
             )
-            self.assertGreaterEqual(len(traffic.answers), answered)
+            self.assertGreaterEqual(len(traffic.responses), answered)
             for stream in streams:
                 stream.join()
-        self.check_answers(traffic, {"v1", "v2"})
+        self.check_responses(traffic, {"v1", "v2"})
         for stream in streams:
-            self.assertTrue(stream.whole)
+            self.assertTrue(stream.is_complete)
             self.assertEqual(stream.headers["X-Weight-Version"], "v1")
         loads = self.list_loads()
         self.assertEqual(len(loads), len(ENGINES) + 1)
-        self.assertLessEqual(count_at_once(loads), LOADS_AT_ONCE)
+        self.assertLessEqual(count_max_concurrent(loads), MAX_CONCURRENT_LOADS)
 
     def test_an_agent_refuses_a_request_for_another_version(self) -> None:
         """A gateway that knows less asks for a version that the engine does not have.
@@ -134,7 +134,7 @@
         """
         installation = self.installation
         send("POST", f"{installation.targets['desk-1']}/options", {"load_seconds": 3.0})
-        self.roll_out("v2")
+        self.publish_version("v2")
         wait_until(
             lambda: any("order" in e for e in installation.read_target_log("desk-1")),
             "order at desk-1",
@@ -145,18 +145,18 @@
         )
         installation.start_daemon("desk-1-agent", "agent", settings)
         with Traffic(self.urls) as traffic:
-            wait_until(lambda: self.is_everywhere("v2"), "v2 everywhere")
-        self.assertLessEqual(count_at_once(self.list_loads()), LOADS_AT_ONCE)
+            wait_until(lambda: self.is_loaded_everywhere("v2"), "v2 everywhere")
+        self.assertLessEqual(count_max_concurrent(self.list_loads()), MAX_CONCURRENT_LOADS)
         refusals = explain_refusals(self.installation, traffic)
         self.assertEqual(traffic.statuses, {200}, refusals)
 
-    def test_a_paused_agent_that_wakes_does_not_put_the_old_version_back(self) -> None:
+    def test_a_resumed_agent_does_not_reload_the_old_version(self) -> None:
         """An agent sleeps through two publishes and wakes; its engine ends on v3."""
         agent = self.installation.daemons["desk-1-agent"]
         agent.send(signal.SIGSTOP)
         try:
-            self.roll_out("v2")
-            self.roll_out("v3")
+            self.publish_version("v2")
+            self.publish_version("v3")
             others = [name for name in ENGINES if name != "desk-1"]
             wait_until(
                 lambda: all(
@@ -170,18 +170,18 @@
             )
         finally:
             agent.send(signal.SIGCONT)
-        wait_until(lambda: self.is_everywhere("v3"), "v3 everywhere")
+        wait_until(lambda: self.is_loaded_everywhere("v3"), "v3 everywhere")
         nodes = read_status(self.installation)["nodes"]
         versions = {n["weight_version"] for n in nodes if n["role"] == "target"}
         self.assertEqual(versions, {"v3"})
 
 
-def count_at_once(loads: list[dict[str, Any]]) -> int:
+def count_max_concurrent(loads: list[dict[str, Any]]) -> int:
     """Return the most loads that ran at one moment, by the engines' time stamps."""
     changes = [(load["started"], 1) for load in loads]
     changes += [(load.get("ended", float("inf")), -1) for load in loads]
-    running = most = 0
+    running = peak = 0
     for _, change in sorted(changes):
         running += change
-        most = max(most, running)
-    return most
+        peak = max(peak, running)
+    return peak
--- a/tools/safeguards/configuration.py
+++ b/tools/safeguards/configuration.py
@@ -132,7 +132,7 @@
         "        known: list[str] = []\n",
         ".",
         "tests.test_drain.DrainTests."
-        "test_the_agent_refuses_what_an_unaware_gateway_sends",
+        "test_the_agent_refuses_requests_of_a_gateway_with_stale_configuration",
     ),
     Mutation(
         "a fresh gateway learns the VM list from a peer",
@@ -152,6 +152,6 @@
         "s.generation < generation]\n",
         ".",
         "tests.test_configuration.ConfigurationTests."
-        "test_a_node_that_cannot_be_reached_fails_the_wait",
+        "test_an_unreachable_node_fails_publish_wait",
     ),
 )
--- a/tools/safeguards/places.py
+++ b/tools/safeguards/places.py
@@ -33,7 +33,7 @@
         "        self._drained = False\n",
         ".",
         "tests.test_drain.DrainTests."
-        "test_the_agent_refuses_what_an_unaware_gateway_sends",
+        "test_the_agent_refuses_requests_of_a_gateway_with_stale_configuration",
     ),
     Mutation(
         "the agent of a leaving target refuses by itself",
@@ -43,7 +43,7 @@
         "            self._leaving = False\n",
         ".",
         "tests.test_drain.DrainTests."
-        "test_a_leaving_target_finishes_and_vanishes_without_a_cut",
+        "test_a_removed_target_completes_its_streams",
     ),
     Mutation(
         "a vanished target keeps its streams",
@@ -52,7 +52,7 @@
         "close(None)",
         ".",
         "tests.test_drain.DrainTests."
-        "test_a_leaving_target_finishes_and_vanishes_without_a_cut",
+        "test_a_removed_target_completes_its_streams",
     ),
     Mutation(
         "drains by several operators compose",
@@ -70,7 +70,7 @@
         "",
         ".",
         "tests.test_drain.DrainTests."
-        "test_a_data_centre_out_and_back_while_the_platform_is_slow",
+        "test_a_data_centre_is_drained_and_restored_while_the_platform_is_slow",
     ),
     Mutation(
         "a stopping agent waits for its streams",
@@ -114,6 +114,6 @@
         "                {work, second}, timeout=None,",
         ".",
         "tests.test_shutdown.ForcedTests."
-        "test_an_agent_whose_time_is_over_ends_in_order",
+        "test_an_agent_exits_cleanly_after_its_shutdown_timeout",
     ),
 )
