--- a/tests/dispatch_harness.py
+++ b/tests/dispatch_harness.py
@@ -18,7 +18,7 @@
 from bamboopier_agent.claims import hash_key
 
 from .builders import FOSSE_KEY, Response, publish_examples
-from .relay import Relay, FaultTrigger
+from .relay import FaultTrigger, Relay
 
 if TYPE_CHECKING:
     from types import TracebackType
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -120,7 +120,9 @@
         with suppress(OSError):
             while True:
                 client, _ = listener.accept()
-                worker = threading.Thread(target=self._serve, args=(client,), daemon=True)
+                worker = threading.Thread(
+                    target=self._serve, args=(client,), daemon=True
+                )
                 worker.start()
 
     def _serve(self, client: socket.socket) -> None:
@@ -138,7 +140,9 @@
             return
         self._open.add(server)
         connection = _Connection(self, client, server)
-        response_thread = threading.Thread(target=connection.pass_responses, daemon=True)
+        response_thread = threading.Thread(
+            target=connection.pass_responses, daemon=True
+        )
         response_thread.start()
         connection.pass_requests()
         response_thread.join()
@@ -150,7 +154,9 @@
 class _Connection:
     """One relayed connection; a thread for each direction."""
 
-    def __init__(self, relay: Relay, client: socket.socket, server: socket.socket) -> None:
+    def __init__(
+        self, relay: Relay, client: socket.socket, server: socket.socket
+    ) -> None:
         self._relay = relay
         self._client = client
         self._server = server
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -85,7 +85,9 @@
         for cell, dispatch, responses in sent:
             violation = find_violation(cell, responses, harness.count_runs(dispatch))
             if violation:
-                results.failed.append(f"{cell.name}: {violation}: {describe(responses)}")
+                results.failed.append(
+                    f"{cell.name}: {violation}: {describe(responses)}"
+                )
             else:
                 results.passed.append(cell.name)
     return results
@@ -113,13 +115,17 @@
     """Return what was wrong with a cell, or nothing."""
     if runs > 1:
         return f"ran {runs} times"
-    completed = [response for response in responses if response and response.status == 201]
+    completed = [
+        response for response in responses if response and response.status == 201
+    ]
     if completed and runs == 0:
         return "answered without a run"
     if any(json.loads(response.body)["path"] != "/vans" for response in completed):
         return "answer of another request"
     final = responses[-1]
-    earlier = [response for response in responses[:-1] if not _reports_not_run(response)]
+    earlier = [
+        response for response in responses[:-1] if not _reports_not_run(response)
+    ]
     if runs and not earlier and (final is None or "X-Replayed" in final.headers):
         return "ran although every send was told that it had not"
     if final is None:
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -107,7 +107,14 @@
     "/%2576ans",
     "/vans%zz",
 ]
-EQUIVALENT_PATHS = ["/vans", "/vans/", "/VANS", "/%76ans", "/Vans/now", "/vans?a=/boxes"]
+EQUIVALENT_PATHS = [
+    "/vans",
+    "/vans/",
+    "/VANS",
+    "/%76ans",
+    "/Vans/now",
+    "/vans?a=/boxes",
+]
 
 
 class CallerTests(unittest.TestCase):
@@ -170,7 +177,9 @@
         self.assertIn(MODEL.encode(), first)
         self.assertEqual(read_response(second)[1]["code"], "bad_request")
         order = make_head("DELETE", "/services/dispatch/vans/piped")
-        status, error = read_response(exchange(self.url, order + b"\x00garbage\r\n\r\n"))
+        status, error = read_response(
+            exchange(self.url, order + b"\x00garbage\r\n\r\n")
+        )
         self.assertEqual((status, error["ran"]), (400, "no"))
         self.assertNotIn("piped", str(self.installation.read_target_log(VANS)))
 
@@ -188,7 +197,9 @@
     def test_slow_request_headers_close_the_connection(self) -> None:
         # A caller opens a connection, sends half a header and keeps it open: without a
         # limit a few such callers would hold every connection the gateway has.
-        self.assertEqual(exchange(self.short_timeouts_url, b"GET / HTTP/1.1\r\nHost: "), b"")
+        self.assertEqual(
+            exchange(self.short_timeouts_url, b"GET / HTTP/1.1\r\nHost: "), b""
+        )
 
     def test_a_slow_request_body_is_refused(self) -> None:
         head = make_head("POST", "/services/dispatch/vans", "Content-Length: 100")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -42,7 +42,13 @@
                 self.assertEqual(done.stderr.count("\n"), 1, done.stderr)
 
     def test_help_needs_no_pager_and_goes_to_standard_output(self) -> None:
-        for arguments in (["--help"], ["help"], [], ["check", "--help"], ["gateway", "-h"]):
+        for arguments in (
+            ["--help"],
+            ["help"],
+            [],
+            ["check", "--help"],
+            ["gateway", "-h"],
+        ):
             with self.subTest(arguments):
                 done = self.run_command(*arguments)
                 self.assertEqual((done.returncode, done.stderr), (0, ""))
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -12,10 +12,10 @@
 
 from .fleet_builders import (
     build_fleet,
-    request_completion,
     publish,
     read_generation,
     read_status,
+    request_completion,
     run_platform_command,
     wait_until,
     write_configuration,
@@ -62,7 +62,9 @@
             self.assertIn("another publisher came first", loser.stderr)
         generations = sorted(int(d.stdout.split()[-1]) for d in succeeded)
         self.assertEqual(generations, list(range(2, 2 + len(succeeded))))
-        self.assertEqual(read_status(self.installation)["generation"], 1 + len(succeeded))
+        self.assertEqual(
+            read_status(self.installation)["generation"], 1 + len(succeeded)
+        )
 
     def test_a_gateway_started_in_an_outage_serves(self) -> None:
         """The platform is down; a VM is replaced and its gateway knows one agent.
@@ -75,7 +77,9 @@
             "gateway-3", "dc-east", peers=[agent["address"]]
         )
         self.installation.wait_until_ready()
-        response = request_completion(self.installation.gateways["gateway-3"], "is the box live?")
+        response = request_completion(
+            self.installation.gateways["gateway-3"], "is the box live?"
+        )
         self.assertEqual(response.status, 200)
 
     def test_no_node_reverts_when_a_replica_returns_stale_data(self) -> None:
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -15,11 +15,11 @@
     LongStream,
     Traffic,
     build_fleet,
-    request_completion,
     explain_refusals,
     list_started,
     read_generation,
     read_status,
+    request_completion,
     run_platform_command,
     wait_until,
 )
@@ -48,7 +48,9 @@
                 vm["state"] = state
         self.installation.put_vms()
 
-    def test_a_data_centre_is_drained_and_restored_while_the_platform_is_slow(self) -> None:
+    def test_a_data_centre_is_drained_and_restored_while_the_platform_is_slow(
+        self,
+    ) -> None:
         """Operators pull a data centre at 1 s a platform call; streams run on there.
 
         Nothing new starts there once the command says that the drain is in force, the
@@ -62,13 +64,17 @@
                 for number, url in enumerate(self.urls * 3)
             ]
             installation.set_faults({"delay": 1.0})
-            run_platform_command(installation, "drain", "data-centre", "dc-east", "--wait")
+            run_platform_command(
+                installation, "drain", "data-centre", "dc-east", "--wait"
+            )
             in_force = time.monotonic()
             traffic.wait_for_responses(20)
             self.assertEqual(list_started(installation, EAST, in_force), [])
             self.assertFalse(self.is_ready("gateway-east"))
             self.assertTrue(self.is_ready("gateway-west"))
-            run_platform_command(installation, "restore", "data-centre", "dc-east", "--wait")
+            run_platform_command(
+                installation, "restore", "data-centre", "dc-east", "--wait"
+            )
             installation.set_faults({})
             wait_until(
                 lambda: bool(list_started(installation, EAST, in_force)),
@@ -81,7 +87,9 @@
         refusals = explain_refusals(self.installation, traffic)
         self.assertEqual(traffic.statuses, {200}, refusals)
 
-    def test_the_agent_refuses_requests_of_a_gateway_with_stale_configuration(self) -> None:
+    def test_the_agent_refuses_requests_of_a_gateway_with_stale_configuration(
+        self,
+    ) -> None:
         """A gateway is paused while a target is drained, then the platform goes down.
 
         Awake again, the gateway still takes the target for usable. The target's agent
@@ -135,7 +143,12 @@
         installation = self.installation
         places = [("target", EAST), ("target", WEST), ("data-centre", "dc-west")]
         with ThreadPoolExecutor(3) as pool:
-            list(pool.map(lambda place: run_platform_command(installation, "drain", *place), places))
+            list(
+                pool.map(
+                    lambda place: run_platform_command(installation, "drain", *place),
+                    places,
+                )
+            )
         status = read_status(installation)
         self.assertEqual(status["generation"], 4)
         self.assertEqual(status["drained_targets"], [EAST, WEST])
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -87,7 +87,9 @@
         # again at the other gateway, first while it runs, then when it is done.
         dispatch = Dispatch("left-behind", "left-behind")
         self.harness.warm_up()
-        self.harness.arm_fault(Cell(TARGET, Step.ANSWER_SENT, Fault.LEAVE_AND_FREEZE), dispatch)
+        self.harness.arm_fault(
+            Cell(TARGET, Step.ANSWER_SENT, Fault.LEAVE_AND_FREEZE), dispatch
+        )
         self.assertIsNone(self.harness.send("gateway-1", dispatch))
         running = self.harness.send("gateway-2", dispatch)
         assert running is not None
@@ -95,7 +97,9 @@
         self.harness.restore()
         response = self.harness.send_with_retries("gateway-2", dispatch)
         assert response is not None
-        self.assertEqual((response.status, response.headers["X-Replayed"]), (201, "true"))
+        self.assertEqual(
+            (response.status, response.headers["X-Replayed"]), (201, "true")
+        )
         self.assertIn(dispatch.pillar, json.loads(response.body)["body"])
         self.assertEqual(self.harness.count_runs(dispatch), 1)
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -13,9 +13,9 @@
     LongStream,
     Traffic,
     build_fleet,
-    request_completion,
     explain_refusals,
     list_started,
+    request_completion,
     wait_until,
 )
 
@@ -57,7 +57,8 @@
         gateway = self.installation.daemons["gateway-1"]
         gateway.send(signal.SIGTERM)
         wait_until(
-            lambda: request_completion(self.urls[0], "late?").status == 503, "late caller refused"
+            lambda: request_completion(self.urls[0], "late?").status == 503,
+            "late caller refused",
         )
         response = request_completion(self.urls[0], "late?")
         self.assertEqual(response.error["code"], "stopping")
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -39,7 +39,9 @@
         publish_examples(cls.installation)
         cls.installation.wait_until_ready()
 
-    def send_completion(self, gateway: str, authority: trustme.CA | None = None) -> Response:
+    def send_completion(
+        self, gateway: str, authority: trustme.CA | None = None
+    ) -> Response:
         context = ssl.create_default_context()
         (authority or self.files.authority).configure_trust(context)
         address = urlsplit(self.installation.gateways[gateway])
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -146,7 +146,9 @@
         installation.start_daemon("desk-1-agent", "agent", settings)
         with Traffic(self.urls) as traffic:
             wait_until(lambda: self.is_loaded_everywhere("v2"), "v2 everywhere")
-        self.assertLessEqual(count_max_concurrent(self.list_loads()), MAX_CONCURRENT_LOADS)
+        self.assertLessEqual(
+            count_max_concurrent(self.list_loads()), MAX_CONCURRENT_LOADS
+        )
         refusals = explain_refusals(self.installation, traffic)
         self.assertEqual(traffic.statuses, {200}, refusals)
 
--- a/tools/safeguards/places.py
+++ b/tools/safeguards/places.py
@@ -42,8 +42,7 @@
         "bool(self._leaving_vms.update(time.monotonic(), listed))\n",
         "            self._leaving = False\n",
         ".",
-        "tests.test_drain.DrainTests."
-        "test_a_removed_target_completes_its_streams",
+        "tests.test_drain.DrainTests.test_a_removed_target_completes_its_streams",
     ),
     Mutation(
         "open streams of a removed target continue",
@@ -51,8 +50,7 @@
         "close(CLOSE_GRACE_SECONDS)",
         "close(None)",
         ".",
-        "tests.test_drain.DrainTests."
-        "test_a_removed_target_completes_its_streams",
+        "tests.test_drain.DrainTests.test_a_removed_target_completes_its_streams",
     ),
     Mutation(
         "a drain that conflicts with another operator's is retried",
