--- a/libraries/decisions/tests/test_load.py
+++ b/libraries/decisions/tests/test_load.py
@@ -12,23 +12,23 @@
 from typing import TYPE_CHECKING
 
 from bench_load.orders import Behaviour, Order
-from bench_load.outcome import Outcome, judge
+from bench_load.outcome import Outcome, evaluate
 from bench_load.scenarios import (
     CAPACITY,
     WORKSPACES,
     Mix,
-    OrderMaker,
+    OrderGenerator,
     Scenario,
     make_burst,
     make_cold_fleet,
     make_data_centre,
-    make_hot_caller,
+    make_heavy_hitter,
     make_hot_prefix,
     make_long_among_short,
     make_overload,
     make_slow_target,
 )
-from bench_load.table import LEAST_LOADED, OURS, ROUND_ROBIN, simulate
+from bench_load.table import LEAST_LOADED, BAMBOOPIER, ROUND_ROBIN, simulate
 
 if TYPE_CHECKING:
     from bench_load.simulation import Simulation
@@ -38,7 +38,7 @@
 
 
 def run(scenario: Scenario, seed: int = 1) -> Outcome:
-    return judge(simulate(OURS, scenario, seed), scenario, scenario.wanted)
+    return evaluate(simulate(BAMBOOPIER, scenario, seed), scenario, scenario.is_measured)
 
 
 @cache
@@ -88,7 +88,7 @@
         per_second = run(scenario).per_second
         for policy in (ROUND_ROBIN, LEAST_LOADED):
             scenario = make_overload(2.0, TARGETS, OBEDIENT, 35.0)
-            baseline = judge(simulate(policy, scenario), scenario).per_second
+            baseline = evaluate(simulate(policy, scenario), scenario).per_second
             self.assertGreater(per_second, 1.2 * baseline, policy.name)
 
     def test_burst_is_served_within_caller_timeouts(self) -> None:
@@ -108,9 +108,9 @@
         seeds = (1, 2, 3)
         for behaviour in (OBEDIENT, EAGER):
             seconds = 40.0 if behaviour is OBEDIENT else 25.0
-            alone = [run(make_hot_caller(9, False, seconds=seconds), s) for s in seeds]
+            alone = [run(make_heavy_hitter(9, False, seconds=seconds), s) for s in seeds]
             beside = [
-                run(make_hot_caller(9, True, behaviour, seconds), s)
+                run(make_heavy_hitter(9, True, behaviour, seconds), s)
                 for s in (seeds if behaviour is OBEDIENT else seeds[:1])
             ]
             usual = sum(o.first_p95 for o in alone) / len(alone)
@@ -121,9 +121,9 @@
                     self.assertGreater(outcome.in_time, 0.99 * outcome.orders)
 
     def test_lone_heavy_hitter_gets_the_whole_fleet(self) -> None:
-        maker = OrderMaker(21)
-        maker.add(2 * CAPACITY * TARGETS, 0.0, 35.0, workspace="hot")
-        scenario = Scenario("alone", maker.orders, TARGETS, 15.0, 35.0)
+        generator = OrderGenerator(21)
+        generator.add(2 * CAPACITY * TARGETS, 0.0, 35.0, workspace="hot")
+        scenario = Scenario("alone", generator.orders, TARGETS, 15.0, 35.0)
         outcome = run(scenario)
         self.assertGreaterEqual(outcome.per_second, 0.9 * run_at_capacity().per_second)
 
@@ -132,8 +132,8 @@
     def test_a_hot_prefix_is_spread_and_seldom_recomputed(self) -> None:
         """Guards against a hot prefix overloading its owner or prefilled everywhere."""
         scenario = make_hot_prefix(9)
-        simulation = simulate(OURS, scenario)
-        outcome = judge(simulation, scenario)
+        simulation = simulate(BAMBOOPIER, scenario)
+        outcome = evaluate(simulation, scenario)
         self.assertEqual(outcome.in_time, outcome.orders)
         self.assertLess(outcome.first_p95, 0.4)
         # Requests that arrive before the first prefill ends compute the prefix again.
@@ -152,11 +152,11 @@
         half of its ninth.
         """
         scenario = make_slow_target(9)
-        simulation = simulate(OURS, scenario)
-        judged = [o for o in scenario.orders if 20.0 <= o.arrival <= 45.0]
-        share = sum("t0" in o.targets for o in judged) / len(judged)
+        simulation = simulate(BAMBOOPIER, scenario)
+        measured = [o for o in scenario.orders if 20.0 <= o.arrival <= 45.0]
+        share = sum("t0" in o.targets for o in measured) / len(measured)
         self.assertLess(share, 0.5 / 9)
-        outcome = judge(simulation, scenario)
+        outcome = evaluate(simulation, scenario)
         self.assertGreater(outcome.in_time, 0.985 * outcome.orders)
 
     def test_short_requests_are_not_stuck_behind_long_ones(self) -> None:
@@ -174,8 +174,8 @@
     def test_cold_fleet_warms_up_without_crashes(self) -> None:
         """Guards against a cold fleet that crashes repeatedly under its full load."""
         scenario = make_cold_fleet(TARGETS)
-        simulation = simulate(OURS, scenario)
-        self.assertEqual(judge(simulation, scenario).falls, 0)
+        simulation = simulate(BAMBOOPIER, scenario)
+        self.assertEqual(evaluate(simulation, scenario).falls, 0)
         late = [o for o in scenario.orders if o.arrival > 45.0]
         in_time = sum(order.in_time for order in late)
         self.assertGreater(in_time, 0.95 * len(late))
@@ -197,9 +197,9 @@
         scenario.prepare = lambda simulation: simulation.clock.call_at(
             6.0, lambda: restart_all(simulation)
         )
-        simulation = simulate(OURS, scenario)
+        simulation = simulate(BAMBOOPIER, scenario)
         self.assertEqual(limits, [2] * TARGETS)
-        self.assertEqual(judge(simulation, scenario).falls, 0)
+        self.assertEqual(evaluate(simulation, scenario).falls, 0)
 
     def test_data_centre_outage_and_return_do_not_affect_callers(self) -> None:
         """Guards against failures when a third of the fleet leaves and returns cold.
@@ -208,8 +208,8 @@
         to others, and no returning target may be overloaded.
         """
         scenario = make_data_centre(9)
-        simulation = simulate(OURS, scenario)
-        outcome = judge(simulation, scenario)
+        simulation = simulate(BAMBOOPIER, scenario)
+        outcome = evaluate(simulation, scenario)
         self.assertGreater(outcome.in_time, 0.985 * outcome.orders)
         self.assertEqual(outcome.falls, 0)
         removed = {"t0", "t1", "t2"}
@@ -230,13 +230,13 @@
 
         Together they exceed the capacity; the urgent tenth must hardly wait.
         """
-        maker = OrderMaker(22)
-        mix = Mix(patience=20.0)
-        maker.add(1.5 * CAPACITY * TARGETS, 0.0, 35.0, mix, workspace="w")
-        for order in maker.orders[::10]:
+        generator = OrderGenerator(22)
+        mix = Mix(timeout_seconds=20.0)
+        generator.add(1.5 * CAPACITY * TARGETS, 0.0, 35.0, mix, workspace="w")
+        for order in generator.orders[::10]:
             order.priority = -1
-        scenario = Scenario("priority", maker.orders, TARGETS, 15.0, 35.0)
-        simulation = simulate(OURS, scenario)
-        urgent = judge(simulation, scenario, lambda o: o.priority < 0)
-        others = judge(simulation, scenario, lambda o: o.priority == 0)
+        scenario = Scenario("priority", generator.orders, TARGETS, 15.0, 35.0)
+        simulation = simulate(BAMBOOPIER, scenario)
+        urgent = evaluate(simulation, scenario, lambda o: o.priority < 0)
+        others = evaluate(simulation, scenario, lambda o: o.priority == 0)
         self.assertLess(urgent.first_p50, 0.5 * others.first_p50)
--- a/tools/bench_load/cost.py
+++ b/tools/bench_load/cost.py
@@ -35,9 +35,9 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-TARGETS = (12, 730, 2900)
-WORKSPACES = (10, 6300)
-QUEUES = (100, 1000, 10_000)
+TARGET_COUNTS = (12, 730, 2900)
+WORKSPACE_COUNTS = (10, 6300)
+QUEUE_SIZES = (100, 1000, 10_000)
 REQUESTS = 3000
 TICKS = 200
 # The least of so many runs: other work on the machine only adds to a run.
@@ -51,9 +51,9 @@
     """Return the slope of log cost over log size by least squares."""
     x = [math.log(size) for size in sizes]
     y = [math.log(cost) for cost in costs]
-    middle_x, middle_y = sum(x) / len(x), sum(y) / len(y)
-    covariance = sum((a - middle_x) * (b - middle_y) for a, b in zip(x, y, strict=True))
-    return covariance / sum((a - middle_x) ** 2 for a in x)
+    mean_x, mean_y = sum(x) / len(x), sum(y) / len(y)
+    covariance = sum((a - mean_x) * (b - mean_y) for a, b in zip(x, y, strict=True))
+    return covariance / sum((a - mean_x) ** 2 for a in x)
 
 
 def measure_routing(targets: int, workspaces: int) -> tuple[float, float]:
@@ -63,7 +63,7 @@
     views = tuple(TargetView(f"t{n}", "chat", near) for n in range(targets))
     router.handle(FleetChanged(0.0, views))
     load = TargetLoad(running=4, limit=16, prefill_rate=8000.0, start_id="1")
-    choosing = 0.0
+    choice_seconds = 0.0
     started = time.perf_counter()
     for number in range(REQUESTS):
         now = 100 + number / GATEWAY_RATE
@@ -74,7 +74,7 @@
         )
         before = time.perf_counter()
         sent = router.handle(request)
-        choosing += time.perf_counter() - before
+        choice_seconds += time.perf_counter() - before
         if not isinstance(sent, Send):
             raise AssertionError(sent)
         router.handle(TargetReported(now, sent.target, load))
@@ -82,9 +82,9 @@
         router.handle(
             AttemptEnded(now, str(number), sent.target, ExecutionStatus.EXECUTED)
         )
-    whole = time.perf_counter() - started
+    total = time.perf_counter() - started
     scale = MICROSECONDS / REQUESTS
-    return choosing * scale, whole * scale
+    return choice_seconds * scale, total * scale
 
 
 def measure_fleet_change(targets: int) -> float:
@@ -124,46 +124,46 @@
         arrive(waiting + 2 + step, now)
         ended = RequestFinished(now, running.pop(0), False, cancelled=True)
         running.extend(d.request_id for d in admission.handle(ended))
-    each = (time.perf_counter() - started) / REQUESTS * MICROSECONDS
+    per_request = (time.perf_counter() - started) / REQUESTS * MICROSECONDS
     started = time.perf_counter()
     for step in range(TICKS):
         admission.handle(Tick(1.0 + step / 1000))
     tick = (time.perf_counter() - started) / TICKS * MICROSECONDS
-    return each, tick, size
+    return per_request, tick, size
 
 
 def main() -> None:
     """Print the tables with the fitted exponents."""
     print("| targets | workspaces | choice µs | all events µs | fleet change ms |")
     print("|---|---|---|---|---|")
-    for workspaces in WORKSPACES:
+    for workspaces in WORKSPACE_COUNTS:
         choices: list[float] = []
-        wholes: list[float] = []
-        for targets in TARGETS:
+        totals: list[float] = []
+        for targets in TARGET_COUNTS:
             runs = [measure_routing(targets, workspaces) for _ in range(REPEATS)]
             choice = min(run[0] for run in runs)
-            whole = min(run[1] for run in runs)
+            total = min(run[1] for run in runs)
             choices.append(choice)
-            wholes.append(whole)
+            totals.append(total)
             change = min(measure_fleet_change(targets) for _ in range(REPEATS))
-            cells = f"{choice:.1f} | {whole:.1f} | {change:.1f}"
+            cells = f"{choice:.1f} | {total:.1f} | {change:.1f}"
             print(f"| {targets} | {workspaces} | {cells} |")
-        exponents = (fit_exponent(TARGETS, costs) for costs in (choices, wholes))
+        exponents = (fit_exponent(TARGET_COUNTS, costs) for costs in (choices, totals))
         print("exponent in targets: " + ", ".join(f"{e:+.2f}" for e in exponents))
     print("| waiting | workspaces | arrival and end µs | tick µs | bytes a request |")
     print("|---|---|---|---|---|")
-    for workspaces in WORKSPACES:
+    for workspaces in WORKSPACE_COUNTS:
         costs: list[tuple[float, float, float]] = []
-        for waiting in QUEUES:
-            tries = [measure_admission(waiting, workspaces) for _ in range(REPEATS)]
-            each, tick, size = (min(column) for column in zip(*tries, strict=True))
-            costs.append((each, tick, size))
-        for waiting, (each, tick, size) in zip(QUEUES, costs, strict=True):
+        for waiting in QUEUE_SIZES:
+            samples = [measure_admission(waiting, workspaces) for _ in range(REPEATS)]
+            per_request, tick, size = (min(column) for column in zip(*samples, strict=True))
+            costs.append((per_request, tick, size))
+        for waiting, (per_request, tick, size) in zip(QUEUE_SIZES, costs, strict=True):
             print(
-                f"| {waiting} | {workspaces} | {each:.1f} | {tick:.1f} | {size:.0f} |"
+                f"| {waiting} | {workspaces} | {per_request:.1f} | {tick:.1f} | {size:.0f} |"
             )
         exponents = (
-            fit_exponent(QUEUES, [cost[column] for cost in costs]) for column in (0, 1)
+            fit_exponent(QUEUE_SIZES, [cost[column] for cost in costs]) for column in (0, 1)
         )
         print("exponent in waiting: " + ", ".join(f"{e:+.2f}" for e in exponents))
 
--- a/tools/bench_load/engine.py
+++ b/tools/bench_load/engine.py
@@ -22,36 +22,36 @@
     prefill_rate: float = 8000.0
     decode_rate: float = 40.0
     # Streams that decode at full rate; more of them share it.
-    knee: int = 16
+    full_rate_streams: int = 16
     # Streams that fit in memory; with more the engine swaps and slows down.
-    memory: int = 24
+    memory_streams: int = 24
     cached_prefixes: int = 60
     # Speed of a cold engine, the answers until it is warm, and the streams it bears
     # when it has answered none; one more and it falls over.
     cold_speed: float = 0.25
-    cold_answers: int = 24
-    cold_streams: int = 3
+    warmup_responses: int = 24
+    cold_stream_limit: int = 3
     restart_seconds: float = 3.0
 
 
 class _Stream:
-    __slots__ = ("decode", "done", "failed", "first", "new", "order", "prefill")
+    __slots__ = ("decode", "on_done", "on_failed", "on_first_token", "uncached_tokens", "order", "prefill")
 
     def __init__(
         self,
         order: Order,
-        new: int,
-        first: Callable[[int], None],
-        done: Callable[[], None],
-        failed: Callable[[], None],
+        uncached_tokens: int,
+        on_first_token: Callable[[int], None],
+        on_done: Callable[[], None],
+        on_failed: Callable[[], None],
     ) -> None:
         self.order = order
-        self.new = new
-        self.prefill = float(max(1, new))
+        self.uncached_tokens = uncached_tokens
+        self.prefill = float(max(1, uncached_tokens))
         self.decode = float(max(1, order.output_tokens))
-        self.first = first
-        self.done = done
-        self.failed = failed
+        self.on_first_token = on_first_token
+        self.on_done = on_done
+        self.on_failed = on_failed
 
 
 class SimulatedEngine:
@@ -62,24 +62,24 @@
         self.shape = shape
         self.speed = 1.0
         self.starts = 1
-        self.falls = 0
+        self.crashes = 0
         self.up = True
         self.peak = 0
         self.recomputed = 0
         self.on_restart: Callable[[], None] = lambda: None
-        self._answers = 0 if cold else shape.cold_answers
+        self._completed = 0 if cold else shape.warmup_responses
         # What ran when it turned cold it goes on bearing.
-        self._carried = 0
+        self._streams_at_reset = 0
         self._streams: dict[str, _Stream] = {}
         self._cache: OrderedDict[str, int] = OrderedDict()
         self._updated = 0.0
         self._version = 0
 
-    def chill(self) -> None:
+    def reset_warmup(self) -> None:
         """Lose warmth without a restart that anyone could see."""
         self._advance()
-        self._answers = 0
-        self._carried = len(self._streams)
+        self._completed = 0
+        self._streams_at_reset = len(self._streams)
         self._cache.clear()
         self._schedule()
 
@@ -91,42 +91,42 @@
 
     def run(
         self,
-        ask_id: str,
+        attempt_id: str,
         order: Order,
-        first: Callable[[int], None],
-        done: Callable[[], None],
-        failed: Callable[[], None],
+        on_first_token: Callable[[int], None],
+        on_done: Callable[[], None],
+        on_failed: Callable[[], None],
     ) -> None:
         """Add an order to the batch."""
         self._advance()
-        known = self._cache.get(order.prefix, 0)
-        new = order.prompt_tokens - min(known, order.shared_tokens)
-        self.recomputed += min(order.shared_tokens, new)
-        self._streams[ask_id] = _Stream(order, new, first, done, failed)
+        cached_tokens = self._cache.get(order.prefix, 0)
+        uncached_tokens = order.prompt_tokens - min(cached_tokens, order.shared_tokens)
+        self.recomputed += min(order.shared_tokens, uncached_tokens)
+        self._streams[attempt_id] = _Stream(order, uncached_tokens, on_first_token, on_done, on_failed)
         self.peak = max(self.peak, len(self._streams))
-        bearable = max(self.shape.cold_streams + self._answers, self._carried)
-        if self._answers < self.shape.cold_answers and len(self._streams) > bearable:
-            self._fall_over()
+        max_streams = max(self.shape.cold_stream_limit + self._completed, self._streams_at_reset)
+        if self._completed < self.shape.warmup_responses and len(self._streams) > max_streams:
+            self._crash()
             return
         self._schedule()
 
-    def cancel(self, ask_id: str) -> None:
+    def cancel(self, attempt_id: str) -> None:
         """Take an order out of the batch."""
         self._advance()
-        self._streams.pop(ask_id, None)
+        self._streams.pop(attempt_id, None)
         self._schedule()
 
-    def _fall_over(self) -> None:
-        self.falls += 1
+    def _crash(self) -> None:
+        self.crashes += 1
         self.up = False
-        self._answers = 0
-        self._carried = 0
+        self._completed = 0
+        self._streams_at_reset = 0
         self._cache.clear()
-        fallen, self._streams = list(self._streams.values()), {}
+        failed_streams, self._streams = list(self._streams.values()), {}
         self._version += 1
         self._clock.call_later(self.shape.restart_seconds, self._restart)
-        for stream in fallen:
-            stream.failed()
+        for stream in failed_streams:
+            stream.on_failed()
 
     def _restart(self) -> None:
         self.up = True
@@ -136,14 +136,14 @@
 
     def _find_rates(self) -> tuple[float, float]:
         running = max(1, len(self._streams))
-        filling = sum(1 for s in self._streams.values() if s.prefill > EPSILON)
-        cold = self._answers < self.shape.cold_answers
+        prefilling = sum(1 for s in self._streams.values() if s.prefill > EPSILON)
+        cold = self._completed < self.shape.warmup_responses
         speed = self.speed * (self.shape.cold_speed if cold else 1.0)
-        speed *= min(1.0, self.shape.memory / running) ** 2
-        decode = self.shape.decode_rate * speed * min(1.0, self.shape.knee / running)
-        if filling:
+        speed *= min(1.0, self.shape.memory_streams / running) ** 2
+        decode = self.shape.decode_rate * speed * min(1.0, self.shape.full_rate_streams / running)
+        if prefilling:
             decode *= 0.5
-        return self.shape.prefill_rate * speed / max(1, filling), decode
+        return self.shape.prefill_rate * speed / max(1, prefilling), decode
 
     def _advance(self) -> None:
         elapsed = self._clock.now - self._updated
@@ -162,33 +162,33 @@
         if not self._streams:
             return
         prefill, decode = self._find_rates()
-        left = min(
+        remaining = min(
             s.prefill / prefill if s.prefill > EPSILON else s.decode / decode
             for s in self._streams.values()
         )
         version = self._version
-        delay = max(left, 1e-6)
+        delay = max(remaining, 1e-6)
         self._clock.call_later(delay, lambda: self._step(version))
 
     def _step(self, version: int) -> None:
         if version != self._version:
             return
-        filling = [s for s in self._streams.values() if s.prefill > EPSILON]
+        prefilling = [s for s in self._streams.values() if s.prefill > EPSILON]
         self._advance()
-        prefilled = [s for s in filling if s.prefill <= EPSILON]
+        prefilled = [s for s in prefilling if s.prefill <= EPSILON]
         ended = {i: s for i, s in self._streams.items() if s.decode <= EPSILON}
         for stream in prefilled:
-            self._remember(stream.order)
-        for ask_id in ended:
-            del self._streams[ask_id]
-            self._answers += 1
+            self._cache_prefix(stream.order)
+        for attempt_id in ended:
+            del self._streams[attempt_id]
+            self._completed += 1
         self._schedule()
         for stream in prefilled:
-            stream.first(stream.new)
+            stream.on_first_token(stream.uncached_tokens)
         for stream in ended.values():
-            stream.done()
+            stream.on_done()
 
-    def _remember(self, order: Order) -> None:
+    def _cache_prefix(self, order: Order) -> None:
         if not order.prefix:
             return
         self._cache[order.prefix] = order.shared_tokens
--- a/tools/bench_load/orders.py
+++ b/tools/bench_load/orders.py
@@ -31,20 +31,20 @@
     behaviour: Behaviour = Behaviour.OBEDIENT
     idempotent: bool = True
     # What the caller received.
-    asks: int = 0
-    asked: float = 0.0
+    submissions: int = 0
+    sent_at: float = 0.0
     first_token: float = 0.0
     finished: float = 0.0
     # Seconds from each ask to its refusal.
     refusals: list[float] = field(default_factory=list)
     # Refusals that said nothing of when to come back.
-    unhinted: int = 0
+    refusals_without_retry_after: int = 0
     targets: list[str] = field(default_factory=list)
 
     @property
-    def ask_id(self) -> str:
+    def attempt_id(self) -> str:
         """Return the id of the current attempt."""
-        return f"{self.order_id}.{self.asks}.{len(self.targets)}"
+        return f"{self.order_id}.{self.submissions}.{len(self.targets)}"
 
     @property
     def in_time(self) -> bool:
--- a/tools/bench_load/outcome.py
+++ b/tools/bench_load/outcome.py
@@ -45,38 +45,38 @@
     recomputed: int
 
 
-def judge(
+def evaluate(
     simulation: Simulation,
     scenario: Scenario,
-    wanted: Callable[[Order], bool] = lambda _: True,
+    is_measured: Callable[[Order], bool] = lambda _: True,
 ) -> Outcome:
-    """Judge the orders that ``wanted`` picks, less the warm-up and the tail."""
+    """Judge the orders that ``is_measured`` picks, less the warm-up and the tail."""
     end = scenario.seconds
-    judged = [
+    measured = [
         order
         for order in simulation.orders
-        if scenario.judged_from <= order.arrival <= end and wanted(order)
+        if scenario.measured_from <= order.arrival <= end and is_measured(order)
     ]
-    answered = [order for order in judged if order.in_time]
+    answered = [order for order in measured if order.in_time]
     first = [order.first_token - order.arrival for order in answered]
-    refusals = [seconds for order in judged for seconds in order.refusals]
-    shares: dict[str, int] = {order.workspace: 0 for order in judged}
+    refusals = [seconds for order in measured for seconds in order.refusals]
+    in_time_by_workspace: dict[str, int] = {order.workspace: 0 for order in measured}
     for order in answered:
-        shares[order.workspace] += 1
+        in_time_by_workspace[order.workspace] += 1
     engines = [agent.engine for agent in simulation.agents.values()]
     return Outcome(
-        orders=len(judged),
+        orders=len(measured),
         in_time=len(answered),
-        per_second=len(answered) / (end - scenario.judged_from),
+        per_second=len(answered) / (end - scenario.measured_from),
         first_p50=find_percentile(first, 0.5),
         first_p95=find_percentile(first, 0.95),
         first_p99=find_percentile(first, 0.99),
         refused=len(refusals),
         refusal_p99=find_percentile(refusals, 0.99),
-        unhinted=sum(order.unhinted for order in judged),
-        asks=sum(order.asks for order in judged),
-        least=min(shares.values(), default=0),
-        most=max(shares.values(), default=0),
-        falls=sum(engine.falls for engine in engines),
+        unhinted=sum(order.refusals_without_retry_after for order in measured),
+        asks=sum(order.submissions for order in measured),
+        least=min(in_time_by_workspace.values(), default=0),
+        most=max(in_time_by_workspace.values(), default=0),
+        falls=sum(engine.crashes for engine in engines),
         recomputed=sum(engine.recomputed for engine in engines),
     )
--- a/tools/bench_load/scenarios.py
+++ b/tools/bench_load/scenarios.py
@@ -28,11 +28,11 @@
     output_tokens: int = 60
     max_tokens: int = 256
     # Seconds a caller waits for the whole answer.
-    patience: float = 12.0
+    timeout_seconds: float = 12.0
 
 
 USUAL = Mix()
-LONG = Mix(prompt_tokens=16_000, output_tokens=240, max_tokens=960, patience=60.0)
+LONG = Mix(prompt_tokens=16_000, output_tokens=240, max_tokens=960, timeout_seconds=60.0)
 
 
 @dataclass(slots=True)
@@ -43,16 +43,16 @@
     orders: list[Order]
     targets: int
     # Orders that arrive before this second are not judged: the fleet warms up.
-    judged_from: float = 10.0
+    measured_from: float = 10.0
     seconds: float = 60.0
     cold: bool = False
     shape: EngineShape | None = None
     prepare: Callable[[Simulation], None] = field(default=lambda _: None)
     # Whose answers are judged.
-    wanted: Callable[[Order], bool] = field(default=lambda _: True)
+    is_measured: Callable[[Order], bool] = field(default=lambda _: True)
 
 
-class OrderMaker:
+class OrderGenerator:
     """Draws orders; all draws come from one seeded generator."""
 
     def __init__(self, seed: int) -> None:
@@ -70,7 +70,7 @@
         prefix: str = "",
         shared_tokens: int = 0,
         sources: int = WORKSPACES,
-    ) -> OrderMaker:
+    ) -> OrderGenerator:
         """Add Poisson arrivals; without a workspace they spread over all evenly."""
         draw = self._random
         now = start + draw.expovariate(rate)
@@ -83,7 +83,7 @@
                 arrival=now,
                 prompt_tokens=prompt + shared_tokens,
                 output_tokens=self._draw_tokens(mix.output_tokens),
-                deadline=now + mix.patience,
+                deadline=now + mix.timeout_seconds,
                 max_tokens=mix.max_tokens,
                 prefix=prefix,
                 shared_tokens=shared_tokens,
@@ -101,93 +101,93 @@
     factor: float, targets: int, behaviour: Behaviour, seconds: float = 60.0
 ) -> Scenario:
     """``factor`` times the fleet's capacity, all the time."""
-    maker = OrderMaker(11)
+    generator = OrderGenerator(11)
     rate = factor * CAPACITY * targets
-    maker.add(rate, 0.0, seconds, behaviour=behaviour)
+    generator.add(rate, 0.0, seconds, behaviour=behaviour)
     name = f"overload x{factor:g} {behaviour.value}"
-    return Scenario(name, maker.orders, targets, 15.0, seconds)
+    return Scenario(name, generator.orders, targets, 15.0, seconds)
 
 
 def make_burst(targets: int) -> Scenario:
     """Half of capacity, and for three seconds six times as much."""
-    maker = OrderMaker(12)
+    generator = OrderGenerator(12)
     capacity = CAPACITY * targets
-    maker.add(0.5 * capacity, 0.0, 50.0)
-    maker.add(6 * capacity, 20.0, 23.0)
-    return Scenario("burst", maker.orders, targets, 15.0, 50.0)
+    generator.add(0.5 * capacity, 0.0, 50.0)
+    generator.add(6 * capacity, 20.0, 23.0)
+    return Scenario("burst", generator.orders, targets, 15.0, 50.0)
 
 
-def make_hot_caller(
+def make_heavy_hitter(
     targets: int,
     hot: bool,
     behaviour: Behaviour = Behaviour.OBEDIENT,
     seconds: float = 45.0,
 ) -> Scenario:
     """Nine workspaces at 70% of their shares; the tenth at 100 times its share."""
-    maker = OrderMaker(13)
+    generator = OrderGenerator(13)
     share = CAPACITY * targets / WORKSPACES
-    maker.add(0.7 * share * (WORKSPACES - 1), 0.0, seconds, sources=WORKSPACES - 1)
+    generator.add(0.7 * share * (WORKSPACES - 1), 0.0, seconds, sources=WORKSPACES - 1)
     name = "hot caller: others without it"
     if hot:
         name = f"hot caller: others with it, {behaviour.value}"
-        maker.add(100 * share, 0.0, seconds, workspace="hot", behaviour=behaviour)
-    scenario = Scenario(name, maker.orders, targets, 15.0, seconds)
-    scenario.wanted = lambda order: order.workspace != "hot"
+        generator.add(100 * share, 0.0, seconds, workspace="hot", behaviour=behaviour)
+    scenario = Scenario(name, generator.orders, targets, 15.0, seconds)
+    scenario.is_measured = lambda order: order.workspace != "hot"
     return scenario
 
 
 def make_hot_prefix(targets: int) -> Scenario:
     """Half of all orders share a catalogue of 6,000 tokens: more than one carries."""
-    maker = OrderMaker(14)
+    generator = OrderGenerator(14)
     capacity = CAPACITY * targets
-    maker.add(0.4 * capacity, 0.0, 45.0)
+    generator.add(0.4 * capacity, 0.0, 45.0)
     short = Mix(prompt_tokens=200, output_tokens=40, max_tokens=160)
     hot = 0.4 * capacity
-    maker.add(hot, 0.0, 45.0, short, prefix="catalogue", shared_tokens=6000)
-    return Scenario("hot prefix", maker.orders, targets, 15.0, 45.0)
+    generator.add(hot, 0.0, 45.0, short, prefix="catalogue", shared_tokens=6000)
+    return Scenario("hot prefix", generator.orders, targets, 15.0, 45.0)
 
 
 def make_slow_target(targets: int) -> Scenario:
     """At 60% of capacity one target falls to a tenth of its speed for half a minute."""
-    maker = OrderMaker(15)
-    maker.add(0.6 * CAPACITY * targets, 0.0, 60.0)
+    generator = OrderGenerator(15)
+    generator.add(0.6 * CAPACITY * targets, 0.0, 60.0)
 
     def prepare(simulation: Simulation) -> None:
         engine = simulation.agents["t0"].engine
         simulation.clock.call_at(15.0, lambda: engine.set_speed(0.1))
         simulation.clock.call_at(45.0, lambda: engine.set_speed(1.0))
 
-    return Scenario("slow target", maker.orders, targets, 15.0, 60.0, prepare=prepare)
+    return Scenario("slow target", generator.orders, targets, 15.0, 60.0, prepare=prepare)
 
 
 def make_long_among_short(targets: int) -> Scenario:
     """Short orders at 60% of capacity, judged, and long ones that fill the rest."""
-    maker = OrderMaker(16)
-    maker.add(0.6 * CAPACITY * targets, 0.0, 60.0)
-    maker.add(0.08 * CAPACITY * targets, 0.0, 60.0, LONG)
-    scenario = Scenario("long among short", maker.orders, targets, 15.0, 60.0)
-    scenario.wanted = lambda order: order.max_tokens == USUAL.max_tokens
+    generator = OrderGenerator(16)
+    generator.add(0.6 * CAPACITY * targets, 0.0, 60.0)
+    generator.add(0.08 * CAPACITY * targets, 0.0, 60.0, LONG)
+    scenario = Scenario("long among short", generator.orders, targets, 15.0, 60.0)
+    scenario.is_measured = lambda order: order.max_tokens == USUAL.max_tokens
     return scenario
 
 
 def make_cold_fleet(targets: int) -> Scenario:
     """Every engine starts cold and meets 80% of the warm fleet's capacity at once."""
-    maker = OrderMaker(17)
-    maker.add(0.8 * CAPACITY * targets, 0.0, 60.0)
-    return Scenario("cold fleet", maker.orders, targets, 0.0, 60.0, cold=True)
+    generator = OrderGenerator(17)
+    generator.add(0.8 * CAPACITY * targets, 0.0, 60.0)
+    return Scenario("cold fleet", generator.orders, targets, 0.0, 60.0, cold=True)
 
 
 def make_sudden_cold(targets: int) -> Scenario:
     """A third of the engines turn cold without a new start id; load 60%."""
-    maker = OrderMaker(19)
-    maker.add(0.6 * CAPACITY * targets, 0.0, 60.0)
-    chilled = [f"t{n}" for n in range(targets // 3)]
+    generator = OrderGenerator(19)
+    generator.add(0.6 * CAPACITY * targets, 0.0, 60.0)
+    cold_targets = [f"t{n}" for n in range(targets // 3)]
 
     def prepare(simulation: Simulation) -> None:
-        for name in chilled:
-            simulation.clock.call_at(20.0, simulation.agents[name].engine.chill)
+        for name in cold_targets:
+            simulation.clock.call_at(20.0, simulation.agents[name].engine.reset_warmup)
 
-    return Scenario("sudden cold", maker.orders, targets, 15.0, 60.0, prepare=prepare)
+    return Scenario("sudden cold", generator.orders, targets, 15.0, 60.0, prepare=prepare)
 
 
 def make_data_centre(targets: int) -> Scenario:
@@ -195,26 +195,26 @@
 
     The load is 80% of what the remaining two thirds can carry.
     """
-    maker = OrderMaker(18)
-    maker.add(0.8 * CAPACITY * targets * 2 / 3, 0.0, 80.0)
+    generator = OrderGenerator(18)
+    generator.add(0.8 * CAPACITY * targets * 2 / 3, 0.0, 80.0)
     names = [f"t{n}" for n in range(targets)]
     leaving = names[: targets // 3]
 
-    def leave(simulation: Simulation) -> None:
-        simulation.announce(names[targets // 3 :])
+    def remove_targets(simulation: Simulation) -> None:
+        simulation.update_fleet(names[targets // 3 :])
         for name in leaving:
             simulation.agents[name].stop()
 
-    def come_back(simulation: Simulation) -> None:
+    def restore_targets(simulation: Simulation) -> None:
         for name in leaving:
-            simulation.agents[name].start_cold()
-        simulation.announce(names)
+            simulation.agents[name].restart_cold()
+        simulation.update_fleet(names)
 
     def prepare(simulation: Simulation) -> None:
-        simulation.clock.call_at(20.0, lambda: leave(simulation))
-        simulation.clock.call_at(40.0, lambda: come_back(simulation))
+        simulation.clock.call_at(20.0, lambda: remove_targets(simulation))
+        simulation.clock.call_at(40.0, lambda: restore_targets(simulation))
 
-    return Scenario("data centre", maker.orders, targets, 15.0, 80.0, prepare=prepare)
+    return Scenario("data centre", generator.orders, targets, 15.0, 80.0, prepare=prepare)
 
 
 def list_scenarios(targets: int = 9) -> list[Scenario]:
@@ -228,9 +228,9 @@
         make_overload(1.0, targets, eager),
         make_overload(5.0, targets, eager),
         make_burst(targets),
-        make_hot_caller(targets, hot=False),
-        make_hot_caller(targets, hot=True),
-        make_hot_caller(targets, True, eager),
+        make_heavy_hitter(targets, hot=False),
+        make_heavy_hitter(targets, hot=True),
+        make_heavy_hitter(targets, True, eager),
         make_hot_prefix(targets),
         make_slow_target(targets),
         make_long_among_short(targets),
--- a/tools/bench_load/simulation.py
+++ b/tools/bench_load/simulation.py
@@ -49,15 +49,15 @@
 HOP_SECONDS = 0.001
 TICK_SECONDS = 0.1
 # An eager caller asks again after this, so many times.
-EAGER_SECONDS = 0.1
-EAGER_ASKS = 20
+EAGER_RETRY_SECONDS = 0.1
+EAGER_MAX_RETRIES = 20
 # Callers that see a broken answer or a useless hint ask again after this.
 PLAIN_RETRY_SECONDS = 1.0
 SERVICE = "chat"
 BLOCK_TOKENS = 100
 
 
-class AdmissionFront(Protocol):
+class AdmissionInterface(Protocol):
     """What the driver needs of an agent's decisions."""
 
     @property
@@ -94,7 +94,7 @@
         ...
 
 
-class RouterFront(Protocol):
+class RouterInterface(Protocol):
     """What the driver needs of a gateway's decisions."""
 
     def handle(self, event: RoutingEvent) -> RoutingDecision | None:
@@ -111,8 +111,8 @@
     """Makes the decisions that a run is about."""
 
     name: str
-    make_admission: Callable[[Random], AdmissionFront]
-    make_router: Callable[[Random], RouterFront]
+    make_admission: Callable[[Random], AdmissionInterface]
+    make_router: Callable[[Random], RouterInterface]
 
 
 @dataclass(slots=True)
@@ -120,9 +120,9 @@
     """One order at one agent, with the ways back to its gateway."""
 
     order: Order
-    ask_id: str
+    attempt_id: str
     target: str
-    sent: float
+    sent_at: float
     max_wait: float
     first_byte: float = 0.0
 
@@ -135,9 +135,9 @@
         self._simulation = simulation
         self._clock = simulation.clock
         self.engine = SimulatedEngine(simulation.clock, simulation.shape, cold)
-        self.engine.on_restart = partial(self._note_restart)
+        self.engine.on_restart = partial(self._handle_restart)
         self.admission = simulation.make_admission()
-        self.out = False
+        self.stopped = False
         self._attempts: dict[str, _Attempt] = {}
         self._tick()
 
@@ -156,33 +156,33 @@
 
     def restart_agent(self) -> None:
         """Replace the agent process: streams break, its memory is gone."""
-        for ask_id in list(self._attempts):
-            self.engine.cancel(ask_id)
-            self._fail(ask_id)
+        for attempt_id in list(self._attempts):
+            self.engine.cancel(attempt_id)
+            self._fail(attempt_id)
         self.admission = self._simulation.make_admission()
 
     def stop(self) -> None:
         """Leave: what waits is turned away, what runs goes on."""
-        self.out = True
-        self.tell(StopRequested(self._clock.now))
+        self.stopped = True
+        self.handle_event(StopRequested(self._clock.now))
 
-    def start_cold(self) -> None:
+    def restart_cold(self) -> None:
         """Come back as a fresh VM: a new agent process and a cold engine."""
-        self.out = False
-        self.engine.chill()
+        self.stopped = False
+        self.engine.reset_warmup()
         self.engine.starts += 1
         self.admission = self._simulation.make_admission()
 
     def serve(self, attempt: _Attempt) -> None:
         """Take an attempt from a gateway."""
         order = attempt.order
-        self._attempts[attempt.ask_id] = attempt
+        self._attempts[attempt.attempt_id] = attempt
         if not self.engine.up:
-            self._fail(attempt.ask_id, ExecutionStatus.NOT_EXECUTED)
+            self._fail(attempt.attempt_id, ExecutionStatus.NOT_EXECUTED)
             return
         work = AdmissionRequested(
             now=self._clock.now,
-            request_id=attempt.ask_id,
+            request_id=attempt.attempt_id,
             workspace=order.workspace,
             weight=1.0,
             priority=order.priority,
@@ -191,11 +191,11 @@
             max_tokens=order.max_tokens,
             max_wait=attempt.max_wait,
         )
-        self.tell(work)
+        self.handle_event(work)
         if order.deadline > self._clock.now:
-            self._clock.call_at(order.deadline, lambda: self._cancel(attempt.ask_id))
+            self._clock.call_at(order.deadline, lambda: self._cancel(attempt.attempt_id))
 
-    def tell(self, event: AdmissionEvent) -> None:
+    def handle_event(self, event: AdmissionEvent) -> None:
         """Pass an event to the decisions and carry out what they answer."""
         for decision in self.admission.handle(event):
             if isinstance(decision, Start):
@@ -203,60 +203,60 @@
             else:
                 self._reject(decision)
 
-    def _start(self, ask_id: str) -> None:
-        attempt = self._attempts.get(ask_id)
+    def _start(self, attempt_id: str) -> None:
+        attempt = self._attempts.get(attempt_id)
         if attempt is None:
-            self.tell(RequestFinished(self._clock.now, ask_id, False, cancelled=True))
+            self.handle_event(RequestFinished(self._clock.now, attempt_id, False, cancelled=True))
             return
         if not self.engine.up:
-            self._fail(ask_id, ExecutionStatus.NOT_EXECUTED)
+            self._fail(attempt_id, ExecutionStatus.NOT_EXECUTED)
             return
         self.engine.run(
-            ask_id,
+            attempt_id,
             attempt.order,
-            lambda new: self._note_first(ask_id, new),
-            lambda: self._finish(ask_id),
-            lambda: self._fail(ask_id),
+            lambda uncached_tokens: self._handle_first_token(attempt_id, uncached_tokens),
+            lambda: self._finish(attempt_id),
+            lambda: self._fail(attempt_id),
         )
 
-    def _note_first(self, ask_id: str, new: int) -> None:
-        attempt = self._attempts[ask_id]
-        attempt.first_byte = self._clock.now - attempt.sent
+    def _handle_first_token(self, attempt_id: str, uncached_tokens: int) -> None:
+        attempt = self._attempts[attempt_id]
+        attempt.first_byte = self._clock.now - attempt.sent_at
         attempt.order.first_token = self._clock.now + HOP_SECONDS
-        self.tell(FirstTokenReceived(self._clock.now, ask_id, new))
-        self._simulation.hear(self, attempt)
+        self.handle_event(FirstTokenReceived(self._clock.now, attempt_id, uncached_tokens))
+        self._simulation.report_first_byte(self, attempt)
 
-    def _finish(self, ask_id: str) -> None:
-        attempt = self._attempts.pop(ask_id)
+    def _finish(self, attempt_id: str) -> None:
+        attempt = self._attempts.pop(attempt_id)
         tokens = attempt.order.output_tokens
-        self.tell(RequestFinished(self._clock.now, ask_id, True, tokens))
-        self._answer(attempt, ExecutionStatus.EXECUTED)
+        self.handle_event(RequestFinished(self._clock.now, attempt_id, True, tokens))
+        self._respond(attempt, ExecutionStatus.EXECUTED)
 
     def _fail(
-        self, ask_id: str, ran: ExecutionStatus = ExecutionStatus.UNKNOWN
+        self, attempt_id: str, ran: ExecutionStatus = ExecutionStatus.UNKNOWN
     ) -> None:
-        attempt = self._attempts.pop(ask_id)
-        self.tell(RequestCancelled(self._clock.now, ask_id))
-        self.tell(RequestFinished(self._clock.now, ask_id, succeeded=False))
-        self._answer(attempt, ran, broken=True)
+        attempt = self._attempts.pop(attempt_id)
+        self.handle_event(RequestCancelled(self._clock.now, attempt_id))
+        self.handle_event(RequestFinished(self._clock.now, attempt_id, succeeded=False))
+        self._respond(attempt, ran, broken=True)
 
     def _reject(self, reject: Reject) -> None:
         attempt = self._attempts.pop(reject.request_id, None)
         if attempt is not None:
-            self._answer(attempt, ExecutionStatus.NOT_EXECUTED, reject.retry_after)
+            self._respond(attempt, ExecutionStatus.NOT_EXECUTED, reject.retry_after)
 
-    def _cancel(self, ask_id: str) -> None:
+    def _cancel(self, attempt_id: str) -> None:
         """The caller left at its deadline."""
-        attempt = self._attempts.pop(ask_id, None)
+        attempt = self._attempts.pop(attempt_id, None)
         if attempt is None:
             return
         order_id = str(attempt.order.order_id)
-        self.engine.cancel(ask_id)
-        self.tell(RequestCancelled(self._clock.now, ask_id))
-        self.tell(RequestFinished(self._clock.now, ask_id, False, cancelled=True))
+        self.engine.cancel(attempt_id)
+        self.handle_event(RequestCancelled(self._clock.now, attempt_id))
+        self.handle_event(RequestFinished(self._clock.now, attempt_id, False, cancelled=True))
         self._simulation.abandon(order_id)
 
-    def _answer(
+    def _respond(
         self,
         attempt: _Attempt,
         ran: ExecutionStatus,
@@ -276,14 +276,14 @@
         )
         load = self.report()
         self._clock.call_later(
-            HOP_SECONDS, lambda: self._simulation.end(attempt, ended, load)
+            HOP_SECONDS, lambda: self._simulation.end_attempt(attempt, ended, load)
         )
 
-    def _note_restart(self) -> None:
-        self.tell(TargetRestarted(self._clock.now))
+    def _handle_restart(self) -> None:
+        self.handle_event(TargetRestarted(self._clock.now))
 
     def _tick(self) -> None:
-        self.tell(Tick(self._clock.now))
+        self.handle_event(Tick(self._clock.now))
         self._clock.call_later(TICK_SECONDS, self._tick)
 
 
@@ -309,18 +309,18 @@
         ]
         names = [f"t{number}" for number in range(targets)]
         self.agents = {name: SimulatedAgent(self, name, cold) for name in names}
-        self._homes: dict[str, RouterFront] = {}
-        self.announce(names)
+        self._routers_by_order: dict[str, RouterInterface] = {}
+        self.update_fleet(names)
 
-    def make_admission(self) -> AdmissionFront:
+    def make_admission(self) -> AdmissionInterface:
         """Return a fresh admission for an agent process."""
         return self._policy.make_admission(Random(self._random.random()))
 
     def abandon(self, order_id: str) -> None:
         """Tell the gateway that its caller left."""
-        self._homes[order_id].abandon(order_id)
+        self._routers_by_order[order_id].abandon(order_id)
 
-    def announce(self, names: Sequence[str]) -> None:
+    def update_fleet(self, names: Sequence[str]) -> None:
         """Tell every gateway which targets may be used."""
         views = tuple(
             TargetView(name, SERVICE, Distance.SAME_DATA_CENTRE) for name in names
@@ -332,37 +332,37 @@
         """Let the callers ask at their arrival times."""
         for order in orders:
             self.orders.append(order)
-            self.clock.call_at(order.arrival, partial(self._ask, order))
+            self.clock.call_at(order.arrival, partial(self._send_order, order))
 
     def run(self, until: float) -> None:
         """Run to second ``until``."""
         self.clock.run(until)
 
-    def hear(self, agent: SimulatedAgent, attempt: _Attempt) -> None:
+    def report_first_byte(self, agent: SimulatedAgent, attempt: _Attempt) -> None:
         """Bring the load that came with an answer's head to its gateway."""
-        router = self._homes[str(attempt.order.order_id)]
+        router = self._routers_by_order[str(attempt.order.order_id)]
         now, request_id = self.clock.now, str(attempt.order.order_id)
         router.handle(TargetReported(now, agent.name, agent.report()))
         router.handle(
             FirstByteReceived(now, request_id, agent.name, attempt.first_byte)
         )
 
-    def end(self, attempt: _Attempt, ended: AttemptEnded, load: TargetLoad) -> None:
+    def end_attempt(self, attempt: _Attempt, ended: AttemptEnded, load: TargetLoad) -> None:
         """Bring an attempt's end to its gateway and carry out the decision."""
         order = attempt.order
-        router = self._homes[ended.request_id]
+        router = self._routers_by_order[ended.request_id]
         router.handle(TargetReported(self.clock.now, ended.target, load))
-        self._follow(order, router.handle(ended), ended.ran)
+        self._execute(order, router.handle(ended), ended.ran)
 
-    def _ask(self, order: Order) -> None:
+    def _send_order(self, order: Order) -> None:
         if self.clock.now >= order.deadline or order.in_time:
             return
-        order.asks += 1
-        order.asked = self.clock.now
+        order.submissions += 1
+        order.sent_at = self.clock.now
         order.first_token = 0.0
         router = self._random.choice(self._routers)
         request_id = str(order.order_id)
-        self._homes[request_id] = router
+        self._routers_by_order[request_id] = router
         keys = tuple(
             hashlib.blake2b(f"{order.prefix}:{n}".encode(), digest_size=16).digest()
             for n in range(order.shared_tokens // BLOCK_TOKENS)
@@ -379,33 +379,33 @@
             block_keys=keys,
             priority=order.priority,
         )
-        self._follow(order, router.handle(event), ExecutionStatus.NOT_EXECUTED)
+        self._execute(order, router.handle(event), ExecutionStatus.NOT_EXECUTED)
 
-    def _follow(
+    def _execute(
         self, order: Order, decision: RoutingDecision | None, ran: ExecutionStatus
     ) -> None:
         if isinstance(decision, Send):
             order.targets.append(decision.target)
-            sent = self.clock.now
+            sent_at = self.clock.now
             attempt = _Attempt(
-                order, order.ask_id, decision.target, sent, decision.max_wait
+                order, order.attempt_id, decision.target, sent_at, decision.max_wait
             )
             agent = self.agents[decision.target]
             self.clock.call_later(HOP_SECONDS, lambda: agent.serve(attempt))
         elif isinstance(decision, Refuse):
-            self._refuse(order, decision.retry_after)
+            self._handle_refusal(order, decision.retry_after)
         elif ran is ExecutionStatus.EXECUTED:
             order.finished = self.clock.now
         else:
             order.first_token = 0.0
-            self.clock.call_later(PLAIN_RETRY_SECONDS, lambda: self._ask(order))
+            self.clock.call_later(PLAIN_RETRY_SECONDS, lambda: self._send_order(order))
 
-    def _refuse(self, order: Order, retry_after: float) -> None:
-        order.refusals.append(self.clock.now - order.asked)
-        order.unhinted += retry_after <= 0
+    def _handle_refusal(self, order: Order, retry_after: float) -> None:
+        order.refusals.append(self.clock.now - order.sent_at)
+        order.refusals_without_retry_after += retry_after <= 0
         wait = retry_after or PLAIN_RETRY_SECONDS
         if order.behaviour is Behaviour.EAGER:
-            wait = EAGER_SECONDS
-            if order.asks > EAGER_ASKS:
+            wait = EAGER_RETRY_SECONDS
+            if order.submissions > EAGER_MAX_RETRIES:
                 return
-        self.clock.call_later(wait, lambda: self._ask(order))
+        self.clock.call_later(wait, lambda: self._send_order(order))
--- a/tools/bench_load/table.py
+++ b/tools/bench_load/table.py
@@ -13,7 +13,7 @@
 from bamboopier_decisions.routing.router import Router
 
 from .baselines import PlainRouter, UnboundedFifo
-from .outcome import Outcome, judge
+from .outcome import Outcome, evaluate
 from .scenarios import Scenario, list_scenarios
 from .simulation import Policy, Simulation
 
@@ -22,7 +22,7 @@
 # What a baseline runs at once: the engine's best batch, which it is told.
 BASELINE_RUNNING = 16
 
-OURS = Policy(
+BAMBOOPIER = Policy(
     "bamboopier",
     lambda random: AdmissionController(MAX_RUNNING, MAX_WAITING, random),
     Router,
@@ -80,12 +80,12 @@
     rows: list[dict[str, object]] = []
     print(HEADINGS)
     print("|" + "---|" * (HEADINGS.count("|") - 1))
-    for policy in (OURS,) if ours else (OURS, ROUND_ROBIN, LEAST_LOADED):
+    for policy in (BAMBOOPIER,) if ours else (BAMBOOPIER, ROUND_ROBIN, LEAST_LOADED):
         for scenario in list_scenarios():
             if only not in scenario.name:
                 continue
             simulation = simulate(policy, scenario)
-            outcome = judge(simulation, scenario, scenario.wanted)
+            outcome = evaluate(simulation, scenario, scenario.is_measured)
             print(format_row(scenario.name, policy.name, outcome), flush=True)
             row = {"scenario": scenario.name, "policy": policy.name}
             rows.append({**row, **asdict(outcome)})
