--- a/libraries/decisions/tests/test_load.py
+++ b/libraries/decisions/tests/test_load.py
@@ -28,7 +28,7 @@
     make_overload,
     make_slow_target,
 )
-from bench_load.table import LEAST_LOADED, BAMBOOPIER, ROUND_ROBIN, simulate
+from bench_load.table import BAMBOOPIER, LEAST_LOADED, ROUND_ROBIN, simulate
 
 if TYPE_CHECKING:
     from bench_load.simulation import Simulation
@@ -38,7 +38,9 @@
 
 
 def run(scenario: Scenario, seed: int = 1) -> Outcome:
-    return evaluate(simulate(BAMBOOPIER, scenario, seed), scenario, scenario.is_measured)
+    return evaluate(
+        simulate(BAMBOOPIER, scenario, seed), scenario, scenario.is_measured
+    )
 
 
 @cache
@@ -108,7 +110,9 @@
         seeds = (1, 2, 3)
         for behaviour in (OBEDIENT, EAGER):
             seconds = 40.0 if behaviour is OBEDIENT else 25.0
-            alone = [run(make_heavy_hitter(9, False, seconds=seconds), s) for s in seeds]
+            alone = [
+                run(make_heavy_hitter(9, False, seconds=seconds), s) for s in seeds
+            ]
             beside = [
                 run(make_heavy_hitter(9, True, behaviour, seconds), s)
                 for s in (seeds if behaviour is OBEDIENT else seeds[:1])
--- a/tools/bench_load/__init__.py
+++ b/tools/bench_load/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the unchanged routing and admission decisions under simulated time."""
+"""Runs the production routing and admission decisions in simulated time."""
--- a/tools/bench_load/baselines.py
+++ b/tools/bench_load/baselines.py
@@ -1,4 +1,4 @@
-"""What the decisions are compared with: two routers without admission control."""
+"""Baseline policies: two simple routers and an unbounded queue at each target."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class UnboundedFifo:
-    """Runs a fixed number at once; all others wait in order of arrival."""
+    """Runs up to ``limit`` requests at once and queues all others in arrival order."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -45,20 +45,20 @@
 
     @property
     def running(self) -> int:
-        """Return how many requests the target has."""
+        """Return the number of running requests."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return len(self._queue)
 
     def estimate_delay(self) -> float:
-        """Return nothing: this baseline does not estimate."""
+        """Return 0: this baseline does not estimate the queue delay."""
         return 0.0
 
     def handle(self, event: AdmissionEvent) -> list[AdmissionDecision]:
-        """Start what there is a slot for."""
+        """Apply an event and start waiting requests while there are free slots."""
         if isinstance(event, AdmissionRequested):
             self._queue.append(event.request_id)
         elif isinstance(event, RequestFinished):
@@ -74,7 +74,10 @@
 
 
 class PlainRouter:
-    """Round robin, or the fewest unanswered requests of this gateway."""
+    """Routes round robin or to the target with the fewest open requests.
+
+    Only the requests of this gateway are counted.
+    """
 
     def __init__(self, random: Random, least_loaded: bool) -> None:
         self._random = random
@@ -83,7 +86,7 @@
         self._next = 0
 
     def handle(self, event: RoutingEvent) -> RoutingDecision | None:
-        """Send once; there is no second attempt."""
+        """Send each request once; a failed attempt is not retried."""
         if isinstance(event, FleetChanged):
             self._open = {v.target: self._open.get(v.target, 0) for v in event.targets}
         elif isinstance(event, RequestArrived):
@@ -100,7 +103,7 @@
         return None
 
     def abandon(self, request_id: str) -> None:
-        """Forget nothing: this baseline keeps no requests."""
+        """Do nothing: this baseline holds no state per request."""
 
     def _choose(self) -> str:
         names = list(self._open)
--- a/tools/bench_load/clock.py
+++ b/tools/bench_load/clock.py
@@ -1,4 +1,4 @@
-"""Simulated time: a heap of callbacks in order of time, then of scheduling."""
+"""Simulated clock: a heap of callbacks, ordered by time, then by scheduling order."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SimulatedClock:
-    """Runs callbacks at their simulated second."""
+    """Runs callbacks at their simulated time, in seconds."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -18,7 +18,7 @@
         self._sequence = 0
 
     def call_at(self, at: float, callback: Callable[[], None]) -> None:
-        """Run ``callback`` at second ``at``."""
+        """Run ``callback`` at second ``at``, or now if that is in the past."""
         self._sequence += 1
         heapq.heappush(self._heap, (max(at, self.now), self._sequence, callback))
 
--- a/tools/bench_load/cost.py
+++ b/tools/bench_load/cost.py
@@ -1,4 +1,7 @@
-"""What a decision costs, by the number of targets, workspaces and waiting requests."""
+"""Measures the CPU time and memory of decisions as the fleet and the queue grow.
+
+The sizes that vary are the numbers of targets, workspaces and waiting requests.
+"""
 
 from __future__ import annotations
 
@@ -40,15 +43,16 @@
 QUEUE_SIZES = (100, 1000, 10_000)
 REQUESTS = 3000
 TICKS = 200
-# The least of so many runs: other work on the machine only adds to a run.
+# The minimum of these runs is reported: other load on the machine only adds time.
 REPEATS = 5
-# Requests a second of one gateway at the design size, 3,100 over 340, with room.
+# Requests per second of one gateway: the design size has 3,100 over 340 gateways;
+# this leaves headroom.
 GATEWAY_RATE = 20.0
 MICROSECONDS = 1e6
 
 
 def fit_exponent(sizes: Sequence[int], costs: Sequence[float]) -> float:
-    """Return the slope of log cost over log size by least squares."""
+    """Return the least-squares slope of log cost over log size."""
     x = [math.log(size) for size in sizes]
     y = [math.log(cost) for cost in costs]
     mean_x, mean_y = sum(x) / len(x), sum(y) / len(y)
@@ -57,7 +61,7 @@
 
 
 def measure_routing(targets: int, workspaces: int) -> tuple[float, float]:
-    """Return microseconds for a request's choice and for all of its events."""
+    """Return microseconds per request for the target choice and for all its events."""
     router = Router(Random(1))
     near = Distance.SAME_REGION
     views = tuple(TargetView(f"t{n}", "chat", near) for n in range(targets))
@@ -88,7 +92,7 @@
 
 
 def measure_fleet_change(targets: int) -> float:
-    """Return milliseconds for a change of one target, all in one service."""
+    """Return milliseconds to remove one target; all targets are in one service."""
     router = Router(Random(1))
     near = Distance.SAME_REGION
     views = tuple(TargetView(f"t{n}", "chat", near) for n in range(targets + 1))
@@ -99,7 +103,11 @@
 
 
 def measure_admission(waiting: int, workspaces: int) -> tuple[float, float, float]:
-    """Return microseconds per arrival with its end, per tick, and bytes per request."""
+    """Return the cost of admission with ``waiting`` queued requests.
+
+    The values are microseconds per arrival and end of a request, microseconds per
+    tick, and bytes per waiting request.
+    """
     tracemalloc.start()
     admission = AdmissionController(32, 1_000_000, Random(1))
     running: list[str] = []
@@ -119,7 +127,8 @@
     tracemalloc.stop()
     started = time.perf_counter()
     for step in range(REQUESTS):
-        # A shorter time than counts as a standing queue, which is kept short.
+        # All steps are within 1 s, too short a time for the controller to detect a
+        # standing queue, which it would shorten.
         now = step / REQUESTS
         arrive(waiting + 2 + step, now)
         ended = RequestFinished(now, running.pop(0), False, cancelled=True)
@@ -133,7 +142,7 @@
 
 
 def main() -> None:
-    """Print the tables with the fitted exponents."""
+    """Print the tables with the fitted exponents of growth."""
     print("| targets | workspaces | choice µs | all events µs | fleet change ms |")
     print("|---|---|---|---|---|")
     for workspaces in WORKSPACE_COUNTS:
@@ -156,14 +165,18 @@
         costs: list[tuple[float, float, float]] = []
         for waiting in QUEUE_SIZES:
             samples = [measure_admission(waiting, workspaces) for _ in range(REPEATS)]
-            per_request, tick, size = (min(column) for column in zip(*samples, strict=True))
+            per_request, tick, size = (
+                min(column) for column in zip(*samples, strict=True)
+            )
             costs.append((per_request, tick, size))
         for waiting, (per_request, tick, size) in zip(QUEUE_SIZES, costs, strict=True):
             print(
-                f"| {waiting} | {workspaces} | {per_request:.1f} | {tick:.1f} | {size:.0f} |"
+                f"| {waiting} | {workspaces} "
+                f"| {per_request:.1f} | {tick:.1f} | {size:.0f} |"
             )
         exponents = (
-            fit_exponent(QUEUE_SIZES, [cost[column] for cost in costs]) for column in (0, 1)
+            fit_exponent(QUEUE_SIZES, [cost[column] for cost in costs])
+            for column in (0, 1)
         )
         print("exponent in waiting: " + ", ".join(f"{e:+.2f}" for e in exponents))
 
--- a/tools/bench_load/engine.py
+++ b/tools/bench_load/engine.py
@@ -1,4 +1,7 @@
-"""A fake engine: finite batch, shared prefill, prefix cache, cold and slow phases."""
+"""Simulated engine with a finite batch, shared prefill rate and prefix cache.
+
+An engine may be cold (slow until warmed up, and easy to overload) or slowed down.
+"""
 
 from __future__ import annotations
 
@@ -17,17 +20,17 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineShape:
-    """Speeds in tokens a second."""
+    """Rates (tokens per second) and limits of a simulated engine."""
 
     prefill_rate: float = 8000.0
     decode_rate: float = 40.0
-    # Streams that decode at full rate; more of them share it.
+    # Streams that decode at full rate; with more, they share the total rate.
     full_rate_streams: int = 16
     # Streams that fit in memory; with more the engine swaps and slows down.
     memory_streams: int = 24
     cached_prefixes: int = 60
-    # Speed of a cold engine, the answers until it is warm, and the streams it bears
-    # when it has answered none; one more and it falls over.
+    # Relative speed of a cold engine, the responses until it is warm, and its maximum
+    # of streams before the first response; with one more it crashes.
     cold_speed: float = 0.25
     warmup_responses: int = 24
     cold_stream_limit: int = 3
@@ -35,7 +38,15 @@
 
 
 class _Stream:
-    __slots__ = ("decode", "on_done", "on_failed", "on_first_token", "uncached_tokens", "order", "prefill")
+    __slots__ = (
+        "decode",
+        "on_done",
+        "on_failed",
+        "on_first_token",
+        "order",
+        "prefill",
+        "uncached_tokens",
+    )
 
     def __init__(
         self,
@@ -55,7 +66,7 @@
 
 
 class SimulatedEngine:
-    """Advances its streams lazily, at each change of the batch."""
+    """Runs a batch of streams; their progress is updated when the batch changes."""
 
     def __init__(self, clock: SimulatedClock, shape: EngineShape, cold: bool) -> None:
         self._clock = clock
@@ -68,7 +79,7 @@
         self.recomputed = 0
         self.on_restart: Callable[[], None] = lambda: None
         self._completed = 0 if cold else shape.warmup_responses
-        # What ran when it turned cold it goes on bearing.
+        # Streams in flight at the reset do not crash a cold engine.
         self._streams_at_reset = 0
         self._streams: dict[str, _Stream] = {}
         self._cache: OrderedDict[str, int] = OrderedDict()
@@ -76,7 +87,7 @@
         self._version = 0
 
     def reset_warmup(self) -> None:
-        """Lose warmth without a restart that anyone could see."""
+        """Become cold and clear the cache, without a restart that others can detect."""
         self._advance()
         self._completed = 0
         self._streams_at_reset = len(self._streams)
@@ -84,7 +95,7 @@
         self._schedule()
 
     def set_speed(self, speed: float) -> None:
-        """Run at ``speed`` times the normal rates."""
+        """Set the speed as a factor of the normal rates."""
         self._advance()
         self.speed = speed
         self._schedule()
@@ -97,21 +108,28 @@
         on_done: Callable[[], None],
         on_failed: Callable[[], None],
     ) -> None:
-        """Add an order to the batch."""
+        """Add an order to the batch; an overloaded cold engine crashes."""
         self._advance()
         cached_tokens = self._cache.get(order.prefix, 0)
         uncached_tokens = order.prompt_tokens - min(cached_tokens, order.shared_tokens)
         self.recomputed += min(order.shared_tokens, uncached_tokens)
-        self._streams[attempt_id] = _Stream(order, uncached_tokens, on_first_token, on_done, on_failed)
+        self._streams[attempt_id] = _Stream(
+            order, uncached_tokens, on_first_token, on_done, on_failed
+        )
         self.peak = max(self.peak, len(self._streams))
-        max_streams = max(self.shape.cold_stream_limit + self._completed, self._streams_at_reset)
-        if self._completed < self.shape.warmup_responses and len(self._streams) > max_streams:
+        max_streams = max(
+            self.shape.cold_stream_limit + self._completed, self._streams_at_reset
+        )
+        if (
+            self._completed < self.shape.warmup_responses
+            and len(self._streams) > max_streams
+        ):
             self._crash()
             return
         self._schedule()
 
     def cancel(self, attempt_id: str) -> None:
-        """Take an order out of the batch."""
+        """Remove an attempt from the batch."""
         self._advance()
         self._streams.pop(attempt_id, None)
         self._schedule()
@@ -140,7 +158,11 @@
         cold = self._completed < self.shape.warmup_responses
         speed = self.speed * (self.shape.cold_speed if cold else 1.0)
         speed *= min(1.0, self.shape.memory_streams / running) ** 2
-        decode = self.shape.decode_rate * speed * min(1.0, self.shape.full_rate_streams / running)
+        decode = (
+            self.shape.decode_rate
+            * speed
+            * min(1.0, self.shape.full_rate_streams / running)
+        )
         if prefilling:
             decode *= 0.5
         return self.shape.prefill_rate * speed / max(1, prefilling), decode
--- a/tools/bench_load/orders.py
+++ b/tools/bench_load/orders.py
@@ -1,4 +1,4 @@
-"""What callers ask for and what they received."""
+"""Orders of the simulated callers and the results that they received."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Behaviour(StrEnum):
-    """What a caller does when it is refused."""
+    """Retry behaviour of a refused caller: after Retry-After, or at once."""
 
     OBEDIENT = "obedient"
     EAGER = "eager"
@@ -15,7 +15,10 @@
 
 @dataclass(slots=True)
 class Order:
-    """One caller's wish, asked once or more until its deadline."""
+    """A caller's request, sent once or more until its deadline.
+
+    Times are in simulated seconds.
+    """
 
     order_id: int
     workspace: str
@@ -25,19 +28,20 @@
     deadline: float
     max_tokens: int = 256
     priority: int = 0
-    # Names the leading tokens that an engine may have cached; empty when none.
+    # Identifies the shared leading tokens, which an engine may have cached; empty if
+    # there are none.
     prefix: str = ""
     shared_tokens: int = 0
     behaviour: Behaviour = Behaviour.OBEDIENT
     idempotent: bool = True
-    # What the caller received.
+    # Progress and results; ``submissions`` counts how often the caller sent the order.
     submissions: int = 0
     sent_at: float = 0.0
     first_token: float = 0.0
     finished: float = 0.0
-    # Seconds from each ask to its refusal.
+    # Seconds from each submission to its refusal.
     refusals: list[float] = field(default_factory=list)
-    # Refusals that said nothing of when to come back.
+    # Refusals without a retry time.
     refusals_without_retry_after: int = 0
     targets: list[str] = field(default_factory=list)
 
@@ -48,5 +52,5 @@
 
     @property
     def in_time(self) -> bool:
-        """Say whether the whole answer came by the deadline."""
+        """Return whether the complete response arrived by the deadline."""
         return 0.0 < self.finished <= self.deadline
--- a/tools/bench_load/outcome.py
+++ b/tools/bench_load/outcome.py
@@ -1,4 +1,4 @@
-"""What callers received, as figures."""
+"""Summary figures of the responses that callers received."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def find_percentile(values: Sequence[float], share: float) -> float:
-    """Return the value below which ``share`` of them lie; 0 when there are none."""
+    """Return the value below which ``share`` of the values lie; 0 if there are none."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -23,24 +23,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """Figures of the judged orders of one run. Times in simulated seconds."""
+    """Figures of the measured orders of one run; times are in simulated seconds."""
 
     orders: int
-    # Whole answers by the deadline.
+    # Complete responses by the deadline.
     in_time: int
     per_second: float
-    # Seconds from the first ask to the first token, of those answered in time.
+    # Seconds from arrival to the first token, for the orders answered in time.
     first_p50: float
     first_p95: float
     first_p99: float
-    # Asks that were refused, the longest wait for a refusal, and those without a hint.
+    # Refused submissions, the 99th percentile of the seconds until a refusal, and the
+    # refusals without a retry time.
     refused: int
     refusal_p99: float
     unhinted: int
+    # Submissions of all measured orders, retries included.
     asks: int
-    # Least and most answered in time among the workspaces.
+    # Minimum and maximum per workspace of the orders answered in time.
     least: int
     most: int
+    # Engine crashes, and shared prefix tokens that were prefilled again.
     falls: int
     recomputed: int
 
@@ -50,7 +53,10 @@
     scenario: Scenario,
     is_measured: Callable[[Order], bool] = lambda _: True,
 ) -> Outcome:
-    """Judge the orders that ``is_measured`` picks, less the warm-up and the tail."""
+    """Return the figures of the orders that ``is_measured`` selects.
+
+    Orders that arrive during the warm-up or after the scenario's end are left out.
+    """
     end = scenario.seconds
     measured = [
         order
--- a/tools/bench_load/scenarios.py
+++ b/tools/bench_load/scenarios.py
@@ -1,4 +1,4 @@
-"""The load patterns: who asks for what and when, and what happens to the fleet."""
+"""Load patterns: the orders that arrive and the events in the fleet."""
 
 from __future__ import annotations
 
@@ -14,46 +14,51 @@
     from .engine import EngineShape
     from .simulation import Simulation
 
-# Answers a second that one warm engine of the usual shape gives to the usual mix;
-# measured by ``measure_capacity``.
+# Responses per second of one warm engine of the default shape under ``USUAL``.
 CAPACITY = 5.5
 WORKSPACES = 10
 
 
 @dataclass(frozen=True, slots=True)
 class Mix:
-    """A kind of order; token counts are means of an exponential, capped at fourfold."""
+    """Distribution of orders.
+
+    Prompt and output tokens are means of exponential distributions, which are capped
+    at four times the mean.
+    """
 
     prompt_tokens: int = 800
     output_tokens: int = 60
     max_tokens: int = 256
-    # Seconds a caller waits for the whole answer.
+    # Seconds that a caller waits for the complete response.
     timeout_seconds: float = 12.0
 
 
 USUAL = Mix()
-LONG = Mix(prompt_tokens=16_000, output_tokens=240, max_tokens=960, timeout_seconds=60.0)
+LONG = Mix(
+    prompt_tokens=16_000, output_tokens=240, max_tokens=960, timeout_seconds=60.0
+)
 
 
 @dataclass(slots=True)
 class Scenario:
-    """A load pattern over a fleet."""
+    """A load pattern and the fleet that it runs on; times are in seconds."""
 
     name: str
     orders: list[Order]
     targets: int
-    # Orders that arrive before this second are not judged: the fleet warms up.
+    # Orders that arrive earlier are not measured: the fleet warms up.
     measured_from: float = 10.0
     seconds: float = 60.0
     cold: bool = False
     shape: EngineShape | None = None
     prepare: Callable[[Simulation], None] = field(default=lambda _: None)
-    # Whose answers are judged.
+    # Selects the orders that are measured.
     is_measured: Callable[[Order], bool] = field(default=lambda _: True)
 
 
 class OrderGenerator:
-    """Draws orders; all draws come from one seeded generator."""
+    """Generates orders; all draws come from one seeded generator."""
 
     def __init__(self, seed: int) -> None:
         self._random = Random(seed)
@@ -71,7 +76,10 @@
         shared_tokens: int = 0,
         sources: int = WORKSPACES,
     ) -> OrderGenerator:
-        """Add Poisson arrivals; without a workspace they spread over all evenly."""
+        """Add Poisson arrivals at ``rate`` per second from ``start`` to ``end``.
+
+        Without a workspace they are spread evenly over ``sources`` workspaces.
+        """
         draw = self._random
         now = start + draw.expovariate(rate)
         while now < end:
@@ -100,7 +108,7 @@
 def make_overload(
     factor: float, targets: int, behaviour: Behaviour, seconds: float = 60.0
 ) -> Scenario:
-    """``factor`` times the fleet's capacity, all the time."""
+    """Return a constant load of ``factor`` times the fleet's capacity."""
     generator = OrderGenerator(11)
     rate = factor * CAPACITY * targets
     generator.add(rate, 0.0, seconds, behaviour=behaviour)
@@ -109,7 +117,10 @@
 
 
 def make_burst(targets: int) -> Scenario:
-    """Half of capacity, and for three seconds six times as much."""
+    """Return a load of half the capacity with a burst for three seconds.
+
+    The burst adds six times the capacity.
+    """
     generator = OrderGenerator(12)
     capacity = CAPACITY * targets
     generator.add(0.5 * capacity, 0.0, 50.0)
@@ -123,7 +134,10 @@
     behaviour: Behaviour = Behaviour.OBEDIENT,
     seconds: float = 45.0,
 ) -> Scenario:
-    """Nine workspaces at 70% of their shares; the tenth at 100 times its share."""
+    """Return nine workspaces at 70% of their shares and a tenth at 100 times its share.
+
+    The tenth sends only if ``hot`` is set, and its orders are not measured.
+    """
     generator = OrderGenerator(13)
     share = CAPACITY * targets / WORKSPACES
     generator.add(0.7 * share * (WORKSPACES - 1), 0.0, seconds, sources=WORKSPACES - 1)
@@ -137,7 +151,10 @@
 
 
 def make_hot_prefix(targets: int) -> Scenario:
-    """Half of all orders share a catalogue of 6,000 tokens: more than one carries."""
+    """Return a load of which half the orders share a prefix of 6,000 tokens.
+
+    These orders exceed the capacity of a single target.
+    """
     generator = OrderGenerator(14)
     capacity = CAPACITY * targets
     generator.add(0.4 * capacity, 0.0, 45.0)
@@ -148,7 +165,7 @@
 
 
 def make_slow_target(targets: int) -> Scenario:
-    """At 60% of capacity one target falls to a tenth of its speed for half a minute."""
+    """Return a load of 60% of capacity; one target slows down to a tenth for 30 s."""
     generator = OrderGenerator(15)
     generator.add(0.6 * CAPACITY * targets, 0.0, 60.0)
 
@@ -157,11 +174,16 @@
         simulation.clock.call_at(15.0, lambda: engine.set_speed(0.1))
         simulation.clock.call_at(45.0, lambda: engine.set_speed(1.0))
 
-    return Scenario("slow target", generator.orders, targets, 15.0, 60.0, prepare=prepare)
+    return Scenario(
+        "slow target", generator.orders, targets, 15.0, 60.0, prepare=prepare
+    )
 
 
 def make_long_among_short(targets: int) -> Scenario:
-    """Short orders at 60% of capacity, judged, and long ones that fill the rest."""
+    """Return short orders at 60% of capacity and long ones that fill the rest.
+
+    Only the short ones are measured.
+    """
     generator = OrderGenerator(16)
     generator.add(0.6 * CAPACITY * targets, 0.0, 60.0)
     generator.add(0.08 * CAPACITY * targets, 0.0, 60.0, LONG)
@@ -171,14 +193,14 @@
 
 
 def make_cold_fleet(targets: int) -> Scenario:
-    """Every engine starts cold and meets 80% of the warm fleet's capacity at once."""
+    """Return a load of 80% of the warm capacity on a fleet that starts cold."""
     generator = OrderGenerator(17)
     generator.add(0.8 * CAPACITY * targets, 0.0, 60.0)
     return Scenario("cold fleet", generator.orders, targets, 0.0, 60.0, cold=True)
 
 
 def make_sudden_cold(targets: int) -> Scenario:
-    """A third of the engines turn cold without a new start id; load 60%."""
+    """Return a load of 60%; a third of the engines turn cold without a new start id."""
     generator = OrderGenerator(19)
     generator.add(0.6 * CAPACITY * targets, 0.0, 60.0)
     cold_targets = [f"t{n}" for n in range(targets // 3)]
@@ -187,13 +209,15 @@
         for name in cold_targets:
             simulation.clock.call_at(20.0, simulation.agents[name].engine.reset_warmup)
 
-    return Scenario("sudden cold", generator.orders, targets, 15.0, 60.0, prepare=prepare)
+    return Scenario(
+        "sudden cold", generator.orders, targets, 15.0, 60.0, prepare=prepare
+    )
 
 
 def make_data_centre(targets: int) -> Scenario:
-    """A third of the fleet leaves at 20 s and returns cold at 40 s.
+    """Return a load; a third of the fleet leaves at 20 s and returns cold at 40 s.
 
-    The load is 80% of what the remaining two thirds can carry.
+    The load is 80% of the capacity of the remaining two thirds.
     """
     generator = OrderGenerator(18)
     generator.add(0.8 * CAPACITY * targets * 2 / 3, 0.0, 80.0)
@@ -214,7 +238,9 @@
         simulation.clock.call_at(20.0, lambda: remove_targets(simulation))
         simulation.clock.call_at(40.0, lambda: restore_targets(simulation))
 
-    return Scenario("data centre", generator.orders, targets, 15.0, 80.0, prepare=prepare)
+    return Scenario(
+        "data centre", generator.orders, targets, 15.0, 80.0, prepare=prepare
+    )
 
 
 def list_scenarios(targets: int = 9) -> list[Scenario]:
--- a/tools/bench_load/simulation.py
+++ b/tools/bench_load/simulation.py
@@ -1,4 +1,4 @@
-"""Callers, gateways and agents around the decisions, under simulated time."""
+"""Simulates callers, gateways and agents around the decisions in simulated time."""
 
 from __future__ import annotations
 
@@ -48,41 +48,41 @@
 
 HOP_SECONDS = 0.001
 TICK_SECONDS = 0.1
-# An eager caller asks again after this, so many times.
+# An eager caller retries after this delay, up to this number of times.
 EAGER_RETRY_SECONDS = 0.1
 EAGER_MAX_RETRIES = 20
-# Callers that see a broken answer or a useless hint ask again after this.
+# Callers retry after this delay if a response broke off or a refusal has no retry time.
 PLAIN_RETRY_SECONDS = 1.0
 SERVICE = "chat"
 BLOCK_TOKENS = 100
 
 
 class AdmissionInterface(Protocol):
-    """What the driver needs of an agent's decisions."""
+    """Interface of an agent's admission decisions that the simulation uses."""
 
     @property
     def running(self) -> int:
-        """Return how many requests the target has."""
+        """Return the number of running requests."""
         ...
 
     @property
     def waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         ...
 
     @property
     def limit(self) -> int:
-        """Return how many requests the target may have at once."""
+        """Return the maximum number of running requests."""
         ...
 
     @property
     def prefill_rate(self) -> float:
-        """Return prompt tokens a second, 0 when unknown."""
+        """Return the prefill rate in prompt tokens per second; 0 if unknown."""
         ...
 
     @property
     def accepting(self) -> bool:
-        """Say whether new work is taken at all."""
+        """Return whether new requests are accepted."""
         ...
 
     def estimate_delay(self) -> float:
@@ -90,25 +90,25 @@
         ...
 
     def handle(self, event: AdmissionEvent) -> list[AdmissionDecision]:
-        """Take one event; return the decisions it calls for."""
+        """Apply one event and return the resulting decisions."""
         ...
 
 
 class RouterInterface(Protocol):
-    """What the driver needs of a gateway's decisions."""
+    """Interface of a gateway's routing decisions that the simulation uses."""
 
     def handle(self, event: RoutingEvent) -> RoutingDecision | None:
-        """Take one event; return the decision it calls for, if any."""
+        """Apply one event and return the resulting decision, if any."""
         ...
 
     def abandon(self, request_id: str) -> None:
-        """Forget a request whose caller has left."""
+        """Discard a request whose caller has disconnected."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """Makes the decisions that a run is about."""
+    """Factories of the admission and routing decisions of a run."""
 
     name: str
     make_admission: Callable[[Random], AdmissionInterface]
@@ -117,7 +117,7 @@
 
 @dataclass(slots=True)
 class _Attempt:
-    """One order at one agent, with the ways back to its gateway."""
+    """One attempt to serve an order at an agent; times are in seconds."""
 
     order: Order
     attempt_id: str
@@ -128,7 +128,7 @@
 
 
 class SimulatedAgent:
-    """An agent: the only way to its engine."""
+    """An agent, through which all requests to its engine pass."""
 
     def __init__(self, simulation: Simulation, name: str, cold: bool) -> None:
         self.name = name
@@ -142,7 +142,7 @@
         self._tick()
 
     def report(self) -> TargetLoad:
-        """Return the load as it is piggybacked on answers."""
+        """Return the load report that is attached to responses."""
         admission = self.admission
         return TargetLoad(
             running=admission.running,
@@ -155,26 +155,26 @@
         )
 
     def restart_agent(self) -> None:
-        """Replace the agent process: streams break, its memory is gone."""
+        """Restart the agent process: its streams fail and its state is lost."""
         for attempt_id in list(self._attempts):
             self.engine.cancel(attempt_id)
             self._fail(attempt_id)
         self.admission = self._simulation.make_admission()
 
     def stop(self) -> None:
-        """Leave: what waits is turned away, what runs goes on."""
+        """Stop admission: waiting requests are rejected, running ones continue."""
         self.stopped = True
         self.handle_event(StopRequested(self._clock.now))
 
     def restart_cold(self) -> None:
-        """Come back as a fresh VM: a new agent process and a cold engine."""
+        """Restart as on a new VM, with a new agent process and a cold engine."""
         self.stopped = False
         self.engine.reset_warmup()
         self.engine.starts += 1
         self.admission = self._simulation.make_admission()
 
     def serve(self, attempt: _Attempt) -> None:
-        """Take an attempt from a gateway."""
+        """Request admission for an attempt from a gateway."""
         order = attempt.order
         self._attempts[attempt.attempt_id] = attempt
         if not self.engine.up:
@@ -193,10 +193,12 @@
         )
         self.handle_event(work)
         if order.deadline > self._clock.now:
-            self._clock.call_at(order.deadline, lambda: self._cancel(attempt.attempt_id))
+            self._clock.call_at(
+                order.deadline, lambda: self._cancel(attempt.attempt_id)
+            )
 
     def handle_event(self, event: AdmissionEvent) -> None:
-        """Pass an event to the decisions and carry out what they answer."""
+        """Pass an event to the admission decisions and execute the result."""
         for decision in self.admission.handle(event):
             if isinstance(decision, Start):
                 self._start(decision.request_id)
@@ -206,7 +208,9 @@
     def _start(self, attempt_id: str) -> None:
         attempt = self._attempts.get(attempt_id)
         if attempt is None:
-            self.handle_event(RequestFinished(self._clock.now, attempt_id, False, cancelled=True))
+            self.handle_event(
+                RequestFinished(self._clock.now, attempt_id, False, cancelled=True)
+            )
             return
         if not self.engine.up:
             self._fail(attempt_id, ExecutionStatus.NOT_EXECUTED)
@@ -214,7 +218,9 @@
         self.engine.run(
             attempt_id,
             attempt.order,
-            lambda uncached_tokens: self._handle_first_token(attempt_id, uncached_tokens),
+            lambda uncached_tokens: self._handle_first_token(
+                attempt_id, uncached_tokens
+            ),
             lambda: self._finish(attempt_id),
             lambda: self._fail(attempt_id),
         )
@@ -223,7 +229,9 @@
         attempt = self._attempts[attempt_id]
         attempt.first_byte = self._clock.now - attempt.sent_at
         attempt.order.first_token = self._clock.now + HOP_SECONDS
-        self.handle_event(FirstTokenReceived(self._clock.now, attempt_id, uncached_tokens))
+        self.handle_event(
+            FirstTokenReceived(self._clock.now, attempt_id, uncached_tokens)
+        )
         self._simulation.report_first_byte(self, attempt)
 
     def _finish(self, attempt_id: str) -> None:
@@ -246,14 +254,16 @@
             self._respond(attempt, ExecutionStatus.NOT_EXECUTED, reject.retry_after)
 
     def _cancel(self, attempt_id: str) -> None:
-        """The caller left at its deadline."""
+        """Cancel an attempt whose caller disconnected at its deadline."""
         attempt = self._attempts.pop(attempt_id, None)
         if attempt is None:
             return
         order_id = str(attempt.order.order_id)
         self.engine.cancel(attempt_id)
         self.handle_event(RequestCancelled(self._clock.now, attempt_id))
-        self.handle_event(RequestFinished(self._clock.now, attempt_id, False, cancelled=True))
+        self.handle_event(
+            RequestFinished(self._clock.now, attempt_id, False, cancelled=True)
+        )
         self._simulation.abandon(order_id)
 
     def _respond(
@@ -288,7 +298,7 @@
 
 
 class Simulation:
-    """Some gateways and agents, and the callers' orders."""
+    """Gateways, agents and the orders of callers, driven by a simulated clock."""
 
     def __init__(
         self,
@@ -313,15 +323,15 @@
         self.update_fleet(names)
 
     def make_admission(self) -> AdmissionInterface:
-        """Return a fresh admission for an agent process."""
+        """Return new admission decisions for an agent process."""
         return self._policy.make_admission(Random(self._random.random()))
 
     def abandon(self, order_id: str) -> None:
-        """Tell the gateway that its caller left."""
+        """Report to the order's gateway that the caller disconnected."""
         self._routers_by_order[order_id].abandon(order_id)
 
     def update_fleet(self, names: Sequence[str]) -> None:
-        """Tell every gateway which targets may be used."""
+        """Send the list of usable targets to every gateway."""
         views = tuple(
             TargetView(name, SERVICE, Distance.SAME_DATA_CENTRE) for name in names
         )
@@ -329,7 +339,7 @@
             router.handle(FleetChanged(self.clock.now, views))
 
     def submit(self, orders: Sequence[Order]) -> None:
-        """Let the callers ask at their arrival times."""
+        """Schedule the orders at their arrival times."""
         for order in orders:
             self.orders.append(order)
             self.clock.call_at(order.arrival, partial(self._send_order, order))
@@ -339,7 +349,7 @@
         self.clock.run(until)
 
     def report_first_byte(self, agent: SimulatedAgent, attempt: _Attempt) -> None:
-        """Bring the load that came with an answer's head to its gateway."""
+        """Report the first byte and the load in the response head to the gateway."""
         router = self._routers_by_order[str(attempt.order.order_id)]
         now, request_id = self.clock.now, str(attempt.order.order_id)
         router.handle(TargetReported(now, agent.name, agent.report()))
@@ -347,8 +357,10 @@
             FirstByteReceived(now, request_id, agent.name, attempt.first_byte)
         )
 
-    def end_attempt(self, attempt: _Attempt, ended: AttemptEnded, load: TargetLoad) -> None:
-        """Bring an attempt's end to its gateway and carry out the decision."""
+    def end_attempt(
+        self, attempt: _Attempt, ended: AttemptEnded, load: TargetLoad
+    ) -> None:
+        """Report an attempt's end to its gateway and execute the decision."""
         order = attempt.order
         router = self._routers_by_order[ended.request_id]
         router.handle(TargetReported(self.clock.now, ended.target, load))
--- a/tools/bench_load/table.py
+++ b/tools/bench_load/table.py
@@ -1,4 +1,4 @@
-"""Runs every scenario with every policy and prints one table."""
+"""Runs every scenario with every policy and prints a table of the outcomes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 MAX_RUNNING = 32
 MAX_WAITING = 64
-# What a baseline runs at once: the engine's best batch, which it is told.
+# Concurrent requests of a baseline, which is given the engine's best batch size.
 BASELINE_RUNNING = 16
 
 BAMBOOPIER = Policy(
@@ -44,7 +44,7 @@
 
 
 def simulate(policy: Policy, scenario: Scenario, seed: int = 1) -> Simulation:
-    """Run a scenario to its end and until its last caller has left."""
+    """Run a scenario until one second after its last deadline."""
     simulation = Simulation(
         policy, scenario.targets, seed=seed, shape=scenario.shape, cold=scenario.cold
     )
@@ -55,7 +55,7 @@
 
 
 def format_row(name: str, policy: str, outcome: Outcome) -> str:
-    """Return one line of the table."""
+    """Return one row of the table in Markdown."""
     cells = (
         name,
         policy,
@@ -76,7 +76,10 @@
 
 
 def main(only: str = "", output: str = "", ours: bool = False) -> None:
-    """Print the table; ``only`` picks scenarios by part of their name."""
+    """Print the table; ``only`` selects scenarios by a part of their name.
+
+    ``output`` is a file for the rows as JSON; ``ours`` leaves out the baselines.
+    """
     rows: list[dict[str, object]] = []
     print(HEADINGS)
     print("|" + "---|" * (HEADINGS.count("|") - 1))
