--- a/tools/bench_load/scenarios.py
+++ b/tools/bench_load/scenarios.py
@@ -1,4 +1,4 @@
-"""The load patterns: who asks for what and when, and what happens to the fleet."""
+"""Load patterns: the orders that arrive and the events in the fleet."""
 
 from __future__ import annotations
 
@@ -14,46 +14,51 @@
     from .engine import EngineShape
     from .simulation import Simulation
 
-# Answers a second that one warm engine of the usual shape gives to the usual mix;
-# measured by ``measure_capacity``.
+# Responses per second of one warm engine of the default shape under ``USUAL``.
 CAPACITY = 5.5
 WORKSPACES = 10
 
 
 @dataclass(frozen=True, slots=True)
 class Mix:
-    """A kind of order; token counts are means of an exponential, capped at fourfold."""
+    """Distribution of orders.
+
+    Prompt and output tokens are means of exponential distributions, which are capped
+    at four times the mean.
+    """
 
     prompt_tokens: int = 800
     output_tokens: int = 60
     max_tokens: int = 256
-    # Seconds a caller waits for the whole answer.
-    patience: float = 12.0
+    # Seconds that a caller waits for the complete response.
+    timeout_seconds: float = 12.0
 
 
 USUAL = Mix()
-LONG = Mix(prompt_tokens=16_000, output_tokens=240, max_tokens=960, patience=60.0)
+LONG = Mix(
+    prompt_tokens=16_000, output_tokens=240, max_tokens=960, timeout_seconds=60.0
+)
 
 
 @dataclass(slots=True)
 class Scenario:
-    """A load pattern over a fleet."""
+    """A load pattern and the fleet that it runs on; times are in seconds."""
 
     name: str
     orders: list[Order]
     targets: int
-    # Orders that arrive before this second are not judged: the fleet warms up.
-    judged_from: float = 10.0
+    # Orders that arrive earlier are not measured: the fleet warms up.
+    measured_from: float = 10.0
     seconds: float = 60.0
     cold: bool = False
     shape: EngineShape | None = None
     prepare: Callable[[Simulation], None] = field(default=lambda _: None)
-    # Whose answers are judged.
-    wanted: Callable[[Order], bool] = field(default=lambda _: True)
+    # Selects the orders that are measured.
+    is_measured: Callable[[Order], bool] = field(default=lambda _: True)
 
 
-class OrderMaker:
-    """Draws orders; all draws come from one seeded generator."""
+class OrderGenerator:
+    """Generates orders; all draws come from one seeded generator."""
 
     def __init__(self, seed: int) -> None:
         self._random = Random(seed)
@@ -70,8 +75,11 @@
         prefix: str = "",
         shared_tokens: int = 0,
         sources: int = WORKSPACES,
-    ) -> OrderMaker:
-        """Add Poisson arrivals; without a workspace they spread over all evenly."""
+    ) -> OrderGenerator:
+        """Add Poisson arrivals at ``rate`` per second from ``start`` to ``end``.
+
+        Without a workspace they are spread evenly over ``sources`` workspaces.
+        """
         draw = self._random
         now = start + draw.expovariate(rate)
         while now < end:
@@ -83,7 +91,7 @@
                 arrival=now,
                 prompt_tokens=prompt + shared_tokens,
                 output_tokens=self._draw_tokens(mix.output_tokens),
-                deadline=now + mix.patience,
+                deadline=now + mix.timeout_seconds,
                 max_tokens=mix.max_tokens,
                 prefix=prefix,
                 shared_tokens=shared_tokens,
@@ -100,121 +108,139 @@
 def make_overload(
     factor: float, targets: int, behaviour: Behaviour, seconds: float = 60.0
 ) -> Scenario:
-    """``factor`` times the fleet's capacity, all the time."""
-    maker = OrderMaker(11)
+    """Return a constant load of ``factor`` times the fleet's capacity."""
+    generator = OrderGenerator(11)
     rate = factor * CAPACITY * targets
-    maker.add(rate, 0.0, seconds, behaviour=behaviour)
+    generator.add(rate, 0.0, seconds, behaviour=behaviour)
     name = f"overload x{factor:g} {behaviour.value}"
-    return Scenario(name, maker.orders, targets, 15.0, seconds)
+    return Scenario(name, generator.orders, targets, 15.0, seconds)
 
 
 def make_burst(targets: int) -> Scenario:
-    """Half of capacity, and for three seconds six times as much."""
-    maker = OrderMaker(12)
+    """Return a load of half the capacity with a burst for three seconds.
+
+    The burst adds six times the capacity.
+    """
+    generator = OrderGenerator(12)
     capacity = CAPACITY * targets
-    maker.add(0.5 * capacity, 0.0, 50.0)
-    maker.add(6 * capacity, 20.0, 23.0)
-    return Scenario("burst", maker.orders, targets, 15.0, 50.0)
+    generator.add(0.5 * capacity, 0.0, 50.0)
+    generator.add(6 * capacity, 20.0, 23.0)
+    return Scenario("burst", generator.orders, targets, 15.0, 50.0)
 
 
-def make_hot_caller(
+def make_heavy_hitter(
     targets: int,
     hot: bool,
     behaviour: Behaviour = Behaviour.OBEDIENT,
     seconds: float = 45.0,
 ) -> Scenario:
-    """Nine workspaces at 70% of their shares; the tenth at 100 times its share."""
-    maker = OrderMaker(13)
+    """Return nine workspaces at 70% of their shares and a tenth at 100 times its share.
+
+    The tenth sends only if ``hot`` is set, and its orders are not measured.
+    """
+    generator = OrderGenerator(13)
     share = CAPACITY * targets / WORKSPACES
-    maker.add(0.7 * share * (WORKSPACES - 1), 0.0, seconds, sources=WORKSPACES - 1)
+    generator.add(0.7 * share * (WORKSPACES - 1), 0.0, seconds, sources=WORKSPACES - 1)
     name = "hot caller: others without it"
     if hot:
         name = f"hot caller: others with it, {behaviour.value}"
-        maker.add(100 * share, 0.0, seconds, workspace="hot", behaviour=behaviour)
-    scenario = Scenario(name, maker.orders, targets, 15.0, seconds)
-    scenario.wanted = lambda order: order.workspace != "hot"
+        generator.add(100 * share, 0.0, seconds, workspace="hot", behaviour=behaviour)
+    scenario = Scenario(name, generator.orders, targets, 15.0, seconds)
+    scenario.is_measured = lambda order: order.workspace != "hot"
     return scenario
 
 
 def make_hot_prefix(targets: int) -> Scenario:
-    """Half of all orders share a catalogue of 6,000 tokens: more than one carries."""
-    maker = OrderMaker(14)
+    """Return a load of which half the orders share a prefix of 6,000 tokens.
+
+    These orders exceed the capacity of a single target.
+    """
+    generator = OrderGenerator(14)
     capacity = CAPACITY * targets
-    maker.add(0.4 * capacity, 0.0, 45.0)
+    generator.add(0.4 * capacity, 0.0, 45.0)
     short = Mix(prompt_tokens=200, output_tokens=40, max_tokens=160)
     hot = 0.4 * capacity
-    maker.add(hot, 0.0, 45.0, short, prefix="catalogue", shared_tokens=6000)
-    return Scenario("hot prefix", maker.orders, targets, 15.0, 45.0)
+    generator.add(hot, 0.0, 45.0, short, prefix="catalogue", shared_tokens=6000)
+    return Scenario("hot prefix", generator.orders, targets, 15.0, 45.0)
 
 
 def make_slow_target(targets: int) -> Scenario:
-    """At 60% of capacity one target falls to a tenth of its speed for half a minute."""
-    maker = OrderMaker(15)
-    maker.add(0.6 * CAPACITY * targets, 0.0, 60.0)
+    """Return a load of 60% of capacity; one target slows down to a tenth for 30 s."""
+    generator = OrderGenerator(15)
+    generator.add(0.6 * CAPACITY * targets, 0.0, 60.0)
 
     def prepare(simulation: Simulation) -> None:
         engine = simulation.agents["t0"].engine
         simulation.clock.call_at(15.0, lambda: engine.set_speed(0.1))
         simulation.clock.call_at(45.0, lambda: engine.set_speed(1.0))
 
-    return Scenario("slow target", maker.orders, targets, 15.0, 60.0, prepare=prepare)
+    return Scenario(
+        "slow target", generator.orders, targets, 15.0, 60.0, prepare=prepare
+    )
 
 
 def make_long_among_short(targets: int) -> Scenario:
-    """Short orders at 60% of capacity, judged, and long ones that fill the rest."""
-    maker = OrderMaker(16)
-    maker.add(0.6 * CAPACITY * targets, 0.0, 60.0)
-    maker.add(0.08 * CAPACITY * targets, 0.0, 60.0, LONG)
-    scenario = Scenario("long among short", maker.orders, targets, 15.0, 60.0)
-    scenario.wanted = lambda order: order.max_tokens == USUAL.max_tokens
+    """Return short orders at 60% of capacity and long ones that fill the rest.
+
+    Only the short ones are measured.
+    """
+    generator = OrderGenerator(16)
+    generator.add(0.6 * CAPACITY * targets, 0.0, 60.0)
+    generator.add(0.08 * CAPACITY * targets, 0.0, 60.0, LONG)
+    scenario = Scenario("long among short", generator.orders, targets, 15.0, 60.0)
+    scenario.is_measured = lambda order: order.max_tokens == USUAL.max_tokens
     return scenario
 
 
 def make_cold_fleet(targets: int) -> Scenario:
-    """Every engine starts cold and meets 80% of the warm fleet's capacity at once."""
-    maker = OrderMaker(17)
-    maker.add(0.8 * CAPACITY * targets, 0.0, 60.0)
-    return Scenario("cold fleet", maker.orders, targets, 0.0, 60.0, cold=True)
+    """Return a load of 80% of the warm capacity on a fleet that starts cold."""
+    generator = OrderGenerator(17)
+    generator.add(0.8 * CAPACITY * targets, 0.0, 60.0)
+    return Scenario("cold fleet", generator.orders, targets, 0.0, 60.0, cold=True)
 
 
 def make_sudden_cold(targets: int) -> Scenario:
-    """A third of the engines turn cold without a new start id; load 60%."""
-    maker = OrderMaker(19)
-    maker.add(0.6 * CAPACITY * targets, 0.0, 60.0)
-    chilled = [f"t{n}" for n in range(targets // 3)]
+    """Return a load of 60%; a third of the engines turn cold without a new start id."""
+    generator = OrderGenerator(19)
+    generator.add(0.6 * CAPACITY * targets, 0.0, 60.0)
+    cold_targets = [f"t{n}" for n in range(targets // 3)]
 
     def prepare(simulation: Simulation) -> None:
-        for name in chilled:
-            simulation.clock.call_at(20.0, simulation.agents[name].engine.chill)
+        for name in cold_targets:
+            simulation.clock.call_at(20.0, simulation.agents[name].engine.reset_warmup)
 
-    return Scenario("sudden cold", maker.orders, targets, 15.0, 60.0, prepare=prepare)
+    return Scenario(
+        "sudden cold", generator.orders, targets, 15.0, 60.0, prepare=prepare
+    )
 
 
 def make_data_centre(targets: int) -> Scenario:
-    """A third of the fleet leaves at 20 s and returns cold at 40 s.
+    """Return a load; a third of the fleet leaves at 20 s and returns cold at 40 s.
 
-    The load is 80% of what the remaining two thirds can carry.
+    The load is 80% of the capacity of the remaining two thirds.
     """
-    maker = OrderMaker(18)
-    maker.add(0.8 * CAPACITY * targets * 2 / 3, 0.0, 80.0)
+    generator = OrderGenerator(18)
+    generator.add(0.8 * CAPACITY * targets * 2 / 3, 0.0, 80.0)
     names = [f"t{n}" for n in range(targets)]
     leaving = names[: targets // 3]
 
-    def leave(simulation: Simulation) -> None:
-        simulation.announce(names[targets // 3 :])
+    def remove_targets(simulation: Simulation) -> None:
+        simulation.update_fleet(names[targets // 3 :])
         for name in leaving:
             simulation.agents[name].stop()
 
-    def come_back(simulation: Simulation) -> None:
+    def restore_targets(simulation: Simulation) -> None:
         for name in leaving:
-            simulation.agents[name].start_cold()
-        simulation.announce(names)
+            simulation.agents[name].restart_cold()
+        simulation.update_fleet(names)
 
     def prepare(simulation: Simulation) -> None:
-        simulation.clock.call_at(20.0, lambda: leave(simulation))
-        simulation.clock.call_at(40.0, lambda: come_back(simulation))
+        simulation.clock.call_at(20.0, lambda: remove_targets(simulation))
+        simulation.clock.call_at(40.0, lambda: restore_targets(simulation))
 
-    return Scenario("data centre", maker.orders, targets, 15.0, 80.0, prepare=prepare)
+    return Scenario(
+        "data centre", generator.orders, targets, 15.0, 80.0, prepare=prepare
+    )
 
 
 def list_scenarios(targets: int = 9) -> list[Scenario]:
@@ -228,9 +254,9 @@
         make_overload(1.0, targets, eager),
         make_overload(5.0, targets, eager),
         make_burst(targets),
-        make_hot_caller(targets, hot=False),
-        make_hot_caller(targets, hot=True),
-        make_hot_caller(targets, True, eager),
+        make_heavy_hitter(targets, hot=False),
+        make_heavy_hitter(targets, hot=True),
+        make_heavy_hitter(targets, True, eager),
         make_hot_prefix(targets),
         make_slow_target(targets),
         make_long_among_short(targets),
--- a/tools/bench_load/simulation.py
+++ b/tools/bench_load/simulation.py
@@ -1,4 +1,4 @@
-"""Callers, gateways and agents around the decisions, under simulated time."""
+"""Simulates callers, gateways and agents around the decisions in simulated time."""
 
 from __future__ import annotations
 
@@ -48,41 +48,41 @@
 
 HOP_SECONDS = 0.001
 TICK_SECONDS = 0.1
-# An eager caller asks again after this, so many times.
-EAGER_SECONDS = 0.1
-EAGER_ASKS = 20
-# Callers that see a broken answer or a useless hint ask again after this.
+# An eager caller retries after this delay, up to this number of times.
+EAGER_RETRY_SECONDS = 0.1
+EAGER_MAX_RETRIES = 20
+# Callers retry after this delay if a response broke off or a refusal has no retry time.
 PLAIN_RETRY_SECONDS = 1.0
 SERVICE = "chat"
 BLOCK_TOKENS = 100
 
 
-class AdmissionFront(Protocol):
-    """What the driver needs of an agent's decisions."""
+class AdmissionInterface(Protocol):
+    """Interface of an agent's admission decisions that the simulation uses."""
 
     @property
     def running(self) -> int:
-        """Return how many requests the target has."""
+        """Return the number of running requests."""
         ...
 
     @property
     def waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         ...
 
     @property
     def limit(self) -> int:
-        """Return how many requests the target may have at once."""
+        """Return the maximum number of running requests."""
         ...
 
     @property
     def prefill_rate(self) -> float:
-        """Return prompt tokens a second, 0 when unknown."""
+        """Return the prefill rate in prompt tokens per second; 0 if unknown."""
         ...
 
     @property
     def accepting(self) -> bool:
-        """Say whether new work is taken at all."""
+        """Return whether new requests are accepted."""
         ...
 
     def estimate_delay(self) -> float:
@@ -90,59 +90,59 @@
         ...
 
     def handle(self, event: AdmissionEvent) -> list[AdmissionDecision]:
-        """Take one event; return the decisions it calls for."""
+        """Apply one event and return the resulting decisions."""
         ...
 
 
-class RouterFront(Protocol):
-    """What the driver needs of a gateway's decisions."""
+class RouterInterface(Protocol):
+    """Interface of a gateway's routing decisions that the simulation uses."""
 
     def handle(self, event: RoutingEvent) -> RoutingDecision | None:
-        """Take one event; return the decision it calls for, if any."""
+        """Apply one event and return the resulting decision, if any."""
         ...
 
     def abandon(self, request_id: str) -> None:
-        """Forget a request whose caller has left."""
+        """Discard a request whose caller has disconnected."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """Makes the decisions that a run is about."""
+    """Factories of the admission and routing decisions of a run."""
 
     name: str
-    make_admission: Callable[[Random], AdmissionFront]
-    make_router: Callable[[Random], RouterFront]
+    make_admission: Callable[[Random], AdmissionInterface]
+    make_router: Callable[[Random], RouterInterface]
 
 
 @dataclass(slots=True)
 class _Attempt:
-    """One order at one agent, with the ways back to its gateway."""
+    """One attempt to serve an order at an agent; times are in seconds."""
 
     order: Order
-    ask_id: str
+    attempt_id: str
     target: str
-    sent: float
+    sent_at: float
     max_wait: float
     first_byte: float = 0.0
 
 
 class SimulatedAgent:
-    """An agent: the only way to its engine."""
+    """An agent, through which all requests to its engine pass."""
 
     def __init__(self, simulation: Simulation, name: str, cold: bool) -> None:
         self.name = name
         self._simulation = simulation
         self._clock = simulation.clock
         self.engine = SimulatedEngine(simulation.clock, simulation.shape, cold)
-        self.engine.on_restart = partial(self._note_restart)
+        self.engine.on_restart = partial(self._handle_restart)
         self.admission = simulation.make_admission()
-        self.out = False
+        self.stopped = False
         self._attempts: dict[str, _Attempt] = {}
         self._tick()
 
     def report(self) -> TargetLoad:
-        """Return the load as it is piggybacked on answers."""
+        """Return the load report that is attached to responses."""
         admission = self.admission
         return TargetLoad(
             running=admission.running,
@@ -155,34 +155,34 @@
         )
 
     def restart_agent(self) -> None:
-        """Replace the agent process: streams break, its memory is gone."""
-        for ask_id in list(self._attempts):
-            self.engine.cancel(ask_id)
-            self._fail(ask_id)
+        """Restart the agent process: its streams fail and its state is lost."""
+        for attempt_id in list(self._attempts):
+            self.engine.cancel(attempt_id)
+            self._fail(attempt_id)
         self.admission = self._simulation.make_admission()
 
     def stop(self) -> None:
-        """Leave: what waits is turned away, what runs goes on."""
-        self.out = True
-        self.tell(StopRequested(self._clock.now))
-
-    def start_cold(self) -> None:
-        """Come back as a fresh VM: a new agent process and a cold engine."""
-        self.out = False
-        self.engine.chill()
+        """Stop admission: waiting requests are rejected, running ones continue."""
+        self.stopped = True
+        self.handle_event(StopRequested(self._clock.now))
+
+    def restart_cold(self) -> None:
+        """Restart as on a new VM, with a new agent process and a cold engine."""
+        self.stopped = False
+        self.engine.reset_warmup()
         self.engine.starts += 1
         self.admission = self._simulation.make_admission()
 
     def serve(self, attempt: _Attempt) -> None:
-        """Take an attempt from a gateway."""
+        """Request admission for an attempt from a gateway."""
         order = attempt.order
-        self._attempts[attempt.ask_id] = attempt
+        self._attempts[attempt.attempt_id] = attempt
         if not self.engine.up:
-            self._fail(attempt.ask_id, ExecutionStatus.NOT_EXECUTED)
+            self._fail(attempt.attempt_id, ExecutionStatus.NOT_EXECUTED)
             return
         work = AdmissionRequested(
             now=self._clock.now,
-            request_id=attempt.ask_id,
+            request_id=attempt.attempt_id,
             workspace=order.workspace,
             weight=1.0,
             priority=order.priority,
@@ -191,72 +191,82 @@
             max_tokens=order.max_tokens,
             max_wait=attempt.max_wait,
         )
-        self.tell(work)
+        self.handle_event(work)
         if order.deadline > self._clock.now:
-            self._clock.call_at(order.deadline, lambda: self._cancel(attempt.ask_id))
+            self._clock.call_at(
+                order.deadline, lambda: self._cancel(attempt.attempt_id)
+            )
 
-    def tell(self, event: AdmissionEvent) -> None:
-        """Pass an event to the decisions and carry out what they answer."""
+    def handle_event(self, event: AdmissionEvent) -> None:
+        """Pass an event to the admission decisions and execute the result."""
         for decision in self.admission.handle(event):
             if isinstance(decision, Start):
                 self._start(decision.request_id)
             else:
                 self._reject(decision)
 
-    def _start(self, ask_id: str) -> None:
-        attempt = self._attempts.get(ask_id)
+    def _start(self, attempt_id: str) -> None:
+        attempt = self._attempts.get(attempt_id)
         if attempt is None:
-            self.tell(RequestFinished(self._clock.now, ask_id, False, cancelled=True))
+            self.handle_event(
+                RequestFinished(self._clock.now, attempt_id, False, cancelled=True)
+            )
             return
         if not self.engine.up:
-            self._fail(ask_id, ExecutionStatus.NOT_EXECUTED)
+            self._fail(attempt_id, ExecutionStatus.NOT_EXECUTED)
             return
         self.engine.run(
-            ask_id,
+            attempt_id,
             attempt.order,
-            lambda new: self._note_first(ask_id, new),
-            lambda: self._finish(ask_id),
-            lambda: self._fail(ask_id),
+            lambda uncached_tokens: self._handle_first_token(
+                attempt_id, uncached_tokens
+            ),
+            lambda: self._finish(attempt_id),
+            lambda: self._fail(attempt_id),
         )
 
-    def _note_first(self, ask_id: str, new: int) -> None:
-        attempt = self._attempts[ask_id]
-        attempt.first_byte = self._clock.now - attempt.sent
+    def _handle_first_token(self, attempt_id: str, uncached_tokens: int) -> None:
+        attempt = self._attempts[attempt_id]
+        attempt.first_byte = self._clock.now - attempt.sent_at
         attempt.order.first_token = self._clock.now + HOP_SECONDS
-        self.tell(FirstTokenReceived(self._clock.now, ask_id, new))
-        self._simulation.hear(self, attempt)
+        self.handle_event(
+            FirstTokenReceived(self._clock.now, attempt_id, uncached_tokens)
+        )
+        self._simulation.report_first_byte(self, attempt)
 
-    def _finish(self, ask_id: str) -> None:
-        attempt = self._attempts.pop(ask_id)
+    def _finish(self, attempt_id: str) -> None:
+        attempt = self._attempts.pop(attempt_id)
         tokens = attempt.order.output_tokens
-        self.tell(RequestFinished(self._clock.now, ask_id, True, tokens))
-        self._answer(attempt, ExecutionStatus.EXECUTED)
+        self.handle_event(RequestFinished(self._clock.now, attempt_id, True, tokens))
+        self._respond(attempt, ExecutionStatus.EXECUTED)
 
     def _fail(
-        self, ask_id: str, ran: ExecutionStatus = ExecutionStatus.UNKNOWN
+        self, attempt_id: str, ran: ExecutionStatus = ExecutionStatus.UNKNOWN
     ) -> None:
-        attempt = self._attempts.pop(ask_id)
-        self.tell(RequestCancelled(self._clock.now, ask_id))
-        self.tell(RequestFinished(self._clock.now, ask_id, succeeded=False))
-        self._answer(attempt, ran, broken=True)
+        attempt = self._attempts.pop(attempt_id)
+        self.handle_event(RequestCancelled(self._clock.now, attempt_id))
+        self.handle_event(RequestFinished(self._clock.now, attempt_id, succeeded=False))
+        self._respond(attempt, ran, broken=True)
 
     def _reject(self, reject: Reject) -> None:
         attempt = self._attempts.pop(reject.request_id, None)
         if attempt is not None:
-            self._answer(attempt, ExecutionStatus.NOT_EXECUTED, reject.retry_after)
+            self._respond(attempt, ExecutionStatus.NOT_EXECUTED, reject.retry_after)
 
-    def _cancel(self, ask_id: str) -> None:
-        """The caller left at its deadline."""
-        attempt = self._attempts.pop(ask_id, None)
+    def _cancel(self, attempt_id: str) -> None:
+        """Cancel an attempt whose caller disconnected at its deadline."""
+        attempt = self._attempts.pop(attempt_id, None)
         if attempt is None:
             return
         order_id = str(attempt.order.order_id)
-        self.engine.cancel(ask_id)
-        self.tell(RequestCancelled(self._clock.now, ask_id))
-        self.tell(RequestFinished(self._clock.now, ask_id, False, cancelled=True))
+        self.engine.cancel(attempt_id)
+        self.handle_event(RequestCancelled(self._clock.now, attempt_id))
+        self.handle_event(
+            RequestFinished(self._clock.now, attempt_id, False, cancelled=True)
+        )
         self._simulation.abandon(order_id)
 
-    def _answer(
+    def _respond(
         self,
         attempt: _Attempt,
         ran: ExecutionStatus,
@@ -276,19 +286,19 @@
         )
         load = self.report()
         self._clock.call_later(
-            HOP_SECONDS, lambda: self._simulation.end(attempt, ended, load)
+            HOP_SECONDS, lambda: self._simulation.end_attempt(attempt, ended, load)
         )
 
-    def _note_restart(self) -> None:
-        self.tell(TargetRestarted(self._clock.now))
+    def _handle_restart(self) -> None:
+        self.handle_event(TargetRestarted(self._clock.now))
 
     def _tick(self) -> None:
-        self.tell(Tick(self._clock.now))
+        self.handle_event(Tick(self._clock.now))
         self._clock.call_later(TICK_SECONDS, self._tick)
 
 
 class Simulation:
-    """Some gateways and agents, and the callers' orders."""
+    """Gateways, agents and the orders of callers, driven by a simulated clock."""
 
     def __init__(
         self,
@@ -309,19 +319,19 @@
         ]
         names = [f"t{number}" for number in range(targets)]
         self.agents = {name: SimulatedAgent(self, name, cold) for name in names}
-        self._homes: dict[str, RouterFront] = {}
-        self.announce(names)
+        self._routers_by_order: dict[str, RouterInterface] = {}
+        self.update_fleet(names)
 
-    def make_admission(self) -> AdmissionFront:
-        """Return a fresh admission for an agent process."""
+    def make_admission(self) -> AdmissionInterface:
+        """Return new admission decisions for an agent process."""
         return self._policy.make_admission(Random(self._random.random()))
 
     def abandon(self, order_id: str) -> None:
-        """Tell the gateway that its caller left."""
-        self._homes[order_id].abandon(order_id)
+        """Report to the order's gateway that the caller disconnected."""
+        self._routers_by_order[order_id].abandon(order_id)
 
-    def announce(self, names: Sequence[str]) -> None:
-        """Tell every gateway which targets may be used."""
+    def update_fleet(self, names: Sequence[str]) -> None:
+        """Send the list of usable targets to every gateway."""
         views = tuple(
             TargetView(name, SERVICE, Distance.SAME_DATA_CENTRE) for name in names
         )
@@ -329,40 +339,42 @@
             router.handle(FleetChanged(self.clock.now, views))
 
     def submit(self, orders: Sequence[Order]) -> None:
-        """Let the callers ask at their arrival times."""
+        """Schedule the orders at their arrival times."""
         for order in orders:
             self.orders.append(order)
-            self.clock.call_at(order.arrival, partial(self._ask, order))
+            self.clock.call_at(order.arrival, partial(self._send_order, order))
 
     def run(self, until: float) -> None:
         """Run to second ``until``."""
         self.clock.run(until)
 
-    def hear(self, agent: SimulatedAgent, attempt: _Attempt) -> None:
-        """Bring the load that came with an answer's head to its gateway."""
-        router = self._homes[str(attempt.order.order_id)]
+    def report_first_byte(self, agent: SimulatedAgent, attempt: _Attempt) -> None:
+        """Report the first byte and the load in the response head to the gateway."""
+        router = self._routers_by_order[str(attempt.order.order_id)]
         now, request_id = self.clock.now, str(attempt.order.order_id)
         router.handle(TargetReported(now, agent.name, agent.report()))
         router.handle(
             FirstByteReceived(now, request_id, agent.name, attempt.first_byte)
         )
 
-    def end(self, attempt: _Attempt, ended: AttemptEnded, load: TargetLoad) -> None:
-        """Bring an attempt's end to its gateway and carry out the decision."""
+    def end_attempt(
+        self, attempt: _Attempt, ended: AttemptEnded, load: TargetLoad
+    ) -> None:
+        """Report an attempt's end to its gateway and execute the decision."""
         order = attempt.order
-        router = self._homes[ended.request_id]
+        router = self._routers_by_order[ended.request_id]
         router.handle(TargetReported(self.clock.now, ended.target, load))
-        self._follow(order, router.handle(ended), ended.ran)
+        self._execute(order, router.handle(ended), ended.ran)
 
-    def _ask(self, order: Order) -> None:
+    def _send_order(self, order: Order) -> None:
         if self.clock.now >= order.deadline or order.in_time:
             return
-        order.asks += 1
-        order.asked = self.clock.now
+        order.submissions += 1
+        order.sent_at = self.clock.now
         order.first_token = 0.0
         router = self._random.choice(self._routers)
         request_id = str(order.order_id)
-        self._homes[request_id] = router
+        self._routers_by_order[request_id] = router
         keys = tuple(
             hashlib.blake2b(f"{order.prefix}:{n}".encode(), digest_size=16).digest()
             for n in range(order.shared_tokens // BLOCK_TOKENS)
@@ -379,33 +391,33 @@
             block_keys=keys,
             priority=order.priority,
         )
-        self._follow(order, router.handle(event), ExecutionStatus.NOT_EXECUTED)
+        self._execute(order, router.handle(event), ExecutionStatus.NOT_EXECUTED)
 
-    def _follow(
+    def _execute(
         self, order: Order, decision: RoutingDecision | None, ran: ExecutionStatus
     ) -> None:
         if isinstance(decision, Send):
             order.targets.append(decision.target)
-            sent = self.clock.now
+            sent_at = self.clock.now
             attempt = _Attempt(
-                order, order.ask_id, decision.target, sent, decision.max_wait
+                order, order.attempt_id, decision.target, sent_at, decision.max_wait
             )
             agent = self.agents[decision.target]
             self.clock.call_later(HOP_SECONDS, lambda: agent.serve(attempt))
         elif isinstance(decision, Refuse):
-            self._refuse(order, decision.retry_after)
+            self._handle_refusal(order, decision.retry_after)
         elif ran is ExecutionStatus.EXECUTED:
             order.finished = self.clock.now
         else:
             order.first_token = 0.0
-            self.clock.call_later(PLAIN_RETRY_SECONDS, lambda: self._ask(order))
+            self.clock.call_later(PLAIN_RETRY_SECONDS, lambda: self._send_order(order))
 
-    def _refuse(self, order: Order, retry_after: float) -> None:
-        order.refusals.append(self.clock.now - order.asked)
-        order.unhinted += retry_after <= 0
+    def _handle_refusal(self, order: Order, retry_after: float) -> None:
+        order.refusals.append(self.clock.now - order.sent_at)
+        order.refusals_without_retry_after += retry_after <= 0
         wait = retry_after or PLAIN_RETRY_SECONDS
         if order.behaviour is Behaviour.EAGER:
-            wait = EAGER_SECONDS
-            if order.asks > EAGER_ASKS:
+            wait = EAGER_RETRY_SECONDS
+            if order.submissions > EAGER_MAX_RETRIES:
                 return
-        self.clock.call_later(wait, lambda: self._ask(order))
+        self.clock.call_later(wait, lambda: self._send_order(order))
--- a/tools/bench_load/table.py
+++ b/tools/bench_load/table.py
@@ -1,4 +1,4 @@
-"""Runs every scenario with every policy and prints one table."""
+"""Runs every scenario with every policy and prints a table of the outcomes."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from bamboopier_decisions.routing.router import Router
 
 from .baselines import PlainRouter, UnboundedFifo
-from .outcome import Outcome, judge
+from .outcome import Outcome, evaluate
 from .scenarios import Scenario, list_scenarios
 from .simulation import Policy, Simulation
 
 MAX_RUNNING = 32
 MAX_WAITING = 64
-# What a baseline runs at once: the engine's best batch, which it is told.
+# Concurrent requests of a baseline, which is given the engine's best batch size.
 BASELINE_RUNNING = 16
 
-OURS = Policy(
+BAMBOOPIER = Policy(
     "bamboopier",
     lambda random: AdmissionController(MAX_RUNNING, MAX_WAITING, random),
     Router,
@@ -44,7 +44,7 @@
 
 
 def simulate(policy: Policy, scenario: Scenario, seed: int = 1) -> Simulation:
-    """Run a scenario to its end and until its last caller has left."""
+    """Run a scenario until one second after its last deadline."""
     simulation = Simulation(
         policy, scenario.targets, seed=seed, shape=scenario.shape, cold=scenario.cold
     )
@@ -55,7 +55,7 @@
 
 
 def format_row(name: str, policy: str, outcome: Outcome) -> str:
-    """Return one line of the table."""
+    """Return one row of the table in Markdown."""
     cells = (
         name,
         policy,
@@ -76,16 +76,19 @@
 
 
 def main(only: str = "", output: str = "", ours: bool = False) -> None:
-    """Print the table; ``only`` picks scenarios by part of their name."""
+    """Print the table; ``only`` selects scenarios by a part of their name.
+
+    ``output`` is a file for the rows as JSON; ``ours`` leaves out the baselines.
+    """
     rows: list[dict[str, object]] = []
     print(HEADINGS)
     print("|" + "---|" * (HEADINGS.count("|") - 1))
-    for policy in (OURS,) if ours else (OURS, ROUND_ROBIN, LEAST_LOADED):
+    for policy in (BAMBOOPIER,) if ours else (BAMBOOPIER, ROUND_ROBIN, LEAST_LOADED):
         for scenario in list_scenarios():
             if only not in scenario.name:
                 continue
             simulation = simulate(policy, scenario)
-            outcome = judge(simulation, scenario, scenario.wanted)
+            outcome = evaluate(simulation, scenario, scenario.is_measured)
             print(format_row(scenario.name, policy.name, outcome), flush=True)
             row = {"scenario": scenario.name, "policy": policy.name}
             rows.append({**row, **asdict(outcome)})
