--- a/tests/builders.py
+++ b/tests/builders.py
@@ -20,7 +20,7 @@
 
 @dataclass
 class Response:
-    """What a caller received."""
+    """The HTTP response that a caller received."""
 
     status: int
     headers: dict[str, str]
@@ -33,7 +33,7 @@
 
 
 def build_small_installation(installation: Installation, gateways: int = 1) -> None:
-    """Start one engine, one plain target and some gateways, with Fosse's files."""
+    """Start one engine, one plain target and gateways with Fosse's configuration."""
     installation.start_platform()
     installation.start_store("store-1", "fault-desk-context", "dc-east")
     engine = {"block_tokens": 2000, "capacity": 16}
@@ -61,7 +61,7 @@
     headers: dict[str, str] | None = None,
     key: str = FOSSE_KEY,
 ) -> Response:
-    """Make one HTTP call as an ordinary caller would."""
+    """Make one HTTP call with an API key and return the response."""
     connection = http.client.HTTPConnection(urlsplit(url).netloc, timeout=30)
     sent = {"Authorization": f"Bearer {key}", **(headers or {})}
     data = json.dumps(body) if body is not None else None
@@ -74,6 +74,6 @@
 
 
 def dispatch_van(url: str, key: str, pillar: str = "A46-117") -> Response:
-    """Order a fitter van under an idempotency key."""
+    """Send one van dispatch with an idempotency key."""
     headers = {"Idempotency-Key": key}
     return call(url, "POST", "/services/dispatch/vans", {"pillar": pillar}, headers)
--- a/tests/dispatch_harness.py
+++ b/tests/dispatch_harness.py
@@ -1,4 +1,4 @@
-"""Two gateways and two agents before one target, with a relay on every hop."""
+"""Runs two gateways and two agents for one target, with a relay on every hop."""
 
 from __future__ import annotations
 
@@ -26,29 +26,29 @@
 WORKSPACE = "fosse-midlands"
 AGENTS = ("vans-1", "vans-2")
 GATEWAYS = ("gateway-1", "gateway-2")
-# The caller's deadline; a frozen hop costs a cell this long.
+# Timeout of the caller; a cell with a frozen hop takes this long.
 TIMEOUT_SECONDS = 0.8
-# How long a caller keeps asking while it is told to come back.
+# How long a caller retries while responses carry Retry-After.
 RETRY_TIMEOUT_SECONDS = 45.0
 WAIT_TIMEOUT_SECONDS = 20.0
-# Longer than a gateway passes over an agent that broke again and again, 30 s.
+# Longer than the maximum time a gateway skips an agent that crashed often, 30 s.
 WARM_UP_TIMEOUT_SECONDS = 60.0
-# Passed on to the target with the caller's other headers.
+# Forwarded to the target with the other headers of the caller.
 ATTEMPT_HEADER = "X-Send"
 
 
 @dataclass(frozen=True)
 class Dispatch:
-    """One dispatch as its caller sends it, again and again."""
+    """One dispatch, which its caller may send in several attempts."""
 
     pillar: str
     key: str
-    # Tells one send of the order from another in the target's record.
+    # Distinguishes the attempts of a dispatch in the target's log.
     attempt_name: str = "first"
 
     @property
     def headers(self) -> dict[str, str]:
-        """Return the caller's headers."""
+        """Return the headers of the request."""
         sent = {
             "Authorization": f"Bearer {FOSSE_KEY}",
             "X-Timeout-Seconds": str(TIMEOUT_SECONDS),
@@ -58,7 +58,7 @@
 
 
 class Caller:
-    """One send of an order; it can leave while it waits."""
+    """One attempt of a dispatch; the caller can disconnect while it waits."""
 
     def __init__(self, url: str, dispatch: Dispatch) -> None:
         self._dispatch = dispatch
@@ -67,7 +67,7 @@
         )
 
     def send(self) -> Response | None:
-        """Return the answer, or None when none arrived whole."""
+        """Return the response, or None if no complete response arrived."""
         body = json.dumps({"pillar": self._dispatch.pillar})
         try:
             self._connection.request(
@@ -81,14 +81,14 @@
             self._connection.close()
 
     def disconnect(self) -> None:
-        """Close the connection without waiting for the answer."""
+        """Close the connection without waiting for the response."""
         if self._connection.sock is not None:
             with suppress(OSError):
                 self._connection.sock.shutdown(2)
 
 
 class DispatchHarness:
-    """The processes, the relays and what the target recorded."""
+    """Controls the processes and relays and reads the log of the target."""
 
     def __init__(self) -> None:
         self._stack = ExitStack()
@@ -96,7 +96,7 @@
         self._relays: dict[Hop, list[Relay]] = {each: [] for each in Hop}
         self._agent_ports: dict[str, tuple[int, int]] = {}
         self._target_port = find_port()
-        # The target's own record, which outlives it.
+        # Written by the target; remains after the target is killed.
         self._target_log = self.installation.directory / "target-log.jsonl"
         self.caller: Caller | None = None
         self.resent: Response | None = None
@@ -122,7 +122,7 @@
         self._stack.close()
 
     def arm_fault(self, cell: Cell, dispatch: Dispatch) -> FaultTrigger:
-        """Make the cell's fault happen when the order reaches the cell's step."""
+        """Inject the cell's fault when the dispatch reaches the cell's step."""
         marker = dispatch.pillar.encode()
         if cell.hop is Hop.AGENT_PLATFORM:
             marker = hash_key(WORKSPACE, dispatch.key)
@@ -139,7 +139,7 @@
         return trigger
 
     def restore(self) -> None:
-        """Continue, restart and connect whatever the cell stopped."""
+        """Resume or restart the processes and restore the connections of a cell."""
         for relay in (relay for relays in self._relays.values() for relay in relays):
             relay.restore()
         for name, daemon in list(self.installation.daemons.items()):
@@ -154,12 +154,12 @@
         self.installation.wait_until_ready()
 
     def send(self, gateway: str, dispatch: Dispatch) -> Response | None:
-        """Send an order once."""
+        """Send a dispatch once."""
         self.caller = Caller(self.installation.gateways[gateway], dispatch)
         return self.caller.send()
 
     def send_with_retries(self, gateway: str, dispatch: Dispatch) -> Response | None:
-        """Send an order as often as the caller is told to come back."""
+        """Send a dispatch until a response is final or the retry timeout passes."""
         deadline = time.monotonic() + RETRY_TIMEOUT_SECONDS
         while True:
             response = self.send(gateway, dispatch)
@@ -170,26 +170,29 @@
             time.sleep(0.05)
 
     def warm_up(self) -> None:
-        """Let both gateways see both agents answer, so that no pause is left.
+        """Send requests until both gateways have received responses of both agents.
 
-        A pause that is left doubles with the next break. After some cells it outlasts
-        this wait, and an order finds no agent instead of the fault that was laid.
+        This ends the back-off of the agents that crashed. Otherwise the back-off
+        doubles with each crash. After some cells it exceeds the wait here, and a
+        dispatch is refused for want of an agent before it reaches the armed fault.
         """
         for gateway in GATEWAYS:
             deadline = time.monotonic() + WARM_UP_TIMEOUT_SECONDS
             answered: list[str] = []
             while len(answered) < 4 or not set(AGENTS) <= set(answered):
                 if time.monotonic() > deadline:
-                    raise TimeoutError(f"{gateway} has answers of {set(answered)} only")
+                    raise TimeoutError(
+                        f"{gateway} received responses of {set(answered)} only"
+                    )
                 self.installation.check_alive(gateway)
                 answered += self._find_responding_agent(gateway)
 
     def count_runs(self, dispatch: Dispatch) -> int:
-        """Return how often the target recorded the order."""
+        """Return how many runs of the dispatch the target logged."""
         return len(self._list_runs(dispatch))
 
     def list_recorded_attempts(self, dispatch: Dispatch) -> list[str]:
-        """Return the names of the sends of the order that the target recorded."""
+        """Return the names of the attempts of the dispatch that the target logged."""
         runs = map(json.loads, self._list_runs(dispatch))
         return [dict(run["headers"])[ATTEMPT_HEADER] for run in runs]
 
@@ -200,7 +203,7 @@
         return [line for line in lines if dispatch.pillar in line]
 
     def _find_responding_agent(self, gateway: str) -> list[str]:
-        """Return the agent that answered, if one did."""
+        """Return the agent that responded with 200, as a list of one or none."""
         url = f"{self.installation.gateways[gateway]}/services/dispatch/boxes/7"
         connection = http.client.HTTPConnection(urlsplit(url).netloc, timeout=5)
         try:
@@ -217,7 +220,7 @@
         return []
 
     def _find_agent(self, gateway: str, request_id: str) -> str:
-        """Return the last agent that the gateway chose for a request, by its log."""
+        """Return the last agent that the gateway logged for a request."""
         deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
         path = self.installation.daemons[gateway].output
         while time.monotonic() < deadline:
@@ -229,7 +232,7 @@
         raise TimeoutError(f"{gateway} logged no target for {request_id}")
 
     def _apply_fault(self, cell: Cell, dispatch: Dispatch, relay: Relay) -> None:
-        """Bring the fault about; the relay's connection stands still meanwhile."""
+        """Inject the fault; the relay forwards nothing on the connection meanwhile."""
         received = cell.hop is Hop.AGENT_TARGET and cell.step is Step.REQUEST_RECEIVED
         if received:
             self._wait_until_recorded(dispatch)
@@ -240,7 +243,7 @@
                 self.installation.daemons[f"{relay.name}-agent"].kill()
             case Fault.KILL_TARGET:
                 self.installation.daemons["target"].kill()
-                # Nobody listens any more, which a relay must show as well.
+                # The target no longer listens, so its relays refuse connections too.
                 for each in self._relays[Hop.AGENT_TARGET]:
                     each.refuse()
             case Fault.STOP_GATEWAY:
@@ -307,14 +310,14 @@
 
 
 def _parse_log_line(line: str) -> dict[str, Any]:
-    """Return a line of a log; empty while it is being written."""
+    """Return the fields of a log line; empty if the line is still being written."""
     with suppress(json.JSONDecodeError):
         return dict(json.loads(line))
     return {}
 
 
 def _is_retryable(response: Response) -> bool:
-    """Say whether the caller was told that asking again helps."""
+    """Return whether the response asks the caller to retry."""
     return "Retry-After" in response.headers and response.status in (409, 503, 504)
 
 
--- a/tests/fleet_builders.py
+++ b/tests/fleet_builders.py
@@ -1,4 +1,4 @@
-"""Builds fleets over two data centres, traffic through them and their configuration."""
+"""Builds fleets in two data centres, their configuration and their traffic."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
     from processes import Installation
 
-# A condition that is never met fails the test after this long; none is met by luck.
+# Maximum wait for a condition; the test fails when it is reached.
 WAIT_TIMEOUT_SECONDS = 40.0
 FAULT_DESK = "fault-desk"
-# Events that say which targets take work, whatever the request.
+# Log events that concern the availability of targets and carry no request ID.
 AVAILABILITY_EVENTS = frozenset(
     {
         "agent started",
@@ -43,7 +43,7 @@
     agent: dict[str, Any] | None = None,
     **options: Any,
 ) -> None:
-    """Start engines and gateways by name and data centre, with Fosse's files."""
+    """Start named engines and gateways and publish the Fosse configuration."""
     installation.start_platform()
     for name, data_centre in engines.items():
         engine = {"block_tokens": 2000, "capacity": 16, **options}
@@ -59,7 +59,7 @@
 def write_configuration(
     installation: Installation, version: str = "v1", **service: Any
 ) -> Path:
-    """Write Fosse's files with another weight version; return their folder."""
+    """Write the Fosse configuration with a weight version; return its folder."""
     source = EXAMPLES / "fosse" / "fault-desk.bamboopier.json"
     configuration = json.loads(source.read_text())
     configuration["models"][0]["version"] = version
@@ -72,7 +72,7 @@
 
 
 def publish(installation: Installation, folder: Path, *options: str) -> str:
-    """Publish a folder's files; return what the command printed."""
+    """Publish the files of a folder; return the output of the command."""
     return run_platform_command(installation, "publish", str(folder), *options)
 
 
@@ -84,17 +84,17 @@
 
 
 def read_status(installation: Installation) -> dict[str, Any]:
-    """Return what ``bamboopier status --json`` prints."""
+    """Return the output of ``bamboopier status --json``."""
     return dict(json.loads(run_platform_command(installation, "status", "--json")))
 
 
 def read_generation(url: str) -> int:
-    """Return the generation that a gateway has in force."""
+    """Return the configuration generation that is active at a gateway."""
     return int(json.loads(fetch(f"{url}/v1/status"))["generation"])
 
 
 def wait_until(condition: Callable[[], bool], description: str) -> None:
-    """Return once ``condition`` holds; fail naming ``description`` if it never does."""
+    """Wait until ``condition`` holds; fail with ``description`` on a timeout."""
     deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
     while not condition():
         if time.monotonic() > deadline:
@@ -103,14 +103,14 @@
 
 
 def request_completion(url: str, prompt: str, max_tokens: int = 2) -> Response:
-    """Ask for a completion and wait for all of it."""
+    """Request a completion without streaming and return the response."""
     body = {"model": "pillar-8b", "prompt": prompt, "max_tokens": max_tokens}
     return call(url, "POST", "/v1/completions", body)
 
 
 @dataclass
 class LongStream:
-    """A streamed completion that runs in a thread of its own."""
+    """A streamed completion that is read in its own thread."""
 
     url: str
     prompt: str
@@ -132,16 +132,16 @@
 
     @property
     def is_complete(self) -> bool:
-        """Say whether the last word and the end mark arrived."""
+        """Return whether the last word and the end marker arrived."""
         last = f"{self.prompt.split()[-1]}.{self.max_tokens - 1}".encode()
         return last in self.body and self.body.endswith(b"data: [DONE]\n\n")
 
     def describe(self) -> str:
-        """Return what arrived, for a failure's message."""
+        """Return the status and the end of the body, for a failure message."""
         return f"{self.prompt}: status {self.status}, ends {self.body[-300:]!r}"
 
     def join(self) -> None:
-        """Wait for the end, good or bad."""
+        """Wait until the stream ends, complete or not."""
         self._thread.join(WAIT_TIMEOUT_SECONDS)
         assert not self._thread.is_alive(), f"{self.prompt}: no end"
 
@@ -166,7 +166,7 @@
 
 @dataclass
 class Traffic:
-    """Short completions through gateways in turn, one after another, in a thread."""
+    """Sequential short completions through the gateways in turn, in a thread."""
 
     urls: list[str]
     responses: list[Response] = field(default_factory=list)
@@ -191,9 +191,9 @@
         return {response.status for response in self.responses}
 
     def wait_for_responses(self, count: int) -> None:
-        """Return once ``count`` further requests have been answered."""
+        """Wait until ``count`` further responses have arrived."""
         wanted = len(self.responses) + count
-        wait_until(lambda: len(self.responses) >= wanted, f"{count} more answers")
+        wait_until(lambda: len(self.responses) >= wanted, f"{count} more responses")
 
     def _run(self) -> None:
         number = 0
@@ -204,16 +204,17 @@
 
 
 def explain_refusals(installation: Installation, traffic: Traffic) -> str:
-    """Return the answers that were no 200 and what every process logged of them.
+    """Return the responses other than 200 and the log lines of their requests.
 
-    The lines on targets that closed, opened or loaded stand between, so that a failed
-    test's message shows what its gateways could know. Empty when all were served.
+    The log lines on the availability of targets and the weight loads are included, so
+    that the message of a failed test shows the state that the gateways were informed
+    of. Empty if all responses were 200.
     """
     refused = [response for response in traffic.responses if response.status != 200]
     if not refused:
         return ""
     ids = {response.headers.get("X-Request-Id") for response in refused}
-    responses = [f"{a.status} {a.headers} {a.body.decode()}" for a in refused]
+    responses = [f"{r.status} {r.headers} {r.body.decode()}" for r in refused]
     lines = [
         json.dumps(line)
         for line in installation.read_all_logs()
@@ -228,7 +229,7 @@
 
 
 def _list_loads(installation: Installation, target: str) -> list[str]:
-    """Return the orders to load that a target has taken; none when it is gone."""
+    """Return the load orders that a target logged; none if it has ended."""
     with suppress(OSError):
         log = installation.read_target_log(target)
         return [f"{target}: {json.dumps(e)}" for e in log if "order" in e]
@@ -238,9 +239,10 @@
 def list_started(
     installation: Installation, target: str, since: float
 ) -> list[dict[str, Any]]:
-    """Return the requests that a target's own log shows as started after ``since``.
+    """Return the requests in a target's log that started after ``since``.
 
-    All stand-ins and this process read the same machine's monotonic clock.
+    ``since`` is in seconds of the monotonic clock, which this process shares with the
+    stand-in targets on the same machine.
     """
     log = installation.read_target_log(target)
     return [e for e in log if "request_id" in e and e["started"] > since]
--- a/tests/pages.py
+++ b/tests/pages.py
@@ -1,4 +1,4 @@
-"""Finds the fenced blocks of the pages and says how each is to be checked."""
+"""Finds the fenced code blocks of the documentation pages."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True)
 class CodeBlock:
-    """One fenced block of a page."""
+    """One fenced code block of a page."""
 
     page: str
     line: int
-    # What stands after the opening fence.
+    # The info string after the opening fence.
     info: str
     body: str
 
@@ -36,7 +36,7 @@
 
 
 def list_code_blocks(info: str = "") -> list[CodeBlock]:
-    """Return the blocks of all pages, or those with just this ``info``."""
+    """Return the code blocks of all pages, or those with exactly this ``info``."""
     found: list[CodeBlock] = []
     for page in PAGES:
         text = (ROOT / page).read_text()
--- a/tests/raw_calls.py
+++ b/tests/raw_calls.py
@@ -1,4 +1,4 @@
-"""Talks to a gateway byte by byte, as broken and hostile callers do."""
+"""Sends raw bytes to a gateway, to imitate faulty and malicious callers."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 from .builders import FOSSE_KEY
 
-# Long enough for any limit that a test sets; reaching it fails the test.
+# Longer than every timeout that a test configures; the test fails on reaching it.
 WAIT_TIMEOUT_SECONDS = 30.0
 AUTHORIZATION = f"Authorization: Bearer {FOSSE_KEY}\r\n"
 
 
 def connect(url: str, receive_buffer: int = 0) -> socket.socket:
-    """Open a connection; a small ``receive_buffer`` makes a slow reader."""
+    """Open a connection; a small ``receive_buffer`` (bytes) imitates a slow reader."""
     address = urlsplit(url)
     connection = socket.socket()
     connection.settimeout(WAIT_TIMEOUT_SECONDS)
@@ -27,13 +27,13 @@
 
 
 def make_head(method: str, path: str, *headers: str) -> bytes:
-    """Return a request's head with a valid API key."""
+    """Return a request line and headers with a valid API key."""
     lines = [f"{method} {path} HTTP/1.1", "Host: gateway", AUTHORIZATION.strip()]
     return "\r\n".join([*lines, *headers, "", ""]).encode("latin-1")
 
 
 def read_to_end(connection: socket.socket) -> bytes:
-    """Return everything until the other side closes or resets."""
+    """Return all bytes until the peer closes or resets the connection."""
     received = bytearray()
     with suppress(ConnectionResetError):
         while chunk := connection.recv(65_536):
@@ -42,7 +42,7 @@
 
 
 def exchange(url: str, sent: bytes) -> bytes:
-    """Send bytes and return everything that comes back until the connection ends."""
+    """Send bytes and return all bytes received until the connection ends."""
     with connect(url) as connection:
         with suppress(ConnectionError):
             connection.sendall(sent)
@@ -50,6 +50,6 @@
 
 
 def read_response(received: bytes) -> tuple[int, dict[str, Any]]:
-    """Return status and typed error of a raw answer."""
+    """Return the status and the typed error of a raw response."""
     head, _, body = received.partition(b"\r\n\r\n")
     return int(head.split()[1]), dict(json.loads(body)["error"])
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay for tests: cuts, holds or hooks in where it sees named bytes pass."""
+"""A TCP relay for tests that injects a fault when a marker passes a step."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
     Address = tuple[str, int]
 
 BUFFER_BYTES = 65536
-# Only reached by a test that would hang.
+# Maximum wait, so that a failing test cannot hang.
 WAIT_TIMEOUT_SECONDS = 30.0
 
 
 @dataclass
 class FaultTrigger:
-    """What happens, once, when ``marker`` passes ``step``; shared by several relays."""
+    """A fault injected once when ``marker`` passes ``step``; relays may share it."""
 
     step: Step
     marker: bytes
-    # Called by the relay's own thread; nothing passes on the connection meanwhile.
+    # Called in the relay's thread; the connection forwards nothing meanwhile.
     action: Callable[[Relay], None]
     cut: bool = False
     freeze: bool = False
-    # The answer carries the marker too; other bytes come back before it.
+    # Whether the response is matched by the marker; other bytes precede it.
     match_response: bool = False
     fired: threading.Event = field(default_factory=threading.Event)
-    # Set once ``action`` has been carried out.
+    # Set after ``action`` has returned.
     action_done: threading.Event = field(default_factory=threading.Event)
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def fire(self) -> bool:
-        """Say whether this is the first time."""
+        """Mark the trigger as fired; return whether this is the first time."""
         with self._lock:
             first = not self.fired.is_set()
             self.fired.set()
@@ -48,7 +48,7 @@
 
 
 class Relay:
-    """Passes connections to ``upstream``; close it by leaving the context."""
+    """Forwards connections to ``upstream``; closed on exit from the context."""
 
     def __init__(self, name: str, upstream: Address) -> None:
         self.name = name
@@ -63,7 +63,7 @@
 
     @property
     def address(self) -> str:
-        """Return where the relay listens."""
+        """Return the host and port on which the relay listens."""
         return f"{HOST}:{self._port}"
 
     def __enter__(self) -> Self:
@@ -79,7 +79,7 @@
         self.refuse()
 
     def set_trigger(self, trigger: FaultTrigger) -> None:
-        """Lay a trap; one for connecting also drops the connections there are."""
+        """Arm a trigger; one for the connect step also closes open connections."""
         self.trigger = trigger
         if trigger.freeze:
             self._unfrozen.clear()
@@ -89,18 +89,18 @@
                 self._listener = self._listen()
 
     def restore(self) -> None:
-        """Let everything pass again, also what was held."""
+        """Disarm the trigger, release held data and accept connections again."""
         self.trigger = None
         self._unfrozen.set()
         if self._listener.fileno() < 0:
             self._listener = self._listen()
 
     def wait_until_unfrozen(self) -> None:
-        """Return once what is held may pass."""
+        """Wait until held data may be forwarded."""
         self._unfrozen.wait(WAIT_TIMEOUT_SECONDS)
 
     def refuse(self) -> None:
-        """Refuse connections from now on and drop those there are."""
+        """Refuse new connections and close the open ones."""
         with suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
@@ -160,7 +160,7 @@
         self._relay = relay
         self._client = client
         self._server = server
-        # The trap whose marker went up on this connection.
+        # The trigger whose marker was sent to the server on this connection.
         self._matched_trigger: FaultTrigger | None = None
 
     def pass_requests(self) -> None:
@@ -197,7 +197,7 @@
     def _send_response(self, data: bytes) -> None:
         trigger = self._matched_trigger
         if trigger is not None and trigger.step is Step.REQUEST_RECEIVED:
-            # The answer must not overtake what happens to its connection.
+            # The response must not be forwarded before the fault is injected.
             trigger.action_done.wait(WAIT_TIMEOUT_SECONDS)
             if trigger.freeze:
                 self._relay.wait_until_unfrozen()
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,11 +1,11 @@
-"""Every fault at every step of one dispatch, on real processes and sockets.
-
-A caller sends one dispatch under a key. At a named step a connection is cut or frozen,
-a process is killed or stopped, or the caller leaves or resends. The caller then sends
-the same dispatch to the other gateway, before and after the fault is healed, until it
-has a final answer. Two agents lead to the one target. The target's own log must show
-at most one run; "not run" must be true; and a dispatch that never ran must still be
-possible, instead of being "outcome unknown" although nobody lost anything.
+"""Tests every fault at every step of one dispatch, on real processes and sockets.
+
+A caller sends a dispatch with an idempotency key. At one step a connection is cut or
+frozen, a process is killed or stopped, or the caller disconnects or resends. The caller
+then retries at the other gateway, before and after the fault is removed, until it gets
+a final response. Two agents serve the one target. Guards against a second run in the
+target's log, a "not run" that is false, and "outcome unknown" for a dispatch that never
+ran although no process lost state.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 @dataclass
 class HopResults:
-    """What became of the cells of one hop."""
+    """The results of the cells of one hop."""
 
     passed: list[str] = field(default_factory=list)
     failed: list[str] = field(default_factory=list)
@@ -54,7 +54,7 @@
             done = len(results.passed) + len(results.failed)
             print(
                 f"{hop}: {done} cells run, {len(results.passed)} passed,"
-                f" {len(results.failed)} failed, {len(results.not_triggered)} not sprung,"
+                f" {len(results.failed)} failed, {len(results.not_triggered)} not triggered,"
                 f" {len(results.unreachable)} not reachable"
             )
             for line in results.failed + results.not_triggered + results.unreachable:
@@ -64,7 +64,7 @@
 
 
 def run_hop(hop: Hop) -> HopResults:
-    """Run all cells of one hop in an installation of its own."""
+    """Run all cells of one hop in a separate installation."""
     results = HopResults()
     sent: list[tuple[Cell, Dispatch, list[Response | None]]] = []
     with DispatchHarness() as harness:
@@ -81,7 +81,7 @@
             if not trigger.fired.is_set() and cell.step is not Step.CONNECT:
                 results.not_triggered.append(f"{cell.name}: {describe(responses)}")
             sent.append((cell, dispatch, responses))
-        # A thawed process may act late: the log is read once all is over.
+        # A resumed process may act late, so the log is read after all cells.
         for cell, dispatch, responses in sent:
             violation = find_violation(cell, responses, harness.count_runs(dispatch))
             if violation:
@@ -96,11 +96,11 @@
 def run_cell(
     harness: DispatchHarness, cell: Cell, dispatch: Dispatch, trigger: FaultTrigger
 ) -> list[Response | None]:
-    """Return what the caller received, send by send; the last is the final answer."""
+    """Return the response of each attempt; the last one is the final response."""
     harness.resent = None
     responses = [harness.send("gateway-1", dispatch)]
     if cell.step is not Step.CONNECT:
-        # The answer may be here before the relay's thread has done its part.
+        # The response may arrive before the relay's thread has run the action.
         trigger.action_done.wait(ACTION_TIMEOUT_SECONDS)
     if cell.fault is Fault.RESEND:
         responses.append(harness.resent)
@@ -112,28 +112,28 @@
 
 
 def find_violation(cell: Cell, responses: list[Response | None], runs: int) -> str:
-    """Return what was wrong with a cell, or nothing."""
+    """Return the guarantee that a cell violated, or an empty string."""
     if runs > 1:
         return f"ran {runs} times"
     completed = [
         response for response in responses if response and response.status == 201
     ]
     if completed and runs == 0:
-        return "answered without a run"
+        return "success response without a run"
     if any(json.loads(response.body)["path"] != "/vans" for response in completed):
-        return "answer of another request"
+        return "response of another request"
     final = responses[-1]
     earlier = [
         response for response in responses[:-1] if not _reports_not_run(response)
     ]
     if runs and not earlier and (final is None or "X-Replayed" in final.headers):
-        return "ran although every send was told that it had not"
+        return "ran although every attempt was reported as not run"
     if final is None:
-        return "no final answer"
+        return "no final response"
     if final.status == 201:
         return ""
     if final.error["ran"] == "no":
-        return "a dispatch that could run did not"
+        return "dispatch did not run although it could"
     return "" if _may_be_unknown(cell) else f"unknown after {runs} runs"
 
 
@@ -144,17 +144,17 @@
 
 
 def _may_be_unknown(cell: Cell) -> bool:
-    """Say whether the one process that knew the outcome was lost, or never heard it."""
+    """Return whether the only process with the outcome died or never received it."""
     if cell.fault is Fault.KILL_AGENT:
         return True
     if cell.hop is Hop.AGENT_TARGET:
         return cell.fault in (Fault.CUT, Fault.KILL_TARGET)
-    # The agent runs on meanwhile: the order may be on its way to the target.
+    # The agent continues, so the dispatch may be in flight to the target.
     return cell.fault is Fault.KILL_TARGET and cell.step is Step.REQUEST_RECEIVED
 
 
 def describe(responses: list[Response | None]) -> str:
-    """Return the answers in short."""
+    """Return a summary of the responses."""
     return ", ".join(
         "none"
         if response is None
--- a/tests/test_blocks.py
+++ b/tests/test_blocks.py
@@ -1,7 +1,7 @@
-"""Returning prompts through real processes while agents and stores are killed.
+"""Tests block reuse for repeated prompts while agents and stores are killed.
 
-The engine's own list of imports is the check: each digest must be that of the very
-block, whose bytes follow from its weight version and words.
+The engine's list of imports is checked: each digest must be that of the expected block,
+whose bytes are determined by its weight version and words.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
         self.store_url = f"http://{store['address']}"
 
     def test_blocks_are_imported_after_engine_and_agent_are_replaced(self) -> None:
-        # The caller's prompt runs and is exported. Engine and agent are replaced: the
-        # blocks come from the store. Then the store freezes, and later dies: the
-        # caller is answered all the same, and the engine is given nothing new.
+        # A prompt runs and its blocks are exported. After engine cache and agent are
+        # replaced, the blocks are imported from the store. While the store is frozen,
+        # and after it is killed, requests succeed and the engine imports nothing more.
         self.request_completion()
         self.wait_for_blocks(BLOCKS)
         self.reset_engine_and_agent()
@@ -51,8 +51,8 @@
         self.assertEqual(self.list_imported(), list_digests())
 
     def test_a_partial_block_write_is_not_imported(self) -> None:
-        # The agent is killed while its block is half-way into the store, which keeps
-        # what arrived. The next agent takes it for a miss and writes it whole.
+        # The agent is killed during a block write and the store retains the partial
+        # block. The next agent treats it as a miss and writes the complete block.
         send("POST", f"{self.store_url}/faults", {"cut": 70_000})
         self.request_completion()
         self.wait_for_blocks(1)
@@ -67,12 +67,12 @@
         self.assertEqual(self.list_imported(), list_digests())
 
     def request_completion(self) -> int:
-        """Send the prompt as its caller; return the tokens that were cached."""
+        """Send the prompt as a caller; return the number of cached tokens."""
         body = {"model": "pillar-8b", "prompt": " ".join(WORDS), "max_tokens": 2}
         deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
         response = self.call(body)
-        # A replaced agent is found with the next reading of the VM list; until then
-        # the gateway calls the killed one, and says that the outcome is unknown.
+        # The gateway finds the new agent when it next reads the VM list. Until then it
+        # calls the killed agent and reports an unknown outcome.
         while response.status in (502, 503) and time.monotonic() < deadline:
             time.sleep(0.1)
             response = self.call(body)
@@ -85,7 +85,7 @@
         return call(url, "POST", "/v1/completions", body, key=FOSSE_KEY)
 
     def reset_engine_and_agent(self) -> None:
-        """Empty the engine's cache and replace the agent, which knows nothing."""
+        """Clear the engine's cache and replace the agent with one without state."""
         self.installation.daemons[f"{DESK}-agent"].kill()
         send("POST", f"{self.installation.targets[DESK]}/evict", {})
         self.installation.start_agent(DESK, "fault-desk", "dc-east")
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""The callers' side of a gateway: shapes, limits and errors, seen by callers only."""
+"""Tests request formats, limits and errors of a gateway from the caller's side."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
     ("GET", "/services/dispatch/a", None, {"X-A": "\xe9"}, 400, "bad_request"),
     ("GET", "/services/dispatch/a", None, {"X-HTTP-Method-Override": "PUT"}, 400, "b"),
 ]
-# Each row: bytes, status, code. None of them is a request of HTTP as it should be.
+# Each row: bytes, status, code. None is an acceptable HTTP request.
 MALFORMED_REQUESTS: list[tuple[bytes, int, str]] = [
     (b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", 400, "bad_request"),
     (b"GET / HTTP/9.9\r\n\r\n", 400, "bad_request"),
@@ -80,7 +80,7 @@
         "too_large",
     ),
 ]
-# Bodies that are no JSON, or hide it in a field that the gateway does not read.
+# Bodies that are invalid JSON, some only in a field that the gateway does not read.
 INVALID_BODIES = [
     b"{",
     b'{"model": "\xff"}',
@@ -92,7 +92,7 @@
     b'{"model": "pillar-8b", "prompt": "a", "x": "\\ud800"}',
     b'{"model": "pillar-8b", "prompt": "a", "x": ' + b"[" * 300 + b"]" * 300 + b"}",
 ]
-# Spellings of one order that must not pass as the idempotent /boxes or run twice.
+# Spellings of /vans that must not match the idempotent /boxes or run twice.
 BYPASS_PATHS = [
     "/boxes/../vans",
     "/boxes/%2e%2e/vans",
@@ -155,9 +155,9 @@
                 self.assertNotIn(b"Traceback", received)
 
     def test_invalid_json_bodies_get_a_typed_error(self) -> None:
-        # What the gateway lets through its agent must be able to read: a body that only
-        # the agent stumbles over ends "unknown", counts as the target's failure, and is
-        # tried at the next target, until one caller has all of them set aside.
+        # The gateway must refuse every body that the agent cannot parse. Otherwise the
+        # outcome is "unknown", it counts as a failure of the target and the gateway
+        # retries at the next target, until one caller has made all targets unavailable.
         for body in INVALID_BODIES:
             with self.subTest(body[:20]):
                 size = f"Content-Length: {len(body)}"
@@ -166,8 +166,8 @@
                 self.assertEqual((status, error["code"]), (400, "bad_request"))
 
     def test_garbage_after_a_valid_request_gets_a_typed_error(self) -> None:
-        # The garbage arrives while the first answer is on its way, or in one piece
-        # with the first request: then neither is run, and the answer says so.
+        # The garbage arrives after the first response, or in one write with the first
+        # request. In the second case neither is run, and the response reports that.
         good = make_head("GET", "/v1/models")
         with connect(self.url) as connection:
             connection.sendall(good)
@@ -184,7 +184,7 @@
         self.assertNotIn("piped", str(self.installation.read_target_log(VANS)))
 
     def test_a_chunked_body_above_the_limit_is_refused_early(self) -> None:
-        # The limit is 4 MiB; the caller never gets to its end of the body.
+        # The limit is 4 MiB; the caller never sends the end of the body.
         chunk = b"100000\r\n" + b"a" * 0x100000 + b"\r\n"
         head = make_head(
             "POST", "/services/dispatch/vans", "Transfer-Encoding: chunked"
@@ -195,8 +195,8 @@
         self.assertNotIn("a" * 100, str(self.installation.read_target_log(VANS)))
 
     def test_slow_request_headers_close_the_connection(self) -> None:
-        # A caller opens a connection, sends half a header and keeps it open: without a
-        # limit a few such callers would hold every connection the gateway has.
+        # A caller sends half a header and leaves the connection open. Without a timeout
+        # a few such callers could occupy all connections of the gateway.
         self.assertEqual(
             exchange(self.short_timeouts_url, b"GET / HTTP/1.1\r\nHost: "), b""
         )
@@ -224,8 +224,8 @@
     def test_bodies_over_the_memory_limit_are_refused_and_accepted_ones_run(
         self,
     ) -> None:
-        # One caller's large body has nearly arrived; the next one's does not fit beside
-        # it. The second is refused at once, the first one ends as if alone.
+        # A large body has nearly arrived and a second one exceeds the memory limit with
+        # it. The second is refused at once; the first completes normally.
         url = self.installation.gateways["few"]
         size = MAX_HELD_BYTES - 1000
         head = make_head(
@@ -247,7 +247,7 @@
         self.assertEqual(call(url, "POST", "/services/dispatch/held", "b").status, 201)
 
     def wait_for_held(self, size: int) -> None:
-        """Wait until the gateway has read ``size`` bytes of bodies."""
+        """Wait until the gateway holds ``size`` bytes of request bodies."""
         deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
         url = self.installation.admin["few"] + "/metrics"
         held = re.compile(r"^bamboopier_held_body_bytes (\S+)$", re.MULTILINE)
@@ -256,8 +256,8 @@
             time.sleep(0.05)
 
     def test_a_caller_that_reads_nothing_is_disconnected(self) -> None:
-        # The caller asks for a large answer and reads none of it. Without a limit the
-        # answer, its target and its memory would wait for that caller for ever.
+        # The caller requests a large response and does not read it. Without a timeout
+        # the response would occupy its target and its memory for ever.
         order = b'"' * 3_500_000
         size = f"Content-Length: {len(order)}"
         head = make_head("POST", "/services/dispatch/echo", size)
@@ -266,13 +266,13 @@
             self.wait_for_log("tight", "caller too slow")
             received = read_to_end(connection)
         self.assertIn(b"201 Created", received)
-        # The answer repeats the order with each quote escaped: twice its size.
+        # The response repeats the body with each quote escaped: twice its size.
         self.assertLess(len(received), 2 * len(order))
         self.assertFalse(received.endswith(b"0\r\n\r\n"))
 
     def test_no_spelling_of_a_path_bypasses_its_route(self) -> None:
-        # A caller sends one order twice under one key, each time spelt in a way that a
-        # text comparison takes for something idempotent and the target for /vans.
+        # A caller sends each dispatch twice with one key. A plain text comparison would
+        # match its path to an idempotent route, and the target matches it to /vans.
         for number, path in enumerate([*BYPASS_PATHS, *EQUIVALENT_PATHS]):
             with self.subTest(path):
                 mark = f"order-{number}."
@@ -288,7 +288,7 @@
                     self.assertEqual(responses[0].error["code"], "bad_path")
                     self.assertEqual(runs, [])
                 else:
-                    self.assertEqual([a.status for a in responses], [201, 201])
+                    self.assertEqual([r.status for r in responses], [201, 201])
                     self.assertEqual(len(runs), 1)
 
     def test_method_path_query_headers_body_and_status_pass_through(self) -> None:
@@ -341,7 +341,7 @@
         body = {"model": MODEL, "prompt": "count this", "max_tokens": 2}
         response = call(self.url, "POST", TEXT, body)
         self.assertEqual(response.status, 200, response.body)
-        # The caller has its last byte a moment before the answer is counted.
+        # The caller receives the last byte shortly before the metrics are updated.
         gateway = self.wait_for_metric("bamboopier_caller_prompt_tokens_total{")
         agent = fetch(self.installation.admin[f"{DESK}-agent"] + "/metrics").decode()
         service = '{service="fault-desk"'
@@ -356,7 +356,7 @@
             self.assertIn("bamboopier_configuration_generation 1.0", text)
 
     def wait_for_metric(self, start: str) -> str:
-        """Return gateway-1's metrics once a line that begins so is above zero."""
+        """Return gateway-1's metrics once a line starting with ``start`` is not 0."""
         url = self.installation.admin["gateway-1"] + "/metrics"
         deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
         while time.monotonic() < deadline:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command as a new user meets it: help, mistakes, a port in use."""
+"""Tests help, usage errors and start errors of the command line."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from .builders import EXAMPLES
 
-# Each row: the words, the exit code, what standard error must say.
+# Each row: arguments, exit code, text that standard error must contain.
 USAGE_ERRORS: list[tuple[list[str], int, str]] = [
     (["chekc"], 2, "did you mean 'check'"),
     (["gateway"], 2, "--settings is missing"),
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration through real processes: races, lost answers, outages, lag."""
+"""Tests configuration updates with races, lost responses, outages and stale reads."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         self.urls = list(self.installation.gateways.values())
 
     def publish_timeout(self, seconds: int) -> subprocess.CompletedProcess[str]:
-        """Publish files that differ by a timeout; return how it went."""
+        """Publish files with this default timeout; return the finished command."""
         folder = write_configuration(
             self.installation, f"v1-{seconds}", default_timeout_seconds=seconds
         )
@@ -46,10 +46,10 @@
         return self.installation.run_command(*arguments, self.installation.platform_url)
 
     def test_each_concurrent_publisher_gets_its_own_result(self) -> None:
-        """Six operators publish different files at once, and answers are lost too.
+        """Six operators publish different files at once and responses are lost.
 
-        Each success is one generation; each loser is told that nothing of his is in
-        force, and so knows that he has to look and publish again.
+        Each success creates one generation. Each other command reports that another
+        publisher came first, so that the operator checks and publishes again.
         """
         self.installation.set_faults({"lose_answers": 4})
         with ThreadPoolExecutor(PUBLISHERS) as pool:
@@ -58,8 +58,8 @@
         failed = [d for d in done if d.returncode == 1]
         self.assertEqual(len(succeeded) + len(failed), PUBLISHERS)
         self.assertGreaterEqual(len(succeeded), 1)
-        for loser in failed:
-            self.assertIn("another publisher came first", loser.stderr)
+        for command in failed:
+            self.assertIn("another publisher came first", command.stderr)
         generations = sorted(int(d.stdout.split()[-1]) for d in succeeded)
         self.assertEqual(generations, list(range(2, 2 + len(succeeded))))
         self.assertEqual(
@@ -67,9 +67,10 @@
         )
 
     def test_a_gateway_started_in_an_outage_serves(self) -> None:
-        """The platform is down; a VM is replaced and its gateway knows one agent.
+        """A gateway starts during a platform outage with one agent as its peer.
 
-        Without the agent's copy it would know no key and no target and refuse all.
+        Without the agent's copy of the configuration it would have no API keys and no
+        targets and refuse all requests.
         """
         agent = next(vm for vm in self.installation.vms if vm["name"] == DESK)
         self.installation.set_faults({"down": True})
@@ -83,9 +84,10 @@
         self.assertEqual(response.status, 200)
 
     def test_no_node_reverts_when_a_replica_returns_stale_data(self) -> None:
-        """A generation is in force; reads then show the head before it for a while.
+        """A generation is active and the platform then returns the previous head.
 
-        A node paused since before wakes into that and still reaches the newest one.
+        A node that was paused before the change resumes during the stale reads and
+        still reaches the latest generation.
         """
         paused = self.installation.daemons["gateway-2"]
         paused.send(signal.SIGSTOP)
@@ -101,7 +103,7 @@
             seen.append(read_generation(self.urls[0]))
             return read_generation(self.urls[1]) == 2
 
-        wait_until(is_reached, "generation 2 at the gateway that woke")
+        wait_until(is_reached, "generation 2 at the resumed gateway")
         self.assertEqual(set(seen), {2})
         self.installation.set_faults({})
         self.assertEqual(self.publish_timeout(42).returncode, 0)
@@ -127,14 +129,14 @@
         self.assertIn("is identical", publish(self.installation, folder))
         text = run_platform_command(self.installation, "status")
         self.assertIn("generation 2, in force at 3 of 3 nodes", text)
-        # No node writes down what it has in force: 1,070 writes a change would be the
-        # most that the platform is asked for.
+        # No node stores its active generation: 1,070 writes a change would be the
+        # largest load on the platform.
         url = f"{self.installation.platform_url}/v1/list?prefix="
         kinds = {stored["key"].split("/")[0] for stored in json.loads(fetch(url))}
         self.assertEqual(kinds, {"configuration", "leases"})
 
     def test_an_unreachable_node_fails_publish_wait(self) -> None:
-        """A gateway hangs: nobody can say what it does, so the operator is told."""
+        """A gateway hangs, so its state is unknown and the operator gets an error."""
         hung = self.installation.daemons["gateway-2"]
         hung.send(signal.SIGSTOP)
         try:
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Every command and every JSON example of the pages, as a reader would use it."""
+"""Tests the commands and JSON examples of the documentation pages."""
 
 from __future__ import annotations
 
@@ -120,7 +120,7 @@
 
 
 def make_folder(folder: Path, installation: Installation) -> None:
-    """Lay out what a reader of the pages has: examples, logs and the command."""
+    """Create a folder with the examples, logs and command that the pages use."""
     for part in ("bin", "logs"):
         (folder / part).mkdir(parents=True)
     (folder / "examples").symlink_to(ROOT / "examples")
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""Data centres and targets taken out and brought back, judged by the targets' logs."""
+"""Tests draining and restoring data centres and targets, by the targets' logs."""
 
 from __future__ import annotations
 
@@ -51,11 +51,11 @@
     def test_a_data_centre_is_drained_and_restored_while_the_platform_is_slow(
         self,
     ) -> None:
-        """Operators pull a data centre at 1 s a platform call; streams run on there.
+        """A data centre is drained while each platform call takes 1 s and streams run.
 
-        Nothing new starts there once the command says that the drain is in force, the
-        stream that runs ends whole, no caller is refused, the gateway inside tells the
-        balancer to leave it out, and all of it comes back.
+        After the command reports the drain as active, no request starts there. Running
+        streams complete, no caller is refused, the gateway in the data centre fails its
+        readiness check, and the restore reverses all of this.
         """
         installation = self.installation
         with Traffic(self.urls) as traffic:
@@ -92,9 +92,9 @@
     ) -> None:
         """A gateway is paused while a target is drained, then the platform goes down.
 
-        Awake again, the gateway still takes the target for usable. The target's agent
-        turns the work away and names the generation, which the gateway then has from
-        the agent itself; the caller notices nothing.
+        After it resumes, the gateway still assumes that the target is available. The
+        target's agent refuses the requests and reports the new generation, which the
+        gateway then fetches from the agent. The caller sees only successes.
         """
         installation = self.installation
         gateway = installation.daemons["gateway-east"]
@@ -113,9 +113,10 @@
         wait_until(lambda: read_generation(url) == 2, "generation 2 from a peer")
 
     def test_a_removed_target_completes_its_streams(self) -> None:
-        """The VM list says leaving, then no longer names the VM, while a stream runs.
+        """The VM list marks a VM as leaving and then removes it while streams run.
 
-        A gateway that closed its connection with the entry would cut the stream.
+        Guards against a gateway that closes the connection when the entry is removed,
+        which would cut the streams.
         """
         installation = self.installation
         with Traffic(self.urls) as traffic:
@@ -139,7 +140,7 @@
         self.assertTrue(any(stream.request_id in ran_east for stream in streams))
 
     def test_concurrent_drains_combine_and_unknown_names_are_explained(self) -> None:
-        """Two operators drain different places in the same moment; a third mistypes."""
+        """Three drains run concurrently; a fourth names an unknown data centre."""
         installation = self.installation
         places = [("target", EAST), ("target", WEST), ("data-centre", "dc-west")]
         with ThreadPoolExecutor(3) as pool:
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -1,8 +1,9 @@
-"""What a caller is told when one thing fails, and whether it is true.
+"""Tests that the outcome reported to a caller after one fault is true.
 
-A dispatch meets one cut or frozen connection. "ran: no" may be said only when the
-target never had the order, whatever thaws later; "unknown" is right, and no more,
-once the order may have reached it; neither answer is held back past the deadline.
+A dispatch meets a cut or frozen connection or a killed or stopped process. "ran: no"
+may be reported only if the target never received the dispatch, whatever is resumed
+later. Once the dispatch may have reached the target, the outcome is "unknown". Neither
+response is delayed past the deadline.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 NO_CLAIM = (503, "claim_unavailable", "no")
 REFUSED = (503, "overloaded", "no")
 DONE = (201, "", "yes")
-# Hop, step, fault, whether the order has a key, what the caller is told first.
+# Hop, step, fault, whether the dispatch has a key, first result for the caller.
 CASES = (
     (GATEWAY, Step.CONNECT, Fault.CUT, True, REFUSED),
     (GATEWAY, Step.CONNECT, Fault.CUT, False, REFUSED),
@@ -44,7 +45,7 @@
     (TARGET, Step.ANSWER_SENT, Fault.CUT, False, UNKNOWN),
 )
 
-# What the caller gets in the end, once the platform is back.
+# Hop, step, fault, final status after the platform has recovered.
 PLATFORM_OUTAGE_CASES = (
     (GATEWAY, Step.REQUEST_SENT, Fault.CUT, 201),
     (GATEWAY, Step.REQUEST_SENT, Fault.FREEZE, 201),
@@ -76,15 +77,15 @@
                 self.assertLessEqual(self.harness.count_runs(dispatch), 1)
                 if result[2] == "no":
                     not_run.append((dispatch, cell.name))
-        # What thawed late has had time to act by now.
+        # Processes resumed late have had time to act by now.
         for dispatch, name in not_run:
             self.assertEqual(self.harness.count_runs(dispatch), 0, name)
 
     def test_a_dispatch_runs_on_after_a_disconnect_and_its_retry_gets_the_response(
         self,
     ) -> None:
-        # The target has the order and answers slowly; the caller gives up and asks
-        # again at the other gateway, first while it runs, then when it is done.
+        # The target has the dispatch and responds slowly. The caller disconnects and
+        # retries at the other gateway, first while it runs, then when it has finished.
         dispatch = Dispatch("left-behind", "left-behind")
         self.harness.warm_up()
         self.harness.arm_fault(
@@ -104,8 +105,9 @@
         self.assertEqual(self.harness.count_runs(dispatch), 1)
 
     def test_a_retry_during_a_platform_outage_does_not_run(self) -> None:
-        # The first fault takes the answer, and the platform is gone when the caller
-        # resends: refused at once, or answered from what was kept; never run again.
+        # The first fault loses the response, and the platform is down when the caller
+        # retries. The retry is refused at once or answered from the stored response,
+        # and never run.
         for number, (hop, step, fault, final) in enumerate(PLATFORM_OUTAGE_CASES):
             cell = Cell(hop, step, fault)
             dispatch = Dispatch(f"second-{number:04}", f"second-{number}")
@@ -117,8 +119,9 @@
                 self.harness.installation.set_faults({"down": True})
                 retry = replace(dispatch, attempt_name="again")
                 resent = self.harness.send("gateway-2", retry)
-                # The first send may reach the target only now: its agent had its claim
-                # before the platform went, and does not know yet that its gateway died.
+                # The first attempt may reach the target only now: its agent acquired
+                # the claim before the outage and has not yet detected that the gateway
+                # died.
                 self.assertNotIn("again", self.harness.list_recorded_attempts(dispatch))
                 self.harness.installation.set_faults({})
                 self.harness.restore()
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""What the development tools promise of the processes they start."""
+"""Tests how the development tools start and supervise processes."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 class PortTests(unittest.TestCase):
     def test_no_port_is_handed_out_twice(self) -> None:
-        # Two daemons are given ports before either listens. Both ports are free, and
-        # were they the same, the second daemon would end with "address in use".
+        # Two daemons get ports before either listens. If both ports were the same free
+        # port, the second daemon would exit with "address in use".
         ports = [find_port() for _ in range(200)]
         self.assertEqual(len(set(ports)), len(ports))
 
 
 class EndedDaemonTests(unittest.TestCase):
     def test_waiting_for_a_daemon_that_ended_fails_at_once(self) -> None:
-        # A gateway ends while it starts. Whoever waits for it must be told its last
-        # line, and not wait for an answer until the time limit.
+        # A gateway exits during its start. Waiting for it must raise an error with its
+        # last line of output at once, instead of waiting until the timeout.
         with Installation() as installation:
             daemon = installation.start_process("gone", ["-c", "raise SystemExit('x')"])
             daemon.process.wait(20)
@@ -28,8 +28,8 @@
                 installation.check_alive("gone")
 
     def test_a_daemon_that_another_thread_kills_has_ended(self) -> None:
-        # A fault kills a daemon from a thread of its own, and the test looks at once
-        # which daemons it has to start anew. It must not take the dying one for alive.
+        # A fault kills a daemon in another thread while the test checks which daemons
+        # to restart. The daemon being killed must not count as alive.
         with Installation() as installation:
             for number in range(10):
                 name = f"dying-{number}"
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,8 +1,8 @@
-"""A request that crashes every engine which runs it, sent again and again.
+"""Tests the quarantine of a request that crashes every engine that runs it.
 
-The caller sends it through one gateway: the engine that runs it loses its cache and
-its connections, the gateway risks one more engine, and no third. From then on every
-gateway refuses it, also those that never saw it, while other requests go on.
+Each crash costs an engine its cache and its connections. The gateway retries on one
+further engine but not on a third. From then on every gateway refuses the request,
+including those that never received it, while other requests are served.
 """
 
 from __future__ import annotations
@@ -69,4 +69,4 @@
             if "quarantine updated" in events:
                 return
             time.sleep(0.05)
-        self.fail("the other gateway was not told")
+        self.fail(f"{gateway} did not receive the quarantine")
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""A process says that it is ready only once it can carry work."""
+"""Tests that a process reports readiness only when it can serve requests."""
 
 from __future__ import annotations
 
@@ -15,9 +15,8 @@
 
 class ReadinessTests(unittest.TestCase):
     def test_a_gateway_without_a_vm_list_is_not_ready(self) -> None:
-        # A gateway starts and has its configuration, but no VM list yet. Had the
-        # balancer sent it callers, each would have been refused for want of a target;
-        # they stay with other gateways until the list is there.
+        # A gateway starts with a configuration but without a VM list. If the load
+        # balancer sent requests to it, each would be refused for want of a target.
         installation = self.enterContext(Installation())
         installation.start_platform()
         publish_examples(installation)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""A recorded trace against real processes and stated outcomes."""
+"""Tests the replay of a trace against real processes and stated outcomes."""
 
 from __future__ import annotations
 
@@ -45,9 +45,9 @@
         return done.returncode, done.stdout + done.stderr
 
     def test_repeated_dispatches_through_two_gateways_run_once_each(self) -> None:
-        # Each of 20 orders is sent three times under its key, the repeats through the
-        # other gateway; a repeat is answered like the first or, while the first still
-        # runs, told so; vans leave once.
+        # Each of 20 dispatches is sent three times with its key, the repeats through
+        # the other gateway. A repeat gets the first response or, while the first
+        # attempt still runs, an error that reports this. Each dispatch runs once.
         status, output = self.replay(answered_share=1 / ATTEMPTS)
         self.assertEqual(status, 0, output)
         log = self.installation.read_target_log(VANS)
@@ -56,8 +56,8 @@
         self.assertEqual(len(runs), DISPATCHES, output)
 
     def test_a_missed_outcome_exits_with_status_one(self) -> None:
-        # One gateway is killed before the replay: its callers see cut connections,
-        # the stated share of answers is missed, and the command says so.
+        # One gateway is killed before the replay. Its callers get connection errors,
+        # the stated share of responses is missed, and the command reports that.
         self.installation.daemons["gateway-2"].kill()
         status, output = self.replay(answered_share=1.0)
         self.assertEqual(status, 1, output)
--- a/tests/test_run_tests.py
+++ b/tests/test_run_tests.py
@@ -1,4 +1,4 @@
-"""What the runner takes for a failed test."""
+"""Tests how the test runner identifies failed and passed tests."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 class FailedTests(unittest.TestCase):
     def test_names_of_failed_tests_match_the_known_red_list(self) -> None:
-        # A test on the list fails. Named in another way than there, it would be taken
-        # for a new failure, and the run would end with an error.
+        # A listed test fails. If its name differed from the one on the list, it would
+        # count as a new failure and the run would exit with an error.
         names = ("path:test_outcomes", "path:test_start")
         self.assertEqual(list_failed("path", OUTPUT), names)
 
     def test_a_listed_test_passed_only_where_its_suite_ran(self) -> None:
-        # One suite is run alone. The runner said of a listed test of another suite that
-        # it had passed this time, and a reader took that for evidence.
+        # Only one suite is run. Guards against a runner that reports a listed test of
+        # another suite as passed, which a reader would take as evidence.
         listed = frozenset({"path:test_stop", "agent:test_start"})
         red = KnownRed(listed, listed)
         self.assertEqual(list_passed(red, set(), {"agent"}), ["agent:test_start"])
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful and forced ends of gateway, agent and target, judged by the callers."""
+"""Tests graceful and forced shutdown of gateways, agents and targets."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
         return sum(stream.request_id in ran for stream in streams)
 
     def test_a_gateway_finishes_streams_and_refuses_new_requests(self) -> None:
-        """SIGTERM comes with streams open; a caller whose balancer lags still arrives.
+        """A gateway gets SIGTERM with streams open, and a late request arrives.
 
-        The streams end whole, the late caller gets a typed refusal that says "not run"
-        and when to come back, and the process ends with 0.
+        The streams complete, the late caller gets a typed refusal with "not run" and a
+        Retry-After header, and the process exits with 0.
         """
         streams = self.start_streams()
         gateway = self.installation.daemons["gateway-1"]
@@ -68,7 +68,7 @@
         self.assertEqual(gateway.process.wait(20), 0)
 
     def test_an_agent_finishes_streams_while_new_work_goes_elsewhere(self) -> None:
-        """SIGTERM reaches an agent with streams open and callers arriving all along."""
+        """An agent gets SIGTERM while streams are open and requests keep arriving."""
         with Traffic(self.urls) as traffic:
             streams = self.start_streams()
             self.assertGreater(self.count_at(EAST, streams), 0)
@@ -83,7 +83,7 @@
         self.assertEqual(traffic.statuses, {200}, refusals)
 
     def test_a_target_finishes_streams_while_new_work_goes_elsewhere(self) -> None:
-        """An engine that is stopped takes no new connection and ends what it runs."""
+        """A stopping engine accepts no new connections and completes its requests."""
         with Traffic(self.urls) as traffic:
             streams = self.start_streams()
             self.assertGreater(self.count_at(EAST, streams), 0)
@@ -97,7 +97,7 @@
 
 
 class ForcedTests(unittest.TestCase):
-    """One target, so that nothing can be sent elsewhere."""
+    """Tests with a single target, so that no request can be rerouted."""
 
     def setUp(self) -> None:
         self.installation = self.enterContext(Installation())
@@ -108,21 +108,21 @@
         return self.installation.gateways["gateway-1"]
 
     def check_unknown_outcome(self, stream: LongStream) -> None:
-        """The stream says that it is not whole and that the outcome is unknown."""
+        """Check that the stream is incomplete and reports an unknown outcome."""
         stream.join()
         self.assertFalse(stream.is_complete)
         self.assertIn(b'"code":"outcome_unknown"', stream.body)
         self.assertIn(b'"ran":"unknown"', stream.body)
 
     def check_exit(self, name: str, reason: str) -> None:
-        """The process ended with 0 and says why it cut requests."""
+        """Check that the process exited with 0 and logged why it cut requests."""
         daemon = self.installation.daemons[name]
         self.assertEqual(daemon.process.wait(20), 0)
         cut = [line for line in daemon.read_log() if line["event"] == "requests cut"]
         self.assertEqual([line["reason"] for line in cut], [reason])
 
     def test_an_agent_exits_cleanly_after_its_shutdown_timeout(self) -> None:
-        """A stream outlasts the shutdown timeout; its caller learns that it was cut."""
+        """A stream exceeds the shutdown timeout; its caller is notified of the cut."""
         url = self.build(shutdown_timeout_seconds=0.5)
         stream = LongStream(url, "history", 2000)
         self.installation.daemons[f"{EAST}-agent"].send(signal.SIGTERM)
@@ -143,7 +143,7 @@
         self.check_exit(f"{EAST}-agent", "second-signal")
 
     def test_a_second_signal_ends_a_gateway_at_once(self) -> None:
-        """A stream is open at the gateway; its caller learns that it was cut."""
+        """A stream is open at the gateway; its caller is notified of the cut."""
         url = self.build()
         stream = LongStream(url, "history", 2000)
         gateway = self.installation.daemons["gateway-1"]
--- a/tests/test_thin_path.py
+++ b/tests/test_thin_path.py
@@ -1,4 +1,4 @@
-"""The whole path through real processes."""
+"""Tests the complete request path through real processes."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
         self.assertEqual(response.error["ran"], "no")
 
     def test_no_daemon_holds_io_uring_shared_memory_or_children(self) -> None:
-        # uvloop opens an io_uring instance unless told otherwise; the brief forbids it.
+        # uvloop opens an io_uring instance by default, which the requirements forbid.
         for name, daemon in self.installation.daemons.items():
             if not name.startswith("gateway") and not name.endswith("agent"):
                 continue
@@ -76,9 +76,9 @@
 
 
 def list_links(folder: str) -> list[str]:
-    """Return what a daemon's descriptors lead to.
+    """Return the link targets of a daemon's file descriptors.
 
-    A connection may close between the listing and the look at it: it is not held.
+    A descriptor that is closed after the listing is skipped.
     """
     links = []
     for name in os.listdir(folder):
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS towards callers and mutual TLS between gateway and agent, on real processes."""
+"""Tests TLS with callers and mutual TLS between gateways and agents."""
 
 from __future__ import annotations
 
@@ -87,9 +87,9 @@
         self.assertEqual(self.count_runs(), before)
 
     def test_a_gateway_rejected_by_agents_reports_not_run(self) -> None:
-        # The gateway reaches the agent, which turns it away in the handshake or, when
-        # only the name is wrong, with the first call. Nothing gets to the target, and
-        # the caller may send its request again elsewhere.
+        # The agent rejects the gateway in the handshake or, if only the name is wrong,
+        # at the first call. No request reaches the target, and the caller may retry
+        # elsewhere.
         foreign = trustme.CA()
         sections = {
             "untrusted": self.files.issue(
@@ -111,8 +111,8 @@
                 self.assertEqual(self.count_runs(), before)
 
     def test_a_replaced_certificate_is_used_without_a_restart(self) -> None:
-        # An operator's tool replaces both files; callers that connect from then on see
-        # the new certificate, and the process goes on.
+        # An operator's tool replaces certificate and key. New connections get the new
+        # certificate without a restart of the process.
         path = self.installation.directory / "gateway.pem"
         before = self.read_served_certificate()
         self.files.issue("gateway", GATEWAY_NAME, HOST)
@@ -130,8 +130,8 @@
         return ssl.PEM_cert_to_DER_cert(ssl.get_server_certificate(place))
 
     def test_an_agent_rejected_by_the_gateway_gets_no_request(self) -> None:
-        # Something else answers at the agent's address: with a certificate of another
-        # authority, of another machine, or one that has expired.
+        # Another server responds at the agent's address, with a certificate of another
+        # authority, of another machine, or an expired one.
         foreign = trustme.CA()
         sections = {
             "untrusted": self.files.issue("a1", AGENT_NAME, HOST, authority=foreign),
@@ -150,7 +150,7 @@
                 self.assertEqual(self.count_runs(), before)
 
     def restart_agent(self, section: dict[str, str]) -> None:
-        """Start the agent anew at the same address with another certificate."""
+        """Restart the agent at the same address with another certificate."""
         name = f"{DESK}-agent"
         self.installation.daemons[name].stop()
         path = self.installation.directory / f"{name}.json"
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -1,4 +1,4 @@
-"""A new weight version rolls out under traffic, judged by the engines' own logs."""
+"""Tests rollouts of weight versions under traffic, by the engines' logs."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
         return [entry for log in logs for entry in log if "order" in entry]
 
     def check_responses(self, traffic: Traffic, versions: Iterable[str]) -> None:
-        """Each answer was made by the version that it names, one that was in use."""
+        """Check that each response reports its actual version, one of ``versions``."""
         refusals = explain_refusals(self.installation, traffic)
         self.assertEqual(traffic.statuses, {200}, refusals)
         made_by = {
@@ -67,11 +67,11 @@
             self.assertIn(named, versions)
 
     def test_a_version_rolls_out_under_traffic(self) -> None:
-        """Four engines change version two at a time while callers keep asking.
+        """Four engines change version two at a time while requests keep arriving.
 
         One engine reports its new version late and one fails its first load. No caller
-        is refused, no answer names another version than made it, streams that run keep
-        theirs, and no more than two engines load at any moment.
+        is refused, each response reports the version that served it, running streams
+        retain their version, and no more than two engines load at once.
         """
         targets = self.installation.targets
         send("POST", f"{targets['desk-1']}/options", {"report_lag": 1.0})
@@ -86,7 +86,7 @@
             answered = len(traffic.responses)
             wait_until(
                 lambda: (
-                    {a.headers["X-Weight-Version"] for a in traffic.responses[-8:]}
+                    {r.headers["X-Weight-Version"] for r in traffic.responses[-8:]}
                     == {"v2"}
                 ),
                 "v2 for all requests",
@@ -103,9 +103,9 @@
         self.assertLessEqual(count_max_concurrent(loads), MAX_CONCURRENT_LOADS)
 
     def test_an_agent_refuses_a_request_for_another_version(self) -> None:
-        """A gateway that knows less asks for a version that the engine does not have.
+        """A gateway with stale state requests a version that the engine has not loaded.
 
-        Run all the same, the request would read blocks of the other version.
+        If the agent ran the request, it would read blocks of the other version.
         """
         agent = next(vm for vm in self.installation.vms if vm["name"] == "desk-1")
         request = pb.ServeRequest(
@@ -127,10 +127,11 @@
         self.assertEqual([e for e in log if e.get("request_id") == "for-v9"], [])
 
     def test_an_agent_killed_while_its_engine_loads(self) -> None:
-        """The agent dies in the middle of a load and is started anew at its place.
+        """An agent is killed during a load and restarted with the same settings.
 
-        The engine goes on loading; the new agent takes the lease and the slot that its
-        predecessor held at this place, and the roll-out ends within the limit.
+        The engine continues to load. The new agent acquires the lease and the load slot
+        of its predecessor, and the rollout finishes within the limit of concurrent
+        loads.
         """
         installation = self.installation
         send("POST", f"{installation.targets['desk-1']}/options", {"load_seconds": 3.0})
@@ -153,7 +154,7 @@
         self.assertEqual(traffic.statuses, {200}, refusals)
 
     def test_a_resumed_agent_does_not_reload_the_old_version(self) -> None:
-        """An agent sleeps through two publishes and wakes; its engine ends on v3."""
+        """An agent is paused during two publications; its engine ends with v3."""
         agent = self.installation.daemons["desk-1-agent"]
         agent.send(signal.SIGSTOP)
         try:
@@ -179,7 +180,7 @@
 
 
 def count_max_concurrent(loads: list[dict[str, Any]]) -> int:
-    """Return the most loads that ran at one moment, by the engines' time stamps."""
+    """Return the maximum number of concurrent loads, by the engines' timestamps."""
     changes = [(load["started"], 1) for load in loads]
     changes += [(load.get("ended", float("inf")), -1) for load in loads]
     running = peak = 0
--- a/tests/tls_files.py
+++ b/tests/tls_files.py
@@ -1,4 +1,4 @@
-"""Writes certificates of a test authority, good and bad ones."""
+"""Writes valid and invalid certificates of a test certificate authority."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class TlsFiles:
-    """One authority and the files of certificates that it signed."""
+    """A certificate authority and the files of the certificates that it signs."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -31,7 +31,7 @@
         authority: trustme.CA | None = None,
         expired: bool = False,
     ) -> dict[str, str]:
-        """Return the settings' section for a new certificate for ``names``."""
+        """Issue a certificate for ``names``; return the TLS section of the settings."""
         past = datetime.datetime(2020, 1, 1, tzinfo=datetime.UTC)
         issued = (authority or self.authority).issue_cert(
             *names, not_after=past if expired else None
@@ -48,5 +48,5 @@
 
 
 def without_authority(section: dict[str, str]) -> dict[str, str]:
-    """Return a section as the callers' side has it."""
+    """Return the section without its authority, for TLS with callers."""
     return {name: path for name, path in section.items() if name != "authority"}
