--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -54,7 +54,8 @@
             done = len(results.passed) + len(results.failed)
             print(
                 f"{hop}: {done} cells run, {len(results.passed)} passed,"
-                f" {len(results.failed)} failed, {len(results.not_triggered)} not triggered,"
+                f" {len(results.failed)} failed,"
+                f" {len(results.not_triggered)} not triggered,"
                 f" {len(results.unreachable)} not reachable"
             )
             for line in results.failed + results.not_triggered + results.unreachable:
