--- a/tests/fleet_builders.py
+++ b/tests/fleet_builders.py
@@ -25,7 +25,7 @@
 # Maximum wait for a condition; the test fails when it is reached.
 WAIT_TIMEOUT_SECONDS = 40.0
 FAULT_DESK = "fault-desk"
-# Log events that concern the availability of targets and carry no request ID.
+# Log events that change which targets are available, independent of a request.
 AVAILABILITY_EVENTS = frozenset(
     {
         "agent started",
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -166,8 +166,8 @@
                 self.assertEqual((status, error["code"]), (400, "bad_request"))
 
     def test_garbage_after_a_valid_request_gets_a_typed_error(self) -> None:
-        # The garbage arrives after the first response, or in one write with the first
-        # request. In the second case neither is run, and the response reports that.
+        # The garbage arrives after the first response has started, or in one write with
+        # the first request. In the second case neither runs and the response says so.
         good = make_head("GET", "/v1/models")
         with connect(self.url) as connection:
             connection.sendall(good)
